--- a/entry/actions/claimer.go
+++ b/entry/actions/claimer.go
@@ -35,7 +35,7 @@
 		return claimProblem(err)
 	}
 	c.Action = result.Record.Action
-	c.Bound = binding(result.Record)
+	c.Binding = binding(result.Record)
 	return nil
 }
 
--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -147,7 +147,7 @@
 		return p
 	}
 	expected := choice.Expected
-	c.FirstFrame = func(after time.Duration) { controller.Observe(expected, after, time.Now()) }
+	c.OnFirstFrame = func(after time.Duration) { controller.Observe(expected, after, time.Now()) }
 	return nil
 }
 
--- a/entry/caller/chat.go
+++ b/entry/caller/chat.go
@@ -219,8 +219,8 @@
 	tokens uint32
 }
 
-// Frames implements dispatch.Sink.
-func (s *collector) Frames(batch []*msg.Frame) error {
+// WriteFrames implements dispatch.Sink.
+func (s *collector) WriteFrames(batch []*msg.Frame) error {
 	for _, f := range batch {
 		s.body.Write(f.Data)
 		s.tokens += f.Tokens
--- a/entry/caller/plain.go
+++ b/entry/caller/plain.go
@@ -168,8 +168,8 @@
 	sent bool
 }
 
-// Frames implements dispatch.Sink.
-func (p *plainWriter) Frames(batch []*msg.Frame) error {
+// WriteFrames implements dispatch.Sink.
+func (p *plainWriter) WriteFrames(batch []*msg.Frame) error {
 	for _, f := range batch {
 		if f.Head != nil {
 			p.head = f.Head
--- a/entry/caller/sse.go
+++ b/entry/caller/sse.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Frames implements dispatch.Sink.
-func (e *eventWriter) Frames(batch []*msg.Frame) error {
+// WriteFrames implements dispatch.Sink.
+func (e *eventWriter) WriteFrames(batch []*msg.Frame) error {
 	e.start()
 	e.buf = e.buf[:0]
 	for _, f := range batch {
--- a/entry/dispatch/call.go
+++ b/entry/dispatch/call.go
@@ -22,8 +22,8 @@
 	Action      id.Action
 	Ticket      string
 	PayloadHash uint64
-	// Bound fixes endpoint and incarnation, for actions.
-	Bound *Binding
+	// Binding fixes endpoint and incarnation, for actions.
+	Binding *Binding
 	// Idempotent permits another attempt after one that may have run.
 	Idempotent bool
 	// Deadline bounds the time to the first frame of the answer.
@@ -32,9 +32,9 @@
 	// Work is the predicted work in tokens.
 	Work         uint32
 	PromptBlocks []uint64
-	// FirstFrame is called once with the time until the answer began or was
+	// OnFirstFrame is called once with the time until the answer began or was
 	// given up. It may be nil and must not block.
-	FirstFrame func(after time.Duration)
+	OnFirstFrame func(after time.Duration)
 	Chat       *msg.Chat
 	Plain      *msg.Plain
 }
@@ -48,8 +48,8 @@
 // Sink receives the answer on the goroutine that called Run, in order, without
 // gaps and duplicates. It may block on the caller.
 type Sink interface {
-	// Frames is called with one or more frames that carry a head or data.
-	Frames(batch []*msg.Frame) error
+	// WriteFrames is called with one or more frames that carry a head or data.
+	WriteFrames(batch []*msg.Frame) error
 }
 
 // Result tells what became of a call.
@@ -62,8 +62,8 @@
 	// Endpoint and Attempt are those of the last attempt, if any.
 	Endpoint id.Endpoint
 	Attempt  id.Attempt
-	// Tries counts the attempts.
-	Tries int
+	// Attempts counts the attempts.
+	Attempts int
 	// Delivered is true if a frame was handed to the sink.
 	Delivered bool
 }
--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -24,9 +24,9 @@
 	Directory Directory
 	Pool      *link.Pool
 	Recorder  timeline.Recorder
-	// Chosen receives each choice of an endpoint with the candidates that were
+	// OnChoice receives each choice of an endpoint with the candidates that were
 	// compared, or why there is none. It must not block. It may be nil.
-	Chosen func(c *Call, choice route.Choice, err error)
+	OnChoice func(c *Call, choice route.Choice, err error)
 }
 
 // Dispatcher runs calls. It is safe for concurrent use.
@@ -49,15 +49,15 @@
 	mayHaveRun := false
 	for try := 1; ; try++ {
 		choice, err := d.choose(c, exclude)
-		if d.deps.Chosen != nil {
-			d.deps.Chosen(c, choice, err)
+		if d.deps.OnChoice != nil {
+			d.deps.OnChoice(c, choice, err)
 		}
 		if err != nil {
-			r := Result{Outcome: outcome.NotRun, Problem: noEndpoint(err), Tries: try - 1}
+			r := Result{Outcome: outcome.NotRun, Problem: noEndpoint(err), Attempts: try - 1}
 			return r.after(mayHaveRun)
 		}
 		r := d.try(ctx, c, choice, sink).after(mayHaveRun)
-		r.Tries = try
+		r.Attempts = try
 		if r.End != nil && r.Problem == nil {
 			return r
 		}
@@ -76,12 +76,12 @@
 
 // choose returns the bound endpoint of an action, or picks one.
 func (d *Dispatcher) choose(c *Call, exclude []id.Endpoint) (route.Choice, error) {
-	if c.Bound != nil {
-		return route.Choice{Endpoint: c.Bound.Endpoint, Incarnation: c.Bound.Incarnation, Work: c.Work}, nil
+	if c.Binding != nil {
+		return route.Choice{Endpoint: c.Binding.Endpoint, Incarnation: c.Binding.Incarnation, Work: c.Work}, nil
 	}
 	request := route.Request{
 		Service: c.Service, Zone: d.deps.Zone, Work: c.Work, PromptBlocks: c.PromptBlocks,
-		Exclude: exclude, Now: time.Now(), Explain: d.deps.Chosen != nil,
+		Exclude: exclude, Now: time.Now(), Explain: d.deps.OnChoice != nil,
 	}
 	return d.deps.Picker.Pick(request)
 }
@@ -103,7 +103,7 @@
 	}
 	t.assembler = newAssembler(t.attempt, c.Action != "")
 	d.record(c, "request.dispatched", t.attempt, choice.Endpoint, string(choice.Incarnation))
-	if c.Bound == nil {
+	if c.Binding == nil {
 		d.deps.Table.Started(choice, t.begun)
 		defer func() { d.deps.Table.Finished(choice, time.Now()) }()
 	}
@@ -116,11 +116,11 @@
 
 // mayRetry decides whether another attempt is permitted and sensible.
 func (d *Dispatcher) mayRetry(ctx context.Context, c *Call, r Result) (time.Duration, bool) {
-	if c.Bound != nil || r.Delivered || ctx.Err() != nil || !retryable(r.Problem) {
+	if c.Binding != nil || r.Delivered || ctx.Err() != nil || !retryable(r.Problem) {
 		return 0, false
 	}
 	return d.deps.Budget.Decide(retry.Attempt{
-		Outcome: r.Outcome, Idempotent: c.Idempotent, Tries: r.Tries,
+		Outcome: r.Outcome, Idempotent: c.Idempotent, Tries: r.Attempts,
 		RetryAfter: r.Problem.RetryAfter, Deadline: c.Deadline, Now: time.Now(),
 	})
 }
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -96,7 +96,7 @@
 // text is a Sink.
 type text struct{ body []byte }
 
-func (s *text) Frames(batch []*msg.Frame) error {
+func (s *text) WriteFrames(batch []*msg.Frame) error {
 	for _, f := range batch {
 		s.body = append(s.body, f.Data...)
 	}
@@ -176,7 +176,7 @@
 func action() *Call {
 	c := call(false)
 	c.Action = "act"
-	c.Bound = &Binding{Endpoint: "e0", Incarnation: "inc"}
+	c.Binding = &Binding{Endpoint: "e0", Incarnation: "inc"}
 	return c
 }
 
@@ -201,7 +201,7 @@
 			r := d.Run(t.Context(), call(tc.idempotent), &text{})
 			assert.Equal(t, r.Outcome, tc.want, "%v", r.Problem)
 			assert.Equal(t, r.Problem.Outcome, tc.want)
-			assert.Equal(t, r.Tries, tc.tries)
+			assert.Equal(t, r.Attempts, tc.tries)
 		})
 	}
 }
@@ -285,11 +285,11 @@
 func TestDialFailureIsNotRun(t *testing.T) {
 	d, _ := fixture(t)
 	c := action()
-	c.Bound.Endpoint = "nowhere"
+	c.Binding.Endpoint = "nowhere"
 	c.Deadline = time.Now().Add(100 * time.Millisecond)
 	r := d.Run(t.Context(), c, &text{})
 	assert.Equal(t, r.Outcome, outcome.NotRun)
-	c.Bound.Endpoint = "unconfigured"
+	c.Binding.Endpoint = "unconfigured"
 	assert.Equal(t, d.Run(t.Context(), c, &text{}).Outcome, outcome.NotRun)
 }
 
--- a/entry/dispatch/try.go
+++ b/entry/dispatch/try.go
@@ -147,7 +147,7 @@
 		t.delivered = true
 		t.observe()
 	}
-	return t.sink.Frames(batch)
+	return t.sink.WriteFrames(batch)
 }
 
 // observe tells the routing table and the caller of the dispatcher how long the
@@ -155,18 +155,18 @@
 func (t *try) observe() {
 	now := time.Now()
 	after := now.Sub(t.begun)
-	if t.call.FirstFrame != nil {
-		t.call.FirstFrame(after)
-		t.call.FirstFrame = nil
+	if t.call.OnFirstFrame != nil {
+		t.call.OnFirstFrame(after)
+		t.call.OnFirstFrame = nil
 	}
-	if t.call.Bound == nil {
+	if t.call.Binding == nil {
 		t.deps.Table.Observe(t.choice, after, now)
 	}
 }
 
 // failed tells the routing table that the endpoint did not answer.
 func (t *try) failed() {
-	if t.call.Bound == nil {
+	if t.call.Binding == nil {
 		t.deps.Table.Failed(t.choice, time.Now())
 	}
 }
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -139,7 +139,7 @@
 	dispatcher := dispatch.New(s.config.Dispatch, dispatch.Deps{
 		Zone: s.config.Zone, Picker: picker, Table: s.table, Budget: retry.NewBudget(retry.Config{}),
 		Directory: s.endpoints, Pool: s.pool, Recorder: s.events,
-		Chosen: s.requests.Chosen,
+		OnChoice: s.requests.Chosen,
 	})
 	api := caller.New(s.config.Caller, caller.Deps{
 		Catalog:    s.catalog,
--- a/itest/histories/histories_test.go
+++ b/itest/histories/histories_test.go
@@ -68,7 +68,7 @@
 // text collects an answer.
 type text struct{ body []byte }
 
-func (s *text) Frames(batch []*msg.Frame) error {
+func (s *text) WriteFrames(batch []*msg.Frame) error {
 	for _, f := range batch {
 		s.body = append(s.body, f.Data...)
 	}
