--- a/entry/actions/actions.go
+++ b/entry/actions/actions.go
@@ -49,8 +49,8 @@
 
 var _ caller.Actions = (*Actions)(nil)
 
-// Issue implements caller.Actions. It asks the agent of a picked endpoint.
-func (a *Actions) Issue(ctx context.Context, team id.Team, service id.Service) (caller.Ticket, *problem.Problem) {
+// IssueTicket implements caller.Actions. It asks the agent of a picked endpoint.
+func (a *Actions) IssueTicket(ctx context.Context, team id.Team, service id.Service) (caller.Ticket, *problem.Problem) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var exclude []id.Endpoint
@@ -124,11 +124,11 @@
 	return a.deps.Claimer.Claim(ctx, c, key, proposed)
 }
 
-// Inquire implements caller.Actions.
-func (a *Actions) Inquire(ctx context.Context, team id.Team, service id.Service, key string) (caller.Knowledge, *problem.Problem) {
+// Status implements caller.Actions.
+func (a *Actions) Status(ctx context.Context, team id.Team, service id.Service, key string) (caller.ActionStatus, *problem.Problem) {
 	action, bound, p := a.binding(ctx, team, service, key)
 	if p != nil {
-		return caller.Knowledge{}, p
+		return caller.ActionStatus{}, p
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -136,9 +136,9 @@
 		Action: action, Incarnation: bound.Incarnation, Team: team,
 	}})
 	if err != nil || reply.Verdict == nil {
-		return caller.Knowledge{State: msg.StateUnknown, Outcome: outcome.Unknown}, nil
+		return caller.ActionStatus{State: msg.StateUnknown, Outcome: outcome.Unknown}, nil
 	}
-	return caller.Knowledge{State: reply.Verdict.State, Outcome: reply.Verdict.Outcome}, nil
+	return caller.ActionStatus{State: reply.Verdict.State, Outcome: reply.Verdict.Outcome}, nil
 }
 
 func (a *Actions) binding(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem) {
--- a/entry/caller/actions.go
+++ b/entry/caller/actions.go
@@ -15,7 +15,7 @@
 		a.fail(w, r, p)
 		return
 	}
-	t, p := a.deps.Actions.Issue(r.Context(), c.team.Name, service.Name)
+	t, p := a.deps.Actions.IssueTicket(r.Context(), c.team.Name, service.Name)
 	if p != nil {
 		a.fail(w, r, p)
 		return
@@ -30,7 +30,7 @@
 		a.fail(w, r, p)
 		return
 	}
-	known, p := a.deps.Actions.Inquire(r.Context(), c.team.Name, service.Name, chi.URLParam(r, "key"))
+	known, p := a.deps.Actions.Status(r.Context(), c.team.Name, service.Name, chi.URLParam(r, "key"))
 	if p != nil {
 		a.fail(w, r, p)
 		return
--- a/entry/caller/caller.go
+++ b/entry/caller/caller.go
@@ -39,14 +39,14 @@
 
 // Actions binds non-idempotent actions to an endpoint and incarnation.
 type Actions interface {
-	// Issue returns a ticket for an action of a team.
-	Issue(ctx context.Context, team id.Team, service id.Service) (Ticket, *problem.Problem)
+	// IssueTicket returns a ticket for an action of a team.
+	IssueTicket(ctx context.Context, team id.Team, service id.Service) (Ticket, *problem.Problem)
 	// BindTicket sets Action, Ticket and Bound of a call from a ticket.
 	BindTicket(c *dispatch.Call, ticket string) *problem.Problem
 	// BindKey claims an idempotency key made by the caller and sets Action and Bound.
 	BindKey(ctx context.Context, c *dispatch.Call, key string) *problem.Problem
-	// Inquire reports what is known of the action of a ticket or key.
-	Inquire(ctx context.Context, team id.Team, service id.Service, key string) (Knowledge, *problem.Problem)
+	// Status reports what is known of the action of a ticket or key.
+	Status(ctx context.Context, team id.Team, service id.Service, key string) (ActionStatus, *problem.Problem)
 }
 
 // Ticket is the answer to a request for a ticket.
@@ -57,8 +57,8 @@
 	ExpiresAt string `json:"expires_at"`
 }
 
-// Knowledge is the answer to a question about an action.
-type Knowledge struct {
+// ActionStatus is the answer to a question about an action.
+type ActionStatus struct {
 	State   msg.State       `json:"state"`
 	Outcome outcome.Outcome `json:"outcome"`
 }
--- a/entry/caller/chat.go
+++ b/entry/caller/chat.go
@@ -65,7 +65,7 @@
 	case c.MaxTokens > 0:
 		return c.MaxTokens
 	}
-	return limits.DefaultTokens
+	return limits.DefaultMaxTokens
 }
 
 func (c ChatRequest) prompt() string {
@@ -164,14 +164,14 @@
 		PromptBlocks: prefixhash.Blocks(prompt, prefixhash.DefaultBlockWords),
 		Chat:         &msg.Chat{Model: request.Model, Prompt: prompt, MaxTokens: tokens},
 	}
-	if call.Work >= a.config.LongWork {
+	if call.Work >= a.config.LongRequestTokens {
 		call.Class = msg.Long
 	}
 	return call
 }
 
-// ChatAnswer is a whole chat completion.
-type ChatAnswer struct {
+// ChatCompletion is a whole chat completion.
+type ChatCompletion struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
 	Created int64        `json:"created"`
@@ -236,7 +236,7 @@
 		return sink.tokens
 	}
 	reason := result.End.FinishReason
-	answer := ChatAnswer{
+	answer := ChatCompletion{
 		ID:      answerID(c),
 		Object:  "chat.completion",
 		Created: time.Now().Unix(),
--- a/entry/caller/config.go
+++ b/entry/caller/config.go
@@ -16,10 +16,10 @@
 	MaxHeaderBytes int
 	// MaxTokens bounds the answer of a chat completion. Default: 8,192.
 	MaxTokens int
-	// DefaultTokens is the bound of an answer whose caller gives none. Default: 256.
-	DefaultTokens int
-	// LongWork is the predicted work in tokens from which a request counts as long. Default: 2,000.
-	LongWork uint32
+	// DefaultMaxTokens is the bound of an answer whose caller gives none. Default: 256.
+	DefaultMaxTokens int
+	// LongRequestTokens is the predicted work in tokens from which a request counts as long. Default: 2,000.
+	LongRequestTokens uint32
 	// ReadTimeout bounds the time in which a caller sends its request. Default: 10 s.
 	ReadTimeout time.Duration
 }
@@ -30,8 +30,8 @@
 		MaxBodyBytes:   1 << 20,
 		MaxHeaderBytes: 32 << 10,
 		MaxTokens:      8192,
-		DefaultTokens:  256,
-		LongWork:       2000,
+		DefaultMaxTokens:  256,
+		LongRequestTokens:       2000,
 		ReadTimeout:    10 * time.Second,
 	}
 }
@@ -45,11 +45,11 @@
 	if c.MaxHeaderBytes <= 0 {
 		l.Addf("max-header-bytes", "%d is not positive", c.MaxHeaderBytes)
 	}
-	if c.DefaultTokens <= 0 {
-		l.Addf("default-tokens", "%d is not positive", c.DefaultTokens)
+	if c.DefaultMaxTokens <= 0 {
+		l.Addf("default-tokens", "%d is not positive", c.DefaultMaxTokens)
 	}
-	if c.MaxTokens < max(c.DefaultTokens, 1) {
-		l.Addf("max-tokens", "%d is below the %d tokens of an answer without a limit of its own", c.MaxTokens, c.DefaultTokens)
+	if c.MaxTokens < max(c.DefaultMaxTokens, 1) {
+		l.Addf("max-tokens", "%d is below the %d tokens of an answer without a limit of its own", c.MaxTokens, c.DefaultMaxTokens)
 	}
 	if c.ReadTimeout <= 0 {
 		l.Addf("read-timeout", "duration %v is not positive", c.ReadTimeout)
--- a/entry/caller/plain.go
+++ b/entry/caller/plain.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// HeaderKey carries an idempotency key made by the caller, or a ticket.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey carries an idempotency key made by the caller, or a ticket.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// plainWork is the predicted work of a plain request in tokens.
 	plainWork = 1
 	// ticketPrefix distinguishes tickets from keys made by callers.
@@ -118,7 +118,7 @@
 // keyed completes the problem of a request with an idempotency key: if nothing
 // is known of the action, it says so.
 func keyed(r *http.Request, p *problem.Problem) *problem.Problem {
-	if r.Header.Get(HeaderKey) != "" && p.ActionOutcome == "" {
+	if r.Header.Get(HeaderIdempotencyKey) != "" && p.ActionOutcome == "" {
 		p.ActionOutcome = outcome.Unknown
 	}
 	return p
@@ -126,7 +126,7 @@
 
 // bind fixes where a request with an idempotency key may run.
 func (a *API) bind(r *http.Request, call *dispatch.Call) *problem.Problem {
-	key := r.Header.Get(HeaderKey)
+	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		return nil
 	}
--- a/entry/caller/redact.go
+++ b/entry/caller/redact.go
@@ -12,7 +12,7 @@
 // redact replaces what may be a secret of the caller in a text for logs and the
 // time line: the API key, the idempotency key, and long segments of the path.
 func redact(r *http.Request, text string) string {
-	secrets := append(strings.Split(r.URL.Path, "/"), r.Header.Get(HeaderKey))
+	secrets := append(strings.Split(r.URL.Path, "/"), r.Header.Get(HeaderIdempotencyKey))
 	if key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
 		secrets = append(secrets, key)
 	}
--- a/entry/caller/sse.go
+++ b/entry/caller/sse.go
@@ -93,7 +93,7 @@
 	e.start()
 	e.buf = e.buf[:0]
 	reason := r.End.FinishReason
-	last := ChatAnswer{
+	last := ChatCompletion{
 		ID: answerID(c), Object: "chat.completion.chunk", Created: time.Now().Unix(), Model: request.Model,
 		Choices: []ChatChoice{{Delta: &ChatDelta{}, FinishReason: &reason}},
 	}
--- a/itest/client_test.go
+++ b/itest/client_test.go
@@ -52,7 +52,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+procs.TeamKey)
 	if key != "" {
-		request.Header.Set(caller.HeaderKey, key)
+		request.Header.Set(caller.HeaderIdempotencyKey, key)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -96,7 +96,7 @@
 
 // wholeText returns the text of a whole chat completion.
 func wholeText(body []byte) (string, error) {
-	var chat caller.ChatAnswer
+	var chat caller.ChatCompletion
 	if err := json.Unmarshal(body, &chat); err != nil {
 		return "", err
 	}
@@ -120,7 +120,7 @@
 		if data == "[DONE]" {
 			return b.String(), true, nil
 		}
-		var chunk caller.ChatAnswer
+		var chunk caller.ChatCompletion
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 			return b.String(), false, err
 		}
--- a/itest/histories/histories_test.go
+++ b/itest/histories/histories_test.go
@@ -98,9 +98,9 @@
 
 func (h *history) makeKeys(ctx context.Context) error {
 	for i := range tickets {
-		t, p := h.world.entries[i%len(h.world.entries)].actions.Issue(ctx, team, service)
+		t, p := h.world.entries[i%len(h.world.entries)].actions.IssueTicket(ctx, team, service)
 		for tries := 0; p != nil && tries < maxIssueTries; tries++ {
-			t, p = h.world.entries[i%len(h.world.entries)].actions.Issue(ctx, team, service)
+			t, p = h.world.entries[i%len(h.world.entries)].actions.IssueTicket(ctx, team, service)
 		}
 		if p != nil {
 			return p
