--- a/entry/operator/apply.go
+++ b/entry/operator/apply.go
@@ -19,8 +19,8 @@
 	"github.com/siskinford/siskinford/operate/lang"
 )
 
-// EventChanged tells that an operator's change was accepted.
-const EventChanged timeline.Kind = "config.changed"
+// EventConfigChanged tells that an operator's change was accepted.
+const EventConfigChanged timeline.Kind = "config.changed"
 
 // base is the version of a configuration that a change is made to.
 type base struct {
@@ -101,7 +101,7 @@
 	switch {
 	case err == nil:
 		reply.Plan.State, reply.Plan.Version = answer.Accepted, accepted.Version
-		s.deps.Recorder.Record(timeline.Event{Kind: EventChanged, Detail: describe(p, operator, accepted.Version)})
+		s.deps.Recorder.Record(timeline.Event{Kind: EventConfigChanged, Detail: describe(p, operator, accepted.Version)})
 	case errors.As(err, &findings):
 		reply.Findings = p.Locate(findings)
 	case errors.As(err, &race):
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -96,9 +96,9 @@
 
 func TestRequestsAreBounded(t *testing.T) {
 	now := func() time.Time { return time.Unix(1, 0) }
-	r := NewRequests(3, now)
+	r := NewRequestLog(3, now)
 	for i := range 10 {
-		r.Chosen(&dispatch.Call{Request: id.Request(fmt.Sprint(i))}, route.Choice{Endpoint: "a"}, nil)
+		r.RecordChoice(&dispatch.Call{Request: id.Request(fmt.Sprint(i))}, route.Choice{Endpoint: "a"}, nil)
 	}
 	rows := r.rows("entry-0", now())
 	assert.Equal(t, len(rows), 3)
--- a/entry/operator/protocol.go
+++ b/entry/operator/protocol.go
@@ -77,9 +77,9 @@
 	Recorder timeline.Recorder
 	// Status returns what the routing table knows of the endpoints of a service.
 	Status func(s id.Service, now time.Time) []route.Status
-	// Report returns the last load report of an endpoint.
-	Report   func(e id.Endpoint) (endpoints.Seen, bool)
-	Requests *Requests
+	// LastReport returns the last load report of an endpoint.
+	LastReport   func(e id.Endpoint) (endpoints.Seen, bool)
+	Requests *RequestLog
 	// Duties are the keys of the zone's duties.
 	Duties []string
 }
@@ -93,9 +93,9 @@
 // New returns a Service.
 func New(d Deps) *Service { return &Service{deps: d} }
 
-// Observe notes a configuration that came into force, so that a later race can
+// RecordSnapshot notes a configuration that came into force, so that a later race can
 // tell what was changed since.
-func (s *Service) Observe(n *config.Snapshot) {
+func (s *Service) RecordSnapshot(n *config.Snapshot) {
 	for _, kind := range config.Kinds() {
 		if version := n.Version(kind); version > 0 {
 			s.history.add(kind, version, n.Value(kind))
--- a/entry/operator/requests.go
+++ b/entry/operator/requests.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// DefaultRequests is the number of recent requests that an entry remembers.
-	DefaultRequests = 4096
+	// DefaultRequestLogSize is the number of recent requests that an entry remembers.
+	DefaultRequestLogSize = 4096
 	// maxTries bounds the choices remembered of one request.
 	maxTries = 8
 )
@@ -40,9 +40,9 @@
 	detail   string
 }
 
-// Requests remembers the most recent requests of an entry and why each went
+// RequestLog remembers the most recent requests of an entry and why each went
 // where it did. It is safe for concurrent use and does not block.
-type Requests struct {
+type RequestLog struct {
 	now func() time.Time
 
 	// mu is a leaf lock.
@@ -52,14 +52,14 @@
 	next  int
 }
 
-// NewRequests returns a store of up to size requests.
-func NewRequests(size int, now func() time.Time) *Requests {
-	return &Requests{now: now, byID: make(map[id.Request]*record, size), order: make([]id.Request, size)}
+// NewRequestLog returns a store of up to size requests.
+func NewRequestLog(size int, now func() time.Time) *RequestLog {
+	return &RequestLog{now: now, byID: make(map[id.Request]*record, size), order: make([]id.Request, size)}
 }
 
 // get returns the record of a request, after it made room for a new one. The
 // caller holds r.mu.
-func (r *Requests) get(request id.Request) *record {
+func (r *RequestLog) get(request id.Request) *record {
 	if known := r.byID[request]; known != nil {
 		return known
 	}
@@ -71,8 +71,8 @@
 	return added
 }
 
-// Chosen notes the choice of an endpoint for one try. Err tells why there is none.
-func (r *Requests) Chosen(c *dispatch.Call, choice route.Choice, err error) {
+// RecordChoice notes the choice of an endpoint for one try. Err tells why there is none.
+func (r *RequestLog) RecordChoice(c *dispatch.Call, choice route.Choice, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.get(c.Request)
@@ -83,14 +83,14 @@
 	}
 }
 
-// Record returns a Recorder that passes events on to next and notes what they
+// Recorder returns a Recorder that passes events on to next and notes what they
 // tell of requests.
-func (r *Requests) Record(next timeline.Recorder) timeline.Recorder {
+func (r *RequestLog) Recorder(next timeline.Recorder) timeline.Recorder {
 	return recorder{requests: r, next: next}
 }
 
 type recorder struct {
-	requests *Requests
+	requests *RequestLog
 	next     timeline.Recorder
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-func (r *Requests) note(e timeline.Event) {
+func (r *RequestLog) note(e timeline.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.get(e.Request)
@@ -113,7 +113,7 @@
 }
 
 // rows returns the requests, the newest first.
-func (r *Requests) rows(host id.Host, now time.Time) []table.Row {
+func (r *RequestLog) rows(host id.Host, now time.Time) []table.Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]table.Row, 0, len(r.byID))
@@ -135,7 +135,7 @@
 
 // explain returns the row of a request and the endpoints that were compared for
 // each of its tries, or nil if it is not remembered.
-func (r *Requests) explain(request id.Request, host id.Host, now time.Time) (summary, candidates *table.Table) {
+func (r *RequestLog) explain(request id.Request, host id.Host, now time.Time) (summary, candidates *table.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.byID[request]
--- a/entry/operator/rows.go
+++ b/entry/operator/rows.go
@@ -89,7 +89,7 @@
 			weight(e), table.Bool(e.Drain),
 		}
 		row = append(row, s.state(e, statuses), table.Value{}, table.Value{}, table.Value{}, table.Value{}, table.Value{})
-		if seen, ok := s.deps.Report(e.Name); ok {
+		if seen, ok := s.deps.LastReport(e.Name); ok {
 			row = append(row[:8], load(seen, now)...)
 		}
 		out = append(out, append(row, table.Number(n.Version(config.KindEndpoints))))
@@ -169,7 +169,7 @@
 	}
 	for _, e := range s.deps.Snapshot().Endpoints() {
 		state := table.Value{}
-		if seen, ok := s.deps.Report(e.Name); ok {
+		if seen, ok := s.deps.LastReport(e.Name); ok {
 			state = table.Text(member.Alive.String())
 			if now.Sub(seen.At) > reportTimeout {
 				state = table.Text("silent")
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -54,7 +54,7 @@
 	table     *route.Table
 	endpoints *endpoints.Manager
 	claims    *claim.Claimer
-	requests  *operator.Requests
+	requests  *operator.RequestLog
 	operator  *operator.Service
 	admission *admission.Admitter
 	limits    *limits.Limits
@@ -80,8 +80,8 @@
 	c.Link.Clock = d.Ring.Clock()
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
-	s.requests = operator.NewRequests(operator.DefaultRequests, time.Now)
-	s.events = s.requests.Record(timeline.Logged{Ring: d.Ring, Log: d.Log})
+	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
+	s.events = s.requests.Recorder(timeline.Logged{Ring: d.Ring, Log: d.Log})
 	s.holder = spread.NewHolder(s.configured)
 	if err := s.provision(); err != nil {
 		cancel()
@@ -129,7 +129,7 @@
 // configured hands a new configuration to the parts that depend on it.
 func (s *Server) configured(n *config.Snapshot) {
 	s.endpoints.Update(n.Endpoints(), n.Version(config.KindEndpoints))
-	s.operator.Observe(n)
+	s.operator.RecordSnapshot(n)
 	s.admission.Update(n.Teams(), n.Services())
 	s.limits.SetTeams(n.Teams())
 	s.groups.Update(n)
@@ -139,7 +139,7 @@
 	dispatcher := dispatch.New(s.config.Dispatch, dispatch.Deps{
 		Zone: s.config.Zone, Picker: picker, Table: s.table, Budget: retry.NewBudget(retry.Config{}),
 		Directory: s.endpoints, Pool: s.pool, Recorder: s.events,
-		OnChoice: s.requests.Chosen,
+		OnChoice: s.requests.RecordChoice,
 	})
 	api := caller.New(s.config.Caller, caller.Deps{
 		Catalog:    s.catalog,
