--- a/entry/endpoints/cache.go
+++ b/entry/endpoints/cache.go
@@ -12,9 +12,9 @@
 	Index *prefix.Index
 }
 
-// CacheEvents implements CacheSink. After a gap nothing that was known before is
+// ApplyCacheEvents implements CacheSink. After a gap nothing that was known before is
 // believed: the endpoint starts again with an empty cache as of the last event.
-func (p PrefixSink) CacheEvents(e id.Endpoint, inc id.Incarnation, events []msg.CacheEvent) {
+func (p PrefixSink) ApplyCacheEvents(e id.Endpoint, inc id.Incarnation, events []msg.CacheEvent) {
 	converted := make([]prefix.Event, len(events))
 	for i, event := range events {
 		converted[i] = prefix.Event{Seq: event.Seq, Block: event.Block, Evicted: event.Evicted, Cleared: event.Cleared}
--- a/entry/endpoints/manager.go
+++ b/entry/endpoints/manager.go
@@ -59,7 +59,7 @@
 
 // CacheSink receives the prefix cache events of endpoints. It must not block.
 type CacheSink interface {
-	CacheEvents(e id.Endpoint, inc id.Incarnation, events []msg.CacheEvent)
+	ApplyCacheEvents(e id.Endpoint, inc id.Incarnation, events []msg.CacheEvent)
 }
 
 // Manager is safe for concurrent use.
@@ -80,11 +80,11 @@
 	leaving   map[id.Host]bool
 	addresses map[id.Endpoint]string
 	watchers  map[id.Endpoint]*watcher
-	reports   map[id.Endpoint]Seen
+	reports   map[id.Endpoint]ReceivedReport
 }
 
-// Seen is the last report of an endpoint.
-type Seen struct {
+// ReceivedReport is the last report of an endpoint.
+type ReceivedReport struct {
 	Report msg.Report
 	At     time.Time
 }
@@ -96,7 +96,7 @@
 		config: c, table: t, cache: cache, pool: p, recorder: r, ctx: ctx, cancel: cancel,
 		addresses: make(map[id.Endpoint]string),
 		watchers:  make(map[id.Endpoint]*watcher),
-		reports:   make(map[id.Endpoint]Seen),
+		reports:   make(map[id.Endpoint]ReceivedReport),
 	}
 	m.wg.Go(m.expire)
 	return m
@@ -116,8 +116,8 @@
 	return address, ok
 }
 
-// Settled reports whether every endpoint in use has reported once or failed to.
-func (m *Manager) Settled() bool {
+// AllContacted reports whether every endpoint in use has reported once or failed to.
+func (m *Manager) AllContacted() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range m.watchers {
@@ -130,8 +130,8 @@
 	return true
 }
 
-// Last returns the last report of an endpoint.
-func (m *Manager) Last(e id.Endpoint) (Seen, bool) {
+// LastReport returns the last report of an endpoint.
+func (m *Manager) LastReport(e id.Endpoint) (ReceivedReport, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen, ok := m.reports[e]
@@ -243,7 +243,7 @@
 
 // lost takes an endpoint out of use whose connection has ended, until it reports again.
 func (m *Manager) lost(e id.Endpoint) {
-	if seen, ok := m.Last(e); ok {
+	if seen, ok := m.LastReport(e); ok {
 		report := routeReport(&seen.Report)
 		report.Seq++
 		report.Healthy = false
@@ -257,11 +257,11 @@
 	now := time.Now()
 	m.mu.Lock()
 	last, known := m.reports[e]
-	m.reports[e] = Seen{Report: *r, At: now}
+	m.reports[e] = ReceivedReport{Report: *r, At: now}
 	m.mu.Unlock()
 	m.table.Report(routeReport(r), now)
 	if m.cache != nil && len(r.CacheEvents) > 0 {
-		m.cache.CacheEvents(e, r.Incarnation, r.CacheEvents)
+		m.cache.ApplyCacheEvents(e, r.Incarnation, r.CacheEvents)
 	}
 	m.recordChange(last.Report, known, r)
 }
--- a/entry/operator/rows.go
+++ b/entry/operator/rows.go
@@ -105,7 +105,7 @@
 }
 
 // load returns queue, running, slots, step time and age of a report.
-func load(seen endpoints.Seen, now time.Time) table.Row {
+func load(seen endpoints.ReceivedReport, now time.Time) table.Row {
 	r := seen.Report
 	step := time.Duration(r.StepTime) * time.Microsecond
 	return table.Row{
--- a/entry/server/ask.go
+++ b/entry/server/ask.go
@@ -20,7 +20,7 @@
 		Members:  lateMembers{s}, Caller: lateCaller{s},
 		Agents:   operator.LinkAgents{Directory: s.endpoints, Pool: s.pool},
 		Status:   s.table.Status,
-		LastReport:   func(e id.Endpoint) (endpoints.Seen, bool) { return s.endpoints.Last(e) },
+		LastReport:   func(e id.Endpoint) (endpoints.ReceivedReport, bool) { return s.endpoints.LastReport(e) },
 		Requests: s.requests,
 		Duties:   []string{hosts.Duty, "reader/" + string(s.config.Zone)},
 	})
--- a/entry/server/operator.go
+++ b/entry/server/operator.go
@@ -29,5 +29,5 @@
 
 // Ready reports whether the configuration is known and each endpoint was asked for its load.
 func (s *Server) Ready() bool {
-	return s.holder.Current().Complete() && s.endpoints.Settled()
+	return s.holder.Current().Complete() && s.endpoints.AllContacted()
 }
