--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -31,8 +31,8 @@
 	Picker route.Picker
 	// Limiter may be nil.
 	Limiter Limiter
-	// Admission is false to admit whatever the predicted time.
-	Admission bool
+	// Enabled is false to admit whatever the predicted time.
+	Enabled bool
 }
 
 // Admitter implements caller.Admitter. It is safe for concurrent use.
@@ -122,7 +122,7 @@
 // admit asks the service's policy. A request for a service without endpoints is
 // refused here, so that it does not count as a first try.
 func (a *Admitter) admit(team id.Team, c *dispatch.Call, now time.Time) *problem.Problem {
-	if !a.deps.Admission {
+	if !a.deps.Enabled {
 		return nil
 	}
 	choice, err := a.deps.Picker.Pick(route.Request{
@@ -171,7 +171,7 @@
 	}
 	now := time.Now()
 	a.returnLimit(team, unused, now)
-	if controller := a.controller(c.Service); controller != nil && a.deps.Admission {
+	if controller := a.controller(c.Service); controller != nil && a.deps.Enabled {
 		controller.Return(team, unused, now)
 	}
 }
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -56,7 +56,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			limiter := &bucket{tokens: tc.tokens}
-			a := New(Deps{Picker: tc.picker, Limiter: limiter, Admission: !tc.disabled})
+			a := New(Deps{Picker: tc.picker, Limiter: limiter, Enabled: !tc.disabled})
 			a.Update([]config.Team{{Name: "puno"}}, []config.Service{{Name: "s"}})
 			call := &dispatch.Call{Service: "s", Work: 10, Deadline: time.Now().Add(time.Second), Chat: &msg.Chat{MaxTokens: 8}}
 			release, refused := a.Admit(config.Team{Name: "puno"}, call)
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -107,7 +107,7 @@
 	if s.claims, err = claim.New(claim.Config{Store: s.deps.Store, Retention: c.KeyRetention}); err != nil {
 		return err
 	}
-	s.admission = admission.New(admission.Deps{Zone: c.Zone, Picker: picker, Limiter: s.limits, Admission: c.Admission})
+	s.admission = admission.New(admission.Deps{Zone: c.Zone, Picker: picker, Limiter: s.limits, Enabled: c.Admission})
 	s.callers = s.newCallerServer(picker)
 	s.operators = &http.Server{Handler: s.operatorHandler(), ReadHeaderTimeout: c.Caller.ReadTimeout}
 	return nil
