--- a/entry/actions/actions.go
+++ b/entry/actions/actions.go
@@ -35,8 +35,8 @@
 	// Claim commits a binding and sets Action and Bound of the call, or takes
 	// over the binding that was committed before. It may block on the platform.
 	Claim(ctx context.Context, c *dispatch.Call, key string, proposed dispatch.Binding) *problem.Problem
-	// Find returns the binding of a key.
-	Find(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem)
+	// Lookup returns the binding of a key.
+	Lookup(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem)
 }
 
 // Actions implements caller.Actions.
@@ -152,5 +152,5 @@
 	if a.deps.Claimer == nil {
 		return "", dispatch.Binding{}, problem.Newf(problem.PlatformUnavailable, "the platform is not configured")
 	}
-	return a.deps.Claimer.Find(ctx, team, service, key)
+	return a.deps.Claimer.Lookup(ctx, team, service, key)
 }
--- a/entry/actions/claimer.go
+++ b/entry/actions/claimer.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Find implements Claimer.
-func (k *KeyClaimer) Find(ctx context.Context, team id.Team, service id.Service, text string) (id.Action, dispatch.Binding, *problem.Problem) {
+// Lookup implements Claimer.
+func (k *KeyClaimer) Lookup(ctx context.Context, team id.Team, service id.Service, text string) (id.Action, dispatch.Binding, *problem.Problem) {
 	key, err := claim.ParseKey(text)
 	if err != nil {
 		return "", dispatch.Binding{}, problem.Newf(problem.KeyInvalid, "%v", err)
