--- a/entry/caller/config.go
+++ b/entry/caller/config.go
@@ -27,12 +27,12 @@
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		MaxBodyBytes:   1 << 20,
-		MaxHeaderBytes: 32 << 10,
-		MaxTokens:      8192,
+		MaxBodyBytes:      1 << 20,
+		MaxHeaderBytes:    32 << 10,
+		MaxTokens:         8192,
 		DefaultMaxTokens:  256,
-		LongRequestTokens:       2000,
-		ReadTimeout:    10 * time.Second,
+		LongRequestTokens: 2000,
+		ReadTimeout:       10 * time.Second,
 	}
 }
 
--- a/entry/dispatch/call.go
+++ b/entry/dispatch/call.go
@@ -35,8 +35,8 @@
 	// OnFirstFrame is called once with the time until the answer began or was
 	// given up. It may be nil and must not block.
 	OnFirstFrame func(after time.Duration)
-	Chat       *msg.Chat
-	Plain      *msg.Plain
+	Chat         *msg.Chat
+	Plain        *msg.Plain
 }
 
 // Binding names where an action may run.
--- a/entry/operator/protocol.go
+++ b/entry/operator/protocol.go
@@ -78,8 +78,8 @@
 	// Status returns what the routing table knows of the endpoints of a service.
 	Status func(s id.Service, now time.Time) []route.Status
 	// LastReport returns the last load report of an endpoint.
-	LastReport   func(e id.Endpoint) (endpoints.ReceivedReport, bool)
-	Requests *RequestLog
+	LastReport func(e id.Endpoint) (endpoints.ReceivedReport, bool)
+	Requests   *RequestLog
 	// Duties are the keys of the zone's duties.
 	Duties []string
 }
--- a/entry/server/ask.go
+++ b/entry/server/ask.go
@@ -18,11 +18,11 @@
 		Host: s.config.Host, Zone: s.config.Zone, Store: s.deps.Store, Ring: s.deps.Ring, Recorder: s.events,
 		Snapshot: func() *config.Snapshot { return s.holder.Current() },
 		Members:  lateMembers{s}, Caller: lateCaller{s},
-		Agents:   operator.LinkAgents{Directory: s.endpoints, Pool: s.pool},
-		Status:   s.table.Status,
-		LastReport:   func(e id.Endpoint) (endpoints.ReceivedReport, bool) { return s.endpoints.LastReport(e) },
-		Requests: s.requests,
-		Duties:   []string{hosts.Duty, "reader/" + string(s.config.Zone)},
+		Agents:     operator.LinkAgents{Directory: s.endpoints, Pool: s.pool},
+		Status:     s.table.Status,
+		LastReport: func(e id.Endpoint) (endpoints.ReceivedReport, bool) { return s.endpoints.LastReport(e) },
+		Requests:   s.requests,
+		Duties:     []string{hosts.Duty, "reader/" + string(s.config.Zone)},
 	})
 }
 
