--- a/entry/actions/claimer.go
+++ b/entry/actions/claimer.go
@@ -35,12 +35,12 @@
 		return claimProblem(err)
 	}
 	c.Action = result.Record.Action
-	c.Bound = binding(result.Record)
+	c.Binding = binding(result.Record)
 	return nil
 }
 
-// Find implements Claimer.
-func (k *KeyClaimer) Find(ctx context.Context, team id.Team, service id.Service, text string) (id.Action, dispatch.Binding, *problem.Problem) {
+// Lookup implements Claimer.
+func (k *KeyClaimer) Lookup(ctx context.Context, team id.Team, service id.Service, text string) (id.Action, dispatch.Binding, *problem.Problem) {
 	key, err := claim.ParseKey(text)
 	if err != nil {
 		return "", dispatch.Binding{}, problem.Newf(problem.KeyInvalid, "%v", err)
--- a/entry/caller/sse.go
+++ b/entry/caller/sse.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Frames implements dispatch.Sink.
-func (e *eventWriter) Frames(batch []*msg.Frame) error {
+// WriteFrames implements dispatch.Sink.
+func (e *eventWriter) WriteFrames(batch []*msg.Frame) error {
 	e.start()
 	e.buf = e.buf[:0]
 	for _, f := range batch {
@@ -93,7 +93,7 @@
 	e.start()
 	e.buf = e.buf[:0]
 	reason := r.End.FinishReason
-	last := ChatAnswer{
+	last := ChatCompletion{
 		ID: answerID(c), Object: "chat.completion.chunk", Created: time.Now().Unix(), Model: request.Model,
 		Choices: []ChatChoice{{Delta: &ChatDelta{}, FinishReason: &reason}},
 	}
