--- a/balance/outlier/outlier.go
+++ b/balance/outlier/outlier.go
@@ -13,28 +13,28 @@
 
 // Config holds the settings of a Detector. Zero values select the defaults.
 type Config struct {
-	// Memory is the time constant with which outcomes are forgotten. Default: 4 s.
-	Memory time.Duration
+	// DecayTime is the time constant with which outcomes are forgotten. Default: 4 s.
+	DecayTime time.Duration
 	// MinFailures is the least number of remembered failures of an outlier. Default: 2.5.
 	MinFailures float64
-	// Margin is added to the usual part of failures of the other endpoints. An
+	// FailureRateMargin is added to the usual part of failures of the other endpoints. An
 	// outlier fails more often. Default: 0.25.
-	Margin float64
-	// Suspect is the time for which an outlier is suspect at first. Default: 1 s.
-	Suspect time.Duration
-	// MaxSuspect bounds that time. Default: 8 s.
-	MaxSuspect time.Duration
-	// MaxPart bounds the part of the endpoints that are suspect. Default: 0.34.
-	MaxPart float64
+	FailureRateMargin float64
+	// BaseSuspectTime is the time for which an outlier is suspect at first. Default: 1 s.
+	BaseSuspectTime time.Duration
+	// MaxSuspectTime bounds that time. Default: 8 s.
+	MaxSuspectTime time.Duration
+	// MaxSuspectFraction bounds the part of the endpoints that are suspect. Default: 0.34.
+	MaxSuspectFraction float64
 }
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.Memory, 4*time.Second)
+	setDefault(&c.DecayTime, 4*time.Second)
 	setDefault(&c.MinFailures, 2.5)
-	setDefault(&c.Margin, 0.25)
-	setDefault(&c.Suspect, time.Second)
-	setDefault(&c.MaxSuspect, 8*time.Second)
-	setDefault(&c.MaxPart, 0.34)
+	setDefault(&c.FailureRateMargin, 0.25)
+	setDefault(&c.BaseSuspectTime, time.Second)
+	setDefault(&c.MaxSuspectTime, 8*time.Second)
+	setDefault(&c.MaxSuspectFraction, 0.34)
 	return c
 }
 
@@ -75,10 +75,10 @@
 	return d.judge(name, r, now)
 }
 
-// Hung takes in a request that the endpoint left without a word while others of
+// RecordHang takes in a request that the endpoint left without a word while others of
 // the service were served. It weighs as much as the least failures of an outlier:
 // each further request would wait as long. It returns what Record does.
-func (d *Detector) Hung(name id.Endpoint, now time.Duration) time.Duration {
+func (d *Detector) RecordHang(name id.Endpoint, now time.Duration) time.Duration {
 	r := d.recall(name, now)
 	r.failed += d.cfg.MinFailures
 	return d.judge(name, r, now)
@@ -88,7 +88,7 @@
 func (d *Detector) recall(name id.Endpoint, now time.Duration) *record {
 	r := d.endpoints[name]
 	if r == nil {
-		r = &record{updated: now, next: d.cfg.Suspect}
+		r = &record{updated: now, next: d.cfg.BaseSuspectTime}
 		d.endpoints[name] = r
 	}
 	d.decay(r, now)
@@ -99,14 +99,14 @@
 func (d *Detector) judge(name id.Endpoint, r *record, now time.Duration) time.Duration {
 	if r.until <= now && d.outlier(name, r, now) && d.mayAdd(now) {
 		r.until = now + r.next
-		r.next = min(2*r.next, d.cfg.MaxSuspect)
+		r.next = min(2*r.next, d.cfg.MaxSuspectTime)
 		r.ok, r.failed = 0, 0
 	}
 	return r.until
 }
 
-// Forget drops what is known of endpoints that no longer exist.
-func (d *Detector) Forget(exists func(id.Endpoint) bool) {
+// Retain drops what is known of endpoints that no longer exist.
+func (d *Detector) Retain(exists func(id.Endpoint) bool) {
 	for name := range d.endpoints {
 		if !exists(name) {
 			delete(d.endpoints, name)
@@ -115,11 +115,11 @@
 }
 
 func (d *Detector) decay(r *record, now time.Duration) {
-	keep := max(0, 1-float64(now-r.updated)/float64(d.cfg.Memory))
+	keep := max(0, 1-float64(now-r.updated)/float64(d.cfg.DecayTime))
 	r.ok *= keep
 	r.failed *= keep
 	if r.until <= now && r.failed == 0 && r.ok > 0 {
-		r.next = max(d.cfg.Suspect, r.next/2)
+		r.next = max(d.cfg.BaseSuspectTime, r.next/2)
 	}
 	r.updated = now
 }
@@ -140,7 +140,7 @@
 	if ok+failed > 0 {
 		usual = failed / (ok + failed)
 	}
-	return r.failed/(r.ok+r.failed) > usual+d.cfg.Margin
+	return r.failed/(r.ok+r.failed) > usual+d.cfg.FailureRateMargin
 }
 
 func (d *Detector) mayAdd(now time.Duration) bool {
@@ -150,5 +150,5 @@
 			suspect++
 		}
 	}
-	return float64(suspect) <= d.cfg.MaxPart*float64(max(len(d.endpoints), 3))
+	return float64(suspect) <= d.cfg.MaxSuspectFraction*float64(max(len(d.endpoints), 3))
 }
--- a/balance/outlier/outlier_test.go
+++ b/balance/outlier/outlier_test.go
@@ -87,15 +87,15 @@
 	}
 	now := 2 * time.Second
 	d.Record("b", true, now)
-	assert.Assert(t, d.Hung("a", now) > now)
+	assert.Assert(t, d.RecordHang("a", now) > now)
 	now += time.Millisecond
-	assert.Assert(t, d.Hung("b", now) <= now, "a third of the endpoints at most is suspect")
+	assert.Assert(t, d.RecordHang("b", now) <= now, "a third of the endpoints at most is suspect")
 	assert.Assert(t, d.Record("a", true, now+2*time.Second) <= now+2*time.Second)
 }
 
 func TestForget(t *testing.T) {
 	d := New(Config{})
 	d.Record("a", false, 0)
-	d.Forget(func(id.Endpoint) bool { return false })
+	d.Retain(func(id.Endpoint) bool { return false })
 	assert.Equal(t, len(d.endpoints), 0)
 }
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -116,7 +116,7 @@
 	}
 	s.backends, s.names = backends, nil
 	s.intake.SetEndpoints(endpoints)
-	s.detector.Forget(func(name id.Endpoint) bool { return backends[name] != nil })
+	s.detector.Retain(func(name id.Endpoint) bool { return backends[name] != nil })
 	s.pump()
 }
 
@@ -243,7 +243,7 @@
 	case Good, Bad:
 		return s.detector.Record(name, o == Good, now)
 	case Hung:
-		return s.detector.Hung(name, now)
+		return s.detector.RecordHang(name, now)
 	}
 	return 0
 }
