--- a/balance/retry/retry.go
+++ b/balance/retry/retry.go
@@ -108,9 +108,9 @@
 	return b
 }
 
-// FirstTry records the first try of a request. The request handler calls it
+// RecordFirstTry records the first try of a request. The request handler calls it
 // once for each request that it dispatches.
-func (b *Budget) FirstTry() {
+func (b *Budget) RecordFirstTry() {
 	limit := int64(b.cfg.Burst) * creditUnit
 	gain := int64(b.cfg.Ratio * creditUnit)
 	for {
--- a/balance/retry/retry_test.go
+++ b/balance/retry/retry_test.go
@@ -80,7 +80,7 @@
 		first, retries := 0, 0
 		for _, isFirst := range rapid.SliceOfN(rapid.Bool(), 1, 500).Draw(t, "tries") {
 			if isFirst {
-				b.FirstTry()
+				b.RecordFirstTry()
 				first++
 				continue
 			}
@@ -118,7 +118,7 @@
 		b := NewBudget(Config{Rand: rng.Float64})
 		total := 0
 		for range requests {
-			b.FirstTry()
+			b.RecordFirstTry()
 			for tries := 1; ; tries++ {
 				total++
 				if rng.IntN(3) != 0 {
@@ -141,7 +141,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				b.FirstTry()
+				b.RecordFirstTry()
 				if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Tries: 1, Now: epoch}); ok {
 					permitted.Add(1)
 				}
--- a/balance/retry/window.go
+++ b/balance/retry/window.go
@@ -6,8 +6,8 @@
 type WindowConfig struct {
 	// Ratio is the number of repeats that each request permits, over all entries.
 	Ratio float64
-	// Extra is the number of repeats permitted beside that, over all entries.
-	Extra int
+	// ExtraRetries is the number of repeats permitted beside that, over all entries.
+	ExtraRetries int
 	// Length of the sliding window. Required.
 	Length time.Duration
 }
@@ -51,12 +51,12 @@
 	return int(w.current % (windowParts + 1))
 }
 
-// Request counts a request of a client.
-func (w *Window) Request(now time.Duration) { w.requests[w.slide(now)]++ }
+// RecordRequest counts a request of a client.
+func (w *Window) RecordRequest(now time.Duration) { w.requests[w.slide(now)]++ }
 
-// Repeat counts a further try if the budget permits it. The budget is shared by
+// AllowRetry counts a further try if the budget permits it. The budget is shared by
 // the given number of entries.
-func (w *Window) Repeat(now time.Duration, entries int) bool {
+func (w *Window) AllowRetry(now time.Duration, entries int) bool {
 	i := w.slide(now)
 	if float64(w.used()+1) > w.share(entries) {
 		return false
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Left returns the number of further tries that the budget permits now.
-func (w *Window) Left(now time.Duration, entries int) int {
+// Remaining returns the number of further tries that the budget permits now.
+func (w *Window) Remaining(now time.Duration, entries int) int {
 	w.slide(now)
 	return max(int(w.share(entries))-w.used(), 0)
 }
@@ -84,5 +84,5 @@
 	for _, n := range w.requests {
 		requests += n
 	}
-	return ratioPart*w.cfg.Ratio*float64(requests) + extraPart*float64(w.cfg.Extra)/float64(max(entries, 1))
+	return ratioPart*w.cfg.Ratio*float64(requests) + extraPart*float64(w.cfg.ExtraRetries)/float64(max(entries, 1))
 }
--- a/balance/retry/window_test.go
+++ b/balance/retry/window_test.go
@@ -12,7 +12,7 @@
 // and counts the repeats in every window.
 func TestWindowKeepsShare(t *testing.T) {
 	const entries = 4
-	cfg := WindowConfig{Ratio: 0.2, Extra: 92, Length: 10 * time.Second}
+	cfg := WindowConfig{Ratio: 0.2, ExtraRetries: 92, Length: 10 * time.Second}
 	rng := rand.New(rand.NewPCG(3, 4))
 	var windows [entries]*Window
 	for i := range windows {
@@ -27,10 +27,10 @@
 		r, n := 0, 0
 		for i, w := range windows {
 			if rng.Float64() < 0.1*float64(i+1) {
-				w.Request(now)
+				w.RecordRequest(now)
 				r++
 			}
-			for w.Repeat(now, entries) { // Every client repeats as often as it can.
+			for w.AllowRetry(now, entries) { // Every client repeats as often as it can.
 				n++
 			}
 		}
@@ -43,19 +43,19 @@
 			r += requests[i]
 			n += repeats[i]
 		}
-		bound := cfg.Ratio*float64(r) + float64(cfg.Extra)
+		bound := cfg.Ratio*float64(r) + float64(cfg.ExtraRetries)
 		assert.Assert(t, float64(n) <= bound, "window from %v: %d repeats for %d requests", time.Duration(from)*tick, n, r)
 	}
 }
 
 func TestWindowSlides(t *testing.T) {
-	w := NewWindow(WindowConfig{Extra: 10, Length: time.Second})
+	w := NewWindow(WindowConfig{ExtraRetries: 10, Length: time.Second})
 	used := 0
-	for w.Repeat(0, 1) {
+	for w.AllowRetry(0, 1) {
 		used++
 	}
 	assert.Equal(t, used, 4) // 0.45 of the ten, rounded down.
-	assert.Equal(t, w.Left(900*time.Millisecond, 1), 0)
-	assert.Equal(t, w.Left(1100*time.Millisecond, 1), 4)
-	assert.Equal(t, w.Left(10*time.Second, 2), 2)
+	assert.Equal(t, w.Remaining(900*time.Millisecond, 1), 0)
+	assert.Equal(t, w.Remaining(1100*time.Millisecond, 1), 4)
+	assert.Equal(t, w.Remaining(10*time.Second, 2), 2)
 }
--- a/balance/route/sim_test.go
+++ b/balance/route/sim_test.go
@@ -246,7 +246,7 @@
 		}
 	}
 	if j.tries == 0 {
-		f.budget.FirstTry()
+		f.budget.RecordFirstTry()
 		s.result.firsts++
 	}
 	j.tries++
--- a/entry/direct/fixture_test.go
+++ b/entry/direct/fixture_test.go
@@ -167,7 +167,7 @@
 	assert.NilError(t, err)
 	h := NewHandler(Options{
 		Codec: testCodec{}, Entries: func() int { return 1 }, Log: zerolog.Nop(),
-		Retries: retry.WindowConfig{Ratio: 0.2, Extra: 100, Length: 10 * time.Second},
+		Retries: retry.WindowConfig{Ratio: 0.2, ExtraRetries: 100, Length: 10 * time.Second},
 	})
 	h.SetTable(table)
 	var list []Endpoint
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -271,14 +271,14 @@
 func (s *Service) Request() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.window.Request(s.now())
+	s.window.RecordRequest(s.now())
 }
 
 // Repeat takes a further try from the budget of all entries.
 func (s *Service) Repeat() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.window.Repeat(s.now(), s.entries())
+	return s.window.AllowRetry(s.now(), s.entries())
 }
 
 // Doubt records that an endpoint refused a request because its group is down.
--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -44,7 +44,7 @@
 // certain as it can become. When ctx ends the caller has left, and the attempt
 // is withdrawn.
 func (d *Dispatcher) Run(ctx context.Context, c *Call, sink Sink) Result {
-	d.deps.Budget.FirstTry()
+	d.deps.Budget.RecordFirstTry()
 	var exclude []id.Endpoint
 	mayHaveRun := false
 	for try := 1; ; try++ {
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -100,7 +100,7 @@
 	if !c.Peers.IsValid() {
 		l.Addf("peers", "is not set")
 	}
-	if c.Retries.Length <= 0 || c.Retries.Ratio < 0 || c.Retries.Extra < 0 {
+	if c.Retries.Length <= 0 || c.Retries.Ratio < 0 || c.Retries.ExtraRetries < 0 {
 		l.Addf("retries", "%+v is not a budget", c.Retries)
 	}
 	return l
