--- a/balance/prefix/prefix.go
+++ b/balance/prefix/prefix.go
@@ -28,20 +28,20 @@
 
 // Config holds the settings of an Index. Zero values select the defaults.
 type Config struct {
-	// EndpointBlocks bounds the blocks remembered for one endpoint.
+	// MaxEndpointBlocks bounds the blocks remembered for one endpoint.
 	// Unit: blocks. Default: 4,096.
-	EndpointBlocks int
-	// HolderBlocks bounds the blocks for which holders are remembered.
+	MaxEndpointBlocks int
+	// MaxHolderBlocks bounds the blocks for which holders are remembered.
 	// Unit: blocks. Default: 32,768.
-	HolderBlocks int
+	MaxHolderBlocks int
 }
 
 func (c Config) withDefaults() Config {
-	if c.EndpointBlocks <= 0 {
-		c.EndpointBlocks = 4096
+	if c.MaxEndpointBlocks <= 0 {
+		c.MaxEndpointBlocks = 4096
 	}
-	if c.HolderBlocks <= 0 {
-		c.HolderBlocks = 32768
+	if c.MaxHolderBlocks <= 0 {
+		c.MaxHolderBlocks = 32768
 	}
 	return c
 }
@@ -60,7 +60,7 @@
 func NewIndex(cfg Config) *Index {
 	x := &Index{cfg: cfg.withDefaults()}
 	x.caches.Store(&map[id.Endpoint]*cache{})
-	x.holders.blocks = newGenerations[holderSet](x.cfg.HolderBlocks)
+	x.holders.blocks = newGenerations[holderSet](x.cfg.MaxHolderBlocks)
 	return x
 }
 
@@ -127,9 +127,9 @@
 	x.holders.add(ev.Block, e)
 }
 
-// Snapshot replaces what is known of an endpoint by its whole cache as of an event.
+// ApplySnapshot replaces what is known of an endpoint by its whole cache as of an event.
 // A snapshot older than the events already applied is ignored.
-func (x *Index) Snapshot(e id.Endpoint, inc id.Incarnation, seq uint64, blocks []uint64) {
+func (x *Index) ApplySnapshot(e id.Endpoint, inc id.Incarnation, seq uint64, blocks []uint64) {
 	c := x.cache(e)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +153,8 @@
 	x.caches.Store(&next)
 }
 
-// Trusted tells whether the events of an endpoint are known without a gap.
-func (x *Index) Trusted(e id.Endpoint) bool {
+// InSync tells whether the events of an endpoint are known without a gap.
+func (x *Index) InSync(e id.Endpoint) bool {
 	c := (*x.caches.Load())[e]
 	if c == nil {
 		return false
@@ -207,7 +207,7 @@
 		return c
 	}
 	next := maps.Clone(old)
-	c := &cache{blocks: newGenerations[struct{}](x.cfg.EndpointBlocks)}
+	c := &cache{blocks: newGenerations[struct{}](x.cfg.MaxEndpointBlocks)}
 	next[e] = c
 	x.caches.Store(&next)
 	return c
--- a/balance/prefix/prefix_test.go
+++ b/balance/prefix/prefix_test.go
@@ -42,7 +42,7 @@
 			x := NewIndex(Config{})
 			assert.Equal(t, x.Apply("a", "i1", tt.events), tt.trusted)
 			assert.Equal(t, x.Match(prompt, "a"), tt.want)
-			assert.Equal(t, x.Trusted("a"), tt.trusted)
+			assert.Equal(t, x.InSync("a"), tt.trusted)
 			assert.Equal(t, x.Match(prompt, "b"), 0)
 		})
 	}
@@ -58,9 +58,9 @@
 func TestSnapshotRestoresTrust(t *testing.T) {
 	x := NewIndex(Config{})
 	x.Apply("a", "i1", []Event{stored(1, 11), stored(5, 12)})
-	x.Snapshot("a", "i1", 4, []uint64{11, 12})
-	assert.Assert(t, !x.Trusted("a"), "the snapshot is older than the gap's end")
-	x.Snapshot("a", "i1", 6, []uint64{11, 12})
+	x.ApplySnapshot("a", "i1", 4, []uint64{11, 12})
+	assert.Assert(t, !x.InSync("a"), "the snapshot is older than the gap's end")
+	x.ApplySnapshot("a", "i1", 6, []uint64{11, 12})
 	assert.Equal(t, x.Match([]uint64{11, 12, 13}, "a"), 2)
 	assert.Assert(t, x.Apply("a", "i1", []Event{stored(7, 13)}))
 	assert.Equal(t, x.Match([]uint64{11, 12, 13}, "a"), 3)
@@ -80,7 +80,7 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	x := NewIndex(Config{EndpointBlocks: 64, HolderBlocks: 128})
+	x := NewIndex(Config{MaxEndpointBlocks: 64, MaxHolderBlocks: 128})
 	for e := range 4 {
 		var events []Event
 		for i := range 10_000 {
@@ -127,7 +127,7 @@
 }
 
 func TestConcurrentUse(t *testing.T) {
-	x := NewIndex(Config{EndpointBlocks: 32, HolderBlocks: 32})
+	x := NewIndex(Config{MaxEndpointBlocks: 32, MaxHolderBlocks: 32})
 	var wg sync.WaitGroup
 	for g := range 4 {
 		name := id.Endpoint(fmt.Sprint(g % 2))
--- a/balance/route/sim_backend_test.go
+++ b/balance/route/sim_backend_test.go
@@ -214,6 +214,6 @@
 func (s *sim) resync(f *frontend, b *backend) {
 	s.after(time.Second, func() {
 		seq := b.seq - uint64(len(b.events))
-		f.index.Snapshot(b.Name, "i", seq, b.cached)
+		f.index.ApplySnapshot(b.Name, "i", seq, b.cached)
 	})
 }
--- a/entry/endpoints/cache.go
+++ b/entry/endpoints/cache.go
@@ -20,6 +20,6 @@
 		converted[i] = prefix.Event{Seq: event.Seq, Block: event.Block, Evicted: event.Evicted, Cleared: event.Cleared}
 	}
 	if !p.Index.Apply(e, inc, converted) {
-		p.Index.Snapshot(e, inc, events[len(events)-1].Seq, nil)
+		p.Index.ApplySnapshot(e, inc, events[len(events)-1].Seq, nil)
 	}
 }
