--- a/balance/admit/admit.go
+++ b/balance/admit/admit.go
@@ -39,29 +39,29 @@
 
 // Config holds the settings of a Controller. Zero values select the defaults.
 type Config struct {
-	// Contention is the predicted time to first token, relative to the time that
+	// ContentionThreshold is the predicted time to first token, relative to the time that
 	// remains, above which teams are held to their shares. Default: 0.2. Range: 0 to 0.4.
-	Contention float64
-	// Memory is the time constant of the teams' usage. A team without a request for
+	ContentionThreshold float64
+	// UsageTimeConstant is the time constant of the teams' usage. A team without a request for
 	// that long is idle. Unit: duration. Default: 10 s.
-	Memory time.Duration
-	// MaxWait stands in for the deadline of requests without one.
+	UsageTimeConstant time.Duration
+	// DefaultTimeout stands in for the deadline of requests without one.
 	// Unit: duration. Default: 10 s.
-	MaxWait time.Duration
+	DefaultTimeout time.Duration
 	// Rand returns uniform numbers in [0, 1) and is safe for concurrent use.
 	// Default: the runtime's generator.
 	Rand func() float64
 }
 
 func (c Config) withDefaults() Config {
-	if c.Contention <= 0 || c.Contention > targetPressure {
-		c.Contention = 0.2
+	if c.ContentionThreshold <= 0 || c.ContentionThreshold > targetPressure {
+		c.ContentionThreshold = 0.2
 	}
-	if c.Memory <= 0 {
-		c.Memory = 10 * time.Second
+	if c.UsageTimeConstant <= 0 {
+		c.UsageTimeConstant = 10 * time.Second
 	}
-	if c.MaxWait <= 0 {
-		c.MaxWait = 10 * time.Second
+	if c.DefaultTimeout <= 0 {
+		c.DefaultTimeout = 10 * time.Second
 	}
 	if c.Rand == nil {
 		c.Rand = rand.Float64
@@ -94,8 +94,8 @@
 const (
 	// ReasonDeadline refuses a request that cannot meet its deadline.
 	ReasonDeadline Reason = "deadline cannot be met"
-	// ReasonShare refuses a request of a team beyond its share while others wait.
-	ReasonShare Reason = "team is beyond its share"
+	// ReasonOverShare refuses a request of a team beyond its share while others wait.
+	ReasonOverShare Reason = "team is beyond its share"
 )
 
 // RefusedError reports that a request was not accepted and did not run.
@@ -202,22 +202,22 @@
 	defer c.mu.Unlock()
 	u := c.usage(r.Team)
 	c.touch(u, r.Now)
-	u.offered.add(r.Tokens, r.Now, c.cfg.Memory)
-	c.offered.add(r.Tokens, r.Now, c.cfg.Memory)
-	remaining := c.cfg.MaxWait
+	u.offered.add(r.Tokens, r.Now, c.cfg.UsageTimeConstant)
+	c.offered.add(r.Tokens, r.Now, c.cfg.UsageTimeConstant)
+	remaining := c.cfg.DefaultTimeout
 	if !r.Deadline.IsZero() {
 		remaining = r.Deadline.Sub(r.Now)
 	}
 	predicted := r.Expected + c.err.margin(r.Now, remaining)
-	allowed := c.pressure.allowed(relative(predicted, remaining), c.cfg.Contention, r.Now)
+	allowed := c.pressure.allowed(relative(predicted, remaining), c.cfg.ContentionThreshold, r.Now)
 	if predicted >= remaining {
 		return c.refuse(r, ReasonDeadline, predicted, predicted-max(remaining, 0))
 	}
 	over := c.overuse(u, r.Now)
 	if over > allowed && c.cfg.Rand()*over >= allowed {
-		return c.refuse(r, ReasonShare, predicted, c.shareWait(over, allowed))
+		return c.refuse(r, ReasonOverShare, predicted, c.shareWait(over, allowed))
 	}
-	c.accepted.add(r.Tokens, r.Now, c.cfg.Memory)
+	c.accepted.add(r.Tokens, r.Now, c.cfg.UsageTimeConstant)
 	return nil
 }
 
@@ -233,12 +233,12 @@
 // accepted tokens. A team beyond what is allowed is served in part, with the
 // probability that brings it down to that, so that none is shut out.
 func (c *Controller) overuse(u *usage, now time.Time) float64 {
-	accepted := c.accepted.value(now, c.cfg.Memory)
-	accepted = max(accepted, minAcceptedPart*c.offered.value(now, c.cfg.Memory))
+	accepted := c.accepted.value(now, c.cfg.UsageTimeConstant)
+	accepted = max(accepted, minAcceptedPart*c.offered.value(now, c.cfg.UsageTimeConstant))
 	if accepted <= 0 {
 		return 0
 	}
-	return u.offered.value(now, c.cfg.Memory) / accepted * c.activeWeight / u.weight
+	return u.offered.value(now, c.cfg.UsageTimeConstant) / accepted * c.activeWeight / u.weight
 }
 
 // shareWait returns the time in which what the team offered decays to what is allowed.
@@ -246,7 +246,7 @@
 	if allowed <= 0 {
 		return maxRetryAfter
 	}
-	wait := float64(c.cfg.Memory) * math.Log(over/allowed)
+	wait := float64(c.cfg.UsageTimeConstant) * math.Log(over/allowed)
 	return time.Duration(min(wait, float64(maxRetryAfter)))
 }
 
@@ -257,14 +257,14 @@
 	return &RefusedError{Team: r.Team, Reason: reason, Predicted: predicted, RetryAfter: wait}
 }
 
-// Return gives tokens back that an accepted request did not use.
-func (c *Controller) Return(team id.Team, tokens float64, now time.Time) {
+// Refund gives tokens back that an accepted request did not use.
+func (c *Controller) Refund(team id.Team, tokens float64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	u := c.usage(team)
-	u.offered.add(-tokens, now, c.cfg.Memory)
-	c.offered.add(-tokens, now, c.cfg.Memory)
-	c.accepted.add(-tokens, now, c.cfg.Memory)
+	u.offered.add(-tokens, now, c.cfg.UsageTimeConstant)
+	c.offered.add(-tokens, now, c.cfg.UsageTimeConstant)
+	c.accepted.add(-tokens, now, c.cfg.UsageTimeConstant)
 }
 
 // Observe records the time to first token of an accepted request against the
@@ -295,7 +295,7 @@
 	}
 	for {
 		oldest := c.active.Front().Value.(*usage)
-		if now.Sub(oldest.seen) <= c.cfg.Memory {
+		if now.Sub(oldest.seen) <= c.cfg.UsageTimeConstant {
 			return
 		}
 		c.deactivate(oldest)
--- a/balance/admit/admit_test.go
+++ b/balance/admit/admit_test.go
@@ -151,7 +151,7 @@
 	contend(c, 300, "greedy", "greedy", "greedy", "b")
 	now := epoch.Add(300 * 20 * time.Millisecond)
 	got := refused(t, c.Admit(request("greedy", 800*time.Millisecond, now)))
-	assert.Equal(t, got.Reason, ReasonShare)
+	assert.Equal(t, got.Reason, ReasonOverShare)
 	assert.Assert(t, got.RetryAfter >= minRetryAfter && got.RetryAfter <= maxRetryAfter)
 }
 
@@ -179,10 +179,10 @@
 func TestReturnGivesTokensBack(t *testing.T) {
 	c := controller(Team{"a", 1})
 	assert.NilError(t, c.Admit(request("a", 0, epoch)))
-	c.Return("a", 60, epoch)
+	c.Refund("a", 60, epoch)
 	assert.Equal(t, c.teams["a"].offered.sum, 40.0)
 	assert.Equal(t, c.accepted.sum, 40.0)
-	c.Return("a", 60, epoch)
+	c.Refund("a", 60, epoch)
 	assert.Equal(t, c.accepted.sum, 0.0)
 }
 
--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -172,6 +172,6 @@
 	now := time.Now()
 	a.returnLimit(team, unused, now)
 	if controller := a.controller(c.Service); controller != nil && a.deps.Admission {
-		controller.Return(team, unused, now)
+		controller.Refund(team, unused, now)
 	}
 }
