--- a/balance/limit/divider.go
+++ b/balance/limit/divider.go
@@ -13,9 +13,9 @@
 	spareDemand = 0.01
 )
 
-// MaxGrant is the time after which every grant has ended, by any clock. A
+// MaxGrantDuration is the time after which every grant has ended, by any clock. A
 // Divider that takes over from one that gave up its authority waits for it.
-const MaxGrant = leaseTime + 2*leaseTime/driftPart
+const MaxGrantDuration = leaseTime + 2*leaseTime/driftPart
 
 // Pool is what a Divider may divide.
 type Pool struct {
@@ -28,9 +28,9 @@
 	Until time.Time
 }
 
-// Divider divides a pool between nodes in proportion to their demand. It is
+// Allocator divides a pool between nodes in proportion to their demand. It is
 // not safe for concurrent use. N names a node; a restarted node needs a new name.
-type Divider[N comparable] struct {
+type Allocator[N comparable] struct {
 	pool  Pool
 	nodes map[N]*node
 }
@@ -50,17 +50,17 @@
 	until time.Time // by the Divider's clock
 }
 
-// NewDivider returns a divider without a pool.
-func NewDivider[N comparable]() *Divider[N] {
-	return &Divider[N]{nodes: map[N]*node{}}
+// NewAllocator returns a divider without a pool.
+func NewAllocator[N comparable]() *Allocator[N] {
+	return &Allocator[N]{nodes: map[N]*node{}}
 }
 
 // SetPool replaces the pool. Grants already issued remain until they end.
-func (d *Divider[N]) SetPool(p Pool) { d.pool = p }
+func (d *Allocator[N]) SetPool(p Pool) { d.pool = p }
 
 // Grant answers a demand. It returns false for a repeated or outrun demand and
 // while the divider has no pool.
-func (d *Divider[N]) Grant(name N, m Demand, now time.Time) (Grant, bool) {
+func (d *Allocator[N]) Grant(name N, m Demand, now time.Time) (Grant, bool) {
 	d.expire(now)
 	n := d.nodes[name]
 	if n == nil {
@@ -83,7 +83,7 @@
 }
 
 // target returns the node's part of the pool by demand.
-func (d *Divider[N]) target(n *node) float64 {
+func (d *Allocator[N]) target(n *node) float64 {
 	least := d.pool.Rate * spareDemand / float64(len(d.nodes))
 	sum := 0.0
 	for _, other := range d.nodes {
@@ -96,7 +96,7 @@
 }
 
 // othersReserve sums what all other nodes may use.
-func (d *Divider[N]) othersReserve(n *node) float64 {
+func (d *Allocator[N]) othersReserve(n *node) float64 {
 	sum := 0.0
 	for _, other := range d.nodes {
 		if other != n {
@@ -107,7 +107,7 @@
 }
 
 // expire forgets grants that ended and nodes that are silent for a lease.
-func (d *Divider[N]) expire(now time.Time) {
+func (d *Allocator[N]) expire(now time.Time) {
 	for name, n := range d.nodes {
 		n.grants = slices.DeleteFunc(n.grants, func(g issued) bool { return !now.Before(g.until) })
 		if len(n.grants) == 0 && now.Sub(n.seen) > leaseTime {
@@ -117,13 +117,13 @@
 }
 
 // Reserved returns the sum of the rates that all nodes may use.
-func (d *Divider[N]) Reserved(now time.Time) float64 {
+func (d *Allocator[N]) Reserved(now time.Time) float64 {
 	d.expire(now)
 	return d.othersReserve(nil)
 }
 
-// Demand returns the sum of the nodes' demands in tokens per second.
-func (d *Divider[N]) Demand(now time.Time) float64 {
+// TotalDemand returns the sum of the nodes' demands in tokens per second.
+func (d *Allocator[N]) TotalDemand(now time.Time) float64 {
 	d.expire(now)
 	sum := 0.0
 	for _, n := range d.nodes {
--- a/balance/limit/fleet_test.go
+++ b/balance/limit/fleet_test.go
@@ -37,14 +37,14 @@
 type zoneNode struct {
 	clock
 	name    string
-	zone    *Zone[string]
+	zone    *ZoneAllocator[string]
 	entries []*entryNode
 }
 
 // rootNode is the holder of the duty for all zones.
 type rootNode struct {
 	clock
-	divider *Divider[string]
+	divider *Allocator[string]
 	until   time.Duration
 }
 
@@ -67,7 +67,7 @@
 
 func newFleet(part float64, newClock func() clock, send func(message)) *fleet {
 	f := &fleet{
-		floors:   Floors{Limit: testLimit, Part: part, Zones: testZones, EntriesPerZone: testEntries},
+		floors:   Floors{Limit: testLimit, Fraction: part, Zones: testZones, EntriesPerZone: testEntries},
 		newClock: newClock,
 		send:     send,
 	}
@@ -97,7 +97,7 @@
 
 func (f *fleet) restartZone(z *zoneNode) {
 	z.clock, z.name = f.newClock(), f.name("zone")
-	z.zone = NewZone[string](uint64(f.names))
+	z.zone = NewZoneAllocator[string](uint64(f.names))
 }
 
 // takeOverRoot starts a new holder if the authority of the old one has ended.
@@ -106,7 +106,7 @@
 		return
 	}
 	f.generation++
-	f.root = &rootNode{clock: f.newClock(), divider: NewDivider[string]()}
+	f.root = &rootNode{clock: f.newClock(), divider: NewAllocator[string]()}
 	f.renewRoot()
 }
 
@@ -126,7 +126,7 @@
 
 func (f *fleet) demandEntry(z *zoneNode, e *entryNode) {
 	share, name, zone := e.share, e.name, z
-	m := share.Demand(e.at(f.now))
+	m := share.NextDemand(e.at(f.now))
 	f.send(message{deliver: func(now time.Duration) {
 		g, ok := zone.zone.Grant(name, m, zone.at(now))
 		if !ok {
@@ -142,7 +142,7 @@
 
 func (f *fleet) demandZone(z *zoneNode) {
 	zone, name, root := z.zone, z.name, f.root
-	m := zone.Demand(z.at(f.now))
+	m := zone.NextDemand(z.at(f.now))
 	f.send(message{deliver: func(now time.Duration) {
 		g, ok := root.divider.Grant(name, m, root.at(now))
 		if !ok {
--- a/balance/limit/limit.go
+++ b/balance/limit/limit.go
@@ -55,8 +55,8 @@
 	sent       [maxPending]time.Time // by Seq
 }
 
-// Demand starts an exchange and returns the message to send.
-func (l *Lease) Demand(rate float64, now time.Time) Demand {
+// NextDemand starts an exchange and returns the message to send.
+func (l *Lease) NextDemand(rate float64, now time.Time) Demand {
 	l.seq++
 	l.sent[l.seq%maxPending] = now
 	return Demand{Seq: l.seq, Confirmed: l.applied, Rate: rate}
--- a/balance/limit/limit_test.go
+++ b/balance/limit/limit_test.go
@@ -68,7 +68,7 @@
 				continue
 			}
 			if n.chance(30) {
-				e.share.Take(float64(n.rng.IntN(20_000)), e.at(f.now))
+				e.share.Consume(float64(n.rng.IntN(20_000)), e.at(f.now))
 			}
 			f.demandEntry(z, e)
 			if n.rng.IntN(2000) == 0 {
@@ -130,7 +130,7 @@
 	for range rounds {
 		for zi, z := range f.zones {
 			for ei, e := range z.entries {
-				e.share.Take(demand(zi, ei)*period.Seconds(), e.at(f.now))
+				e.share.Consume(demand(zi, ei)*period.Seconds(), e.at(f.now))
 				f.demandEntry(z, e)
 			}
 			if !cut(zi) {
@@ -201,10 +201,10 @@
 func TestDividerCoversLeaseOfSlowClock(t *testing.T) {
 	for _, tt := range []struct{ node, divider float64 }{{1, 1}, {0.995, 1.0049}, {1.005, 0.995}} {
 		node, divider := clock{rate: tt.node}, clock{rate: tt.divider}
-		d := NewDivider[string]()
+		d := NewAllocator[string]()
 		d.SetPool(Pool{Generation: 1, Rate: 100, Until: divider.at(time.Hour)})
 		var l Lease
-		g, ok := d.Grant("n", l.Demand(100, node.at(0)), divider.at(0))
+		g, ok := d.Grant("n", l.NextDemand(100, node.at(0)), divider.at(0))
 		assert.Assert(t, ok)
 		assert.Assert(t, l.Apply(g, node.at(0)))
 		for at := time.Duration(0); at < 2*leaseTime; at += time.Millisecond {
@@ -220,7 +220,7 @@
 	s := NewShare(100, now)
 	taken := 0.0
 	for range 1000 {
-		if _, ok := s.Take(10, now); ok {
+		if _, ok := s.Consume(10, now); ok {
 			taken += 10
 		}
 		now = now.Add(10 * time.Millisecond)
@@ -230,17 +230,17 @@
 
 func TestTakeLargeRequestIsRepaid(t *testing.T) {
 	s := NewShare(100, epoch)
-	_, ok := s.Take(500, epoch)
+	_, ok := s.Consume(500, epoch)
 	assert.Assert(t, ok)
-	after, ok := s.Take(1, epoch)
+	after, ok := s.Consume(1, epoch)
 	assert.Assert(t, !ok)
 	assert.Equal(t, after, 4*time.Second)
-	_, ok = s.Take(1, epoch.Add(after-time.Millisecond))
+	_, ok = s.Consume(1, epoch.Add(after-time.Millisecond))
 	assert.Assert(t, !ok)
-	_, ok = s.Take(1, epoch.Add(after+time.Millisecond))
+	_, ok = s.Consume(1, epoch.Add(after+time.Millisecond))
 	assert.Assert(t, ok)
-	s.Return(50, epoch.Add(after+time.Millisecond))
-	_, ok = s.Take(40, epoch.Add(after+time.Millisecond))
+	s.Refund(50, epoch.Add(after+time.Millisecond))
+	_, ok = s.Consume(40, epoch.Add(after+time.Millisecond))
 	assert.Assert(t, ok)
 }
 
@@ -260,9 +260,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var l Lease
-			l.Demand(0, epoch)
+			l.NextDemand(0, epoch)
 			assert.Assert(t, l.Apply(Grant{Generation: 2, Seq: 1, Rate: 7, TTL: time.Minute}, epoch))
-			l.Demand(0, epoch)
+			l.NextDemand(0, epoch)
 			at := epoch.Add(tt.after)
 			assert.Equal(t, l.Apply(tt.grant, at), tt.want)
 			if tt.want {
@@ -277,7 +277,7 @@
 func TestIdleUpToFloor(t *testing.T) {
 	s := NewShare(10, epoch)
 	assert.Assert(t, s.Idle(epoch))
-	s.Take(20, epoch)
+	s.Consume(20, epoch)
 	assert.Assert(t, !s.Idle(epoch))
 	s.SetFloor(30, epoch)
 	assert.Assert(t, s.Idle(epoch))
@@ -293,8 +293,8 @@
 		wg.Go(func() {
 			for i := range 200 {
 				now := epoch.Add(time.Duration(i) * time.Millisecond)
-				s.Take(1, now)
-				m := s.Demand(now)
+				s.Consume(1, now)
+				m := s.NextDemand(now)
 				s.Apply(Grant{Generation: 1, Seq: m.Seq, Rate: 10, TTL: time.Second}, now)
 				s.Rate(now)
 			}
--- a/balance/limit/share.go
+++ b/balance/limit/share.go
@@ -32,10 +32,10 @@
 	return &Share{floor: floor, tokens: floor * burstTime.Seconds(), filled: now, seen: now}
 }
 
-// Take takes tokens from the bucket, or returns the time after which that may
+// Consume takes tokens from the bucket, or returns the time after which that may
 // succeed. A request may exceed the saved tokens; the next one then waits
 // until the rate has made up for it.
-func (s *Share) Take(tokens float64, now time.Time) (retryAfter time.Duration, ok bool) {
+func (s *Share) Consume(tokens float64, now time.Time) (retryAfter time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
@@ -52,8 +52,8 @@
 	return max(time.Duration(seconds*float64(time.Second)), time.Millisecond), false
 }
 
-// Return gives tokens back that a request did not use.
-func (s *Share) Return(tokens float64, now time.Time) {
+// Refund gives tokens back that a request did not use.
+func (s *Share) Refund(tokens float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rate := s.fill(now)
@@ -114,13 +114,13 @@
 	}
 }
 
-// Demand starts an exchange with the zone's Divider. A timer calls it.
-func (s *Share) Demand(now time.Time) Demand {
+// NextDemand starts an exchange with the zone's Divider. A timer calls it.
+func (s *Share) NextDemand(now time.Time) Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
 	rate := s.asked / demandMemory.Seconds()
-	return s.lease.Demand(max(rate-s.floor, 0), now)
+	return s.lease.NextDemand(max(rate-s.floor, 0), now)
 }
 
 // Apply puts a grant in force. It returns false for a grant that no longer counts.
--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -164,7 +164,7 @@
 	var asked []*team
 	for _, t := range l.teams.Load().byShard[shard] {
 		if !t.alone && !t.share.Idle(now) {
-			r.add(t.key, t.share.Demand(now))
+			r.add(t.key, t.share.NextDemand(now))
 			asked = append(asked, t)
 		}
 	}
@@ -191,7 +191,7 @@
 	var asked []*team
 	for _, t := range l.teams.Load().byShard[shard] {
 		if !t.alone && !t.zone.Idle(now) {
-			r.add(t.key, t.zone.Demand(now))
+			r.add(t.key, t.zone.NextDemand(now))
 			asked = append(asked, t)
 		}
 	}
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -54,7 +54,7 @@
 	if epoch != s.epoch {
 		s.epoch, s.since = epoch, now
 	}
-	if epoch > 1 && now.Sub(s.since) < limit.MaxGrant {
+	if epoch > 1 && now.Sub(s.since) < limit.MaxGrantDuration {
 		return 0, false
 	}
 	return epoch, true
--- a/entry/limits/limits.go
+++ b/entry/limits/limits.go
@@ -29,9 +29,9 @@
 	key   teamKey
 	limit float64 // tokens per second
 	share *limit.Share
-	zone  *limit.Zone[uint64] // divides the zone's grant while this entry holds the zone's duty
+	zone  *limit.ZoneAllocator[uint64] // divides the zone's grant while this entry holds the zone's duty
 	// fleet divides the limit while this entry holds the shard's lease. Guarded by shard.mu.
-	fleet *limit.Divider[uint64]
+	fleet *limit.Allocator[uint64]
 	// alone is true if another team has the same key. Such teams have their floors only.
 	alone bool
 }
@@ -70,7 +70,7 @@
 
 // floors splits a limit at the observed size. The caller holds mu.
 func (l *Limits) floors(rate float64) limit.Floors {
-	return limit.Floors{Limit: rate, Part: l.config.FloorPart, Zones: l.zones, EntriesPerZone: l.entries}
+	return limit.Floors{Limit: rate, Fraction: l.config.FloorPart, Zones: l.zones, EntriesPerZone: l.entries}
 }
 
 // SetTeams replaces the teams. Teams that remain limited keep their state. It
@@ -95,8 +95,8 @@
 	floor := l.floors(t.limit).Entry()
 	if old == nil {
 		t.share = limit.NewShare(floor, now)
-		t.zone = limit.NewZone[uint64](1) // Two holders are two nodes; see package limit.
-		t.fleet = limit.NewDivider[uint64]()
+		t.zone = limit.NewZoneAllocator[uint64](1) // Two holders are two nodes; see package limit.
+		t.fleet = limit.NewAllocator[uint64]()
 		return t
 	}
 	t.share, t.zone, t.fleet = old.share, old.zone, old.fleet
@@ -147,12 +147,12 @@
 	if t == nil {
 		return 0, true
 	}
-	return t.share.Take(tokens, now)
+	return t.share.Consume(tokens, now)
 }
 
 // Return gives back tokens that a request did not use.
 func (l *Limits) Return(name id.Team, tokens float64, now time.Time) {
 	if t := l.teams.Load().byName[name]; t != nil {
-		t.share.Return(tokens, now)
+		t.share.Refund(tokens, now)
 	}
 }
