--- a/balance/route/errors.go
+++ b/balance/route/errors.go
@@ -13,16 +13,16 @@
 const (
 	// ReasonReady marks an endpoint that may receive work.
 	ReasonReady Reason = "ready"
-	// ReasonWeight marks an endpoint of weight 0.
-	ReasonWeight Reason = "weight is 0"
+	// ReasonZeroWeight marks an endpoint of weight 0.
+	ReasonZeroWeight Reason = "weight is 0"
 	// ReasonDraining marks an endpoint that leaves.
 	ReasonDraining Reason = "draining"
 	// ReasonUnhealthy marks an endpoint whose back end does not answer.
 	ReasonUnhealthy Reason = "unhealthy"
 	// ReasonNoReport marks an endpoint that has not reported yet.
 	ReasonNoReport Reason = "no report yet"
-	// ReasonStale marks an endpoint whose last report is too old.
-	ReasonStale Reason = "last report is too old"
+	// ReasonStaleReport marks an endpoint whose last report is too old.
+	ReasonStaleReport Reason = "last report is too old"
 	// ReasonExcluded marks an endpoint that the request excludes.
 	ReasonExcluded Reason = "excluded by the request"
 )
--- a/balance/route/feedback_test.go
+++ b/balance/route/feedback_test.go
@@ -26,7 +26,7 @@
 	table, _ := testTable(2, "a")
 	table.Report(idle("a-0", 1), epoch)
 	table.Report(busy("a-1", 1, 0), epoch)
-	c, ok := table.Bound(request(epoch), "a-0", "i1")
+	c, ok := table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, ok)
 	table.Started(c, epoch)
 	table.Finished(c, epoch)
--- a/balance/route/predict.go
+++ b/balance/route/predict.go
@@ -106,7 +106,7 @@
 func (t *Table) requests(m *member, l *load, now time.Duration) float64 {
 	open := m.state.openCount.Load()
 	others := float64(max(l.count+m.state.netCount.Load()-open, 0))
-	trust := float64(t.cfg.ReportMemory) / float64(t.cfg.ReportMemory+max(now-l.taken, 0))
+	trust := float64(t.cfg.ReportHalfWeightAge) / float64(t.cfg.ReportHalfWeightAge+max(now-l.taken, 0))
 	mean := m.zone.meanOthers()
 	return float64(open) + mean + trust*(others-mean)
 }
@@ -147,7 +147,7 @@
 // wait returns the predicted time until the endpoint starts one more request.
 func (t *Table) wait(m *member, now time.Duration) time.Duration {
 	raw, busy := t.waits(m, now)
-	return time.Duration(float64(raw)*m.gain.value(now, t.cfg.ErrorMemory)) + busy
+	return time.Duration(float64(raw)*m.gain.value(now, t.cfg.ErrorDecayTime)) + busy
 }
 
 // predict returns the prediction for a request at an endpoint that holds
@@ -156,9 +156,9 @@
 	s := m.state
 	raw, busy := t.waits(m, now)
 	p := prediction{raw: raw, err: t.missed(s, now)}
-	p.wait = time.Duration(float64(raw)*m.gain.value(now, t.cfg.ErrorMemory)) + busy
+	p.wait = time.Duration(float64(raw)*m.gain.value(now, t.cfg.ErrorDecayTime)) + busy
 	if l := s.load.Load(); l != nil {
-		steps := 1 + (blocks-cached)*t.cfg.BlockTokens/t.cfg.PrefillRate
+		steps := 1 + (blocks-cached)*t.cfg.BlockTokens/t.cfg.PrefillTokensPerStep
 		p.prefill = time.Duration(steps) * l.step
 	}
 	return p
@@ -168,9 +168,9 @@
 func (t *Table) missed(s *state, now time.Duration) time.Duration {
 	miss := s.errorNanos.Load()
 	age := now - time.Duration(s.errorAt.Load())
-	if miss <= 0 || age >= t.cfg.ErrorMemory {
+	if miss <= 0 || age >= t.cfg.ErrorDecayTime {
 		return 0
 	}
-	fresh := 1 - float64(max(age, 0))/float64(t.cfg.ErrorMemory)
+	fresh := 1 - float64(max(age, 0))/float64(t.cfg.ErrorDecayTime)
 	return time.Duration(float64(miss) * fresh)
 }
--- a/balance/route/predicted.go
+++ b/balance/route/predicted.go
@@ -121,7 +121,7 @@
 // drawFrom adds distinct random candidates of a zone.
 func (c *comparison) drawFrom(z *zoneSet, remote bool) {
 	n := len(z.ready)
-	for range min(c.t.cfg.Choices, n) {
+	for range min(c.t.cfg.RandomCandidates, n) {
 		i := z.draw.index(n, c.t.cfg.Rand())
 		for range min(n, c.n+len(c.r.Exclude)+1) {
 			if m := z.ready[i]; c.usable(m) {
--- a/balance/route/route.go
+++ b/balance/route/route.go
@@ -98,9 +98,9 @@
 	Pick(r Request) (Choice, error)
 }
 
-// Prefixes tells which endpoints hold the prefix of a prompt. Pick calls both
+// PrefixIndex tells which endpoints hold the prefix of a prompt. Pick calls both
 // methods; they must not block.
-type Prefixes interface {
+type PrefixIndex interface {
 	// Match returns how many leading blocks the endpoint is expected to hold.
 	Match(blocks []uint64, e id.Endpoint) int
 	// Holder returns an endpoint that is expected to hold many leading blocks.
--- a/balance/route/route_test.go
+++ b/balance/route/route_test.go
@@ -61,12 +61,12 @@
 		change func(*Endpoint, *Report)
 		want   Reason
 	}{
-		{"weight", func(e *Endpoint, _ *Report) { e.Weight = 0 }, ReasonWeight},
+		{"weight", func(e *Endpoint, _ *Report) { e.Weight = 0 }, ReasonZeroWeight},
 		{"drained by operators", func(e *Endpoint, _ *Report) { e.Draining = true }, ReasonDraining},
 		{"drains itself", func(_ *Endpoint, r *Report) { r.Draining = true }, ReasonDraining},
 		{"unhealthy", func(_ *Endpoint, r *Report) { r.Healthy = false }, ReasonUnhealthy},
 		{"no report", func(_ *Endpoint, r *Report) { r.Endpoint = "other" }, ReasonNoReport},
-		{"old report", func(_ *Endpoint, r *Report) { r.Age = 4 * time.Second }, ReasonStale},
+		{"old report", func(_ *Endpoint, r *Report) { r.Age = 4 * time.Second }, ReasonStaleReport},
 		{"excluded", func(_ *Endpoint, r *Report) {}, ReasonExcluded},
 	}
 	for _, tt := range tests {
@@ -146,7 +146,7 @@
 func TestOwnDispatchesCorrectReport(t *testing.T) {
 	table, _ := testTable(1, "a")
 	table.Report(idle("a-0", 1), epoch)
-	c, ok := table.Bound(request(epoch), "a-0", "i1")
+	c, ok := table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, ok)
 	s := table.view.Load().members["a-0"].state
 	for i := range 10 {
@@ -216,7 +216,7 @@
 		table.Report(idle(e, 1), epoch)
 	}
 	picker := mustNew(t, PredictedTime, table)
-	c, ok := table.Bound(request(epoch), "a-0", "i1")
+	c, ok := table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, ok)
 	for range 8 {
 		table.Observe(c, 2*time.Second, epoch)
@@ -279,11 +279,11 @@
 		}
 		table.Report(r, epoch)
 	}
-	home, ok := table.Summarize("s", "a")
+	home, ok := table.SummarizeZone("s", "a")
 	assert.Assert(t, ok)
 	assert.Equal(t, home.Ready, 3)
 	assert.Assert(t, home.Wait > 0)
-	table.ReportZone(ZoneSummary{Service: "s", Zone: "b", Ready: 300, Wait: 2 * home.Wait}, epoch)
+	table.SetZoneSummary(ZoneSummary{Service: "s", Zone: "b", Ready: 300, Wait: 2 * home.Wait}, epoch)
 	picker := mustNew(t, PredictedTime, table)
 	c, err := picker.Pick(request(epoch))
 	assert.NilError(t, err)
@@ -347,12 +347,12 @@
 	table, list := testTable(2, "a")
 	table.Report(idle("a-0", 1), epoch)
 	table.Report(idle("a-1", 1), epoch)
-	c, ok := table.Bound(request(epoch), "a-0", "i1")
+	c, ok := table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, ok)
 	table.Started(c, epoch)
 	table.SetEndpoints(list[1:], epoch)
 	assert.Assert(t, !table.Report(idle("a-0", 2), epoch))
-	_, ok = table.Bound(request(epoch), "a-0", "i1")
+	_, ok = table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, !ok)
 	table.SetEndpoints(list, epoch)
 	table.Report(idle("a-0", 3), epoch)
@@ -362,7 +362,7 @@
 		assert.Equal(t, s.Reason, ReasonReady)
 	}
 	assert.Equal(t, table.view.Load().members["a-0"].zone.ready.Load(), int64(2))
-	_, ok = table.Bound(request(epoch), "a-0", "i0")
+	_, ok = table.PinnedChoice(request(epoch), "a-0", "i0")
 	assert.Assert(t, !ok, "another incarnation")
 }
 
@@ -435,7 +435,7 @@
 				if i%50 == 0 {
 					table.SetEndpoints(list, now)
 				}
-				table.Summarize("s", "b")
+				table.SummarizeZone("s", "b")
 			}
 		})
 	}
@@ -445,7 +445,7 @@
 		s := table.view.Load().members[e.Name].state
 		assert.Equal(t, s.openCount.Load(), int64(0))
 	}
-	got, ok := table.Summarize("s", "a")
+	got, ok := table.SummarizeZone("s", "a")
 	assert.Assert(t, ok)
 	assert.Equal(t, got.Ready, 8)
 	assert.Equal(t, table.view.Load().members["a-0"].zone.ready.Load(), int64(8))
--- a/balance/route/sim_test.go
+++ b/balance/route/sim_test.go
@@ -203,7 +203,7 @@
 }
 
 func (s *sim) addEntry(zone id.Zone, endpoints []route.Endpoint) {
-	cfg := route.Config{Start: simEpoch, Rand: s.rng.Uint64, BlockTokens: simBlock, PrefillRate: simPrefill, Choices: s.choices}
+	cfg := route.Config{Start: simEpoch, Rand: s.rng.Uint64, BlockTokens: simBlock, PrefillTokensPerStep: simPrefill, RandomCandidates: s.choices}
 	f := &frontend{zone: zone, index: prefix.NewIndex(prefix.Config{})}
 	if s.prefixes {
 		cfg.Prefixes = f.index
--- a/balance/route/status.go
+++ b/balance/route/status.go
@@ -15,8 +15,8 @@
 	Reason Reason
 	// Wait is the predicted time until a new request starts.
 	Wait time.Duration
-	// Error is the current correction by the error of earlier predictions.
-	Error time.Duration
+	// PredictionError is the current correction by the error of earlier predictions.
+	PredictionError time.Duration
 	// ReportAge is the time since the load was taken. Zero if there is no report.
 	ReportAge time.Duration
 	// OpenRequests and OpenTokens count the entry's own requests in flight.
@@ -43,7 +43,7 @@
 		Zone:         m.Zone,
 		Reason:       t.reason(m, now),
 		Wait:         t.wait(m, now),
-		Error:        t.missed(m.state, now),
+		PredictionError:        t.missed(m.state, now),
 		OpenRequests: int(m.state.openCount.Load()),
 		OpenTokens:   m.state.openTokens.Load(),
 	}
@@ -54,10 +54,10 @@
 	return out
 }
 
-// Bound returns the choice for a request that may run only at one incarnation
+// PinnedChoice returns the choice for a request that may run only at one incarnation
 // of one endpoint, ready or not. It is false if the table does not know the
 // incarnation as the endpoint's last one.
-func (t *Table) Bound(r Request, e id.Endpoint, inc id.Incarnation) (Choice, bool) {
+func (t *Table) PinnedChoice(r Request, e id.Endpoint, inc id.Incarnation) (Choice, bool) {
 	m := t.view.Load().members[e]
 	if m == nil || m.Service != r.Service {
 		return Choice{}, false
--- a/balance/route/table.go
+++ b/balance/route/table.go
@@ -15,26 +15,26 @@
 	Start time.Time
 	// MaxReportAge is the age beyond which an endpoint is not ready. Unit: duration. Default: 3 s.
 	MaxReportAge time.Duration
-	// Choices is the number of random candidates. Unit: endpoints. Default: 4. Range: 2 to 8.
-	Choices int
+	// RandomCandidates is the number of random candidates. Unit: endpoints. Default: 4. Range: 2 to 8.
+	RandomCandidates int
 	// RoundTrip is added to the predicted time of endpoints in other zones.
 	// Unit: duration. Default: 3 ms.
 	RoundTrip time.Duration
-	// ErrorMemory is the time after which an observed prediction error is forgotten.
+	// ErrorDecayTime is the time after which an observed prediction error is forgotten.
 	// Unit: duration. Default: 4 s.
-	ErrorMemory time.Duration
-	// ReportMemory is the age at which a report of other entries' requests counts
+	ErrorDecayTime time.Duration
+	// ReportHalfWeightAge is the age at which a report of other entries' requests counts
 	// half. Unit: duration. Default: 250 ms.
-	ReportMemory time.Duration
+	ReportHalfWeightAge time.Duration
 	// BlockTokens is the length of a prefix block. Unit: tokens. Default: 64.
 	BlockTokens int
-	// PrefillRate is the speed of reading a prompt that is not cached.
+	// PrefillTokensPerStep is the speed of reading a prompt that is not cached.
 	// Unit: tokens per step. Default: 256.
-	PrefillRate int
+	PrefillTokensPerStep int
 	// StepTime is assumed for endpoints that report none. Unit: duration. Default: 20 ms.
 	StepTime time.Duration
 	// Prefixes gives expected prefix hits. Default: none expected.
-	Prefixes Prefixes
+	Prefixes PrefixIndex
 	// Rand returns uniform random numbers and is safe for concurrent use.
 	// Default: the runtime's generator.
 	Rand func() uint64
@@ -43,13 +43,13 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.MaxReportAge, 3*time.Second)
 	setDefault(&c.RoundTrip, 3*time.Millisecond)
-	setDefault(&c.ErrorMemory, 4*time.Second)
-	setDefault(&c.ReportMemory, 250*time.Millisecond)
+	setDefault(&c.ErrorDecayTime, 4*time.Second)
+	setDefault(&c.ReportHalfWeightAge, 250*time.Millisecond)
 	setDefault(&c.StepTime, 20*time.Millisecond)
-	setDefault(&c.Choices, 4)
+	setDefault(&c.RandomCandidates, 4)
 	setDefault(&c.BlockTokens, 64)
-	setDefault(&c.PrefillRate, 256)
-	c.Choices = min(max(c.Choices, 2), maxChoices)
+	setDefault(&c.PrefillTokensPerStep, 256)
+	c.RandomCandidates = min(max(c.RandomCandidates, 2), maxChoices)
 	if c.Start.IsZero() {
 		c.Start = time.Now()
 	}
@@ -204,7 +204,7 @@
 	l := m.state.load.Load()
 	switch {
 	case m.Weight <= 0:
-		return ReasonWeight
+		return ReasonZeroWeight
 	case m.Draining:
 		return ReasonDraining
 	case l == nil:
@@ -212,7 +212,7 @@
 	case l.draining:
 		return ReasonDraining
 	case now-l.taken > t.cfg.MaxReportAge:
-		return ReasonStale
+		return ReasonStaleReport
 	case !l.healthy:
 		return ReasonUnhealthy
 	default:
--- a/balance/route/zone.go
+++ b/balance/route/zone.go
@@ -18,8 +18,8 @@
 	Age time.Duration
 }
 
-// Summarize returns the load of a zone from the reports of its endpoints.
-func (t *Table) Summarize(service id.Service, zone id.Zone) (ZoneSummary, bool) {
+// SummarizeZone returns the load of a zone from the reports of its endpoints.
+func (t *Table) SummarizeZone(service id.Service, zone id.Zone) (ZoneSummary, bool) {
 	out := ZoneSummary{Service: service, Zone: zone}
 	s := t.view.Load().services[service]
 	if s == nil {
@@ -36,10 +36,10 @@
 	return out, true
 }
 
-// ReportZone records another zone's summary. While it is fresh it stands in
+// SetZoneSummary records another zone's summary. While it is fresh it stands in
 // for the average of the reports that this entry has from the zone. An entry
 // then needs the reports of only a few endpoints of that zone.
-func (t *Table) ReportZone(r ZoneSummary, now time.Time) {
+func (t *Table) SetZoneSummary(r ZoneSummary, now time.Time) {
 	s := t.view.Load().services[r.Service]
 	if s == nil {
 		return
--- a/entry/operator/rows.go
+++ b/entry/operator/rows.go
@@ -136,7 +136,7 @@
 			}
 			out = append(out, table.Row{
 				table.Text(x.Endpoint), table.Text(s.deps.Host), table.Text(service.Name), table.Text(x.Zone), table.Text(x.Incarnation),
-				table.Text(x.Reason), millis(x.Wait), millis(x.Error), age, table.Number(x.OpenRequests), table.Number(x.OpenTokens),
+				table.Text(x.Reason), millis(x.Wait), millis(x.PredictionError), age, table.Number(x.OpenRequests), table.Number(x.OpenTokens),
 			})
 		}
 	}
