--- a/balance/intake/doubt.go
+++ b/balance/intake/doubt.go
@@ -19,7 +19,7 @@
 }
 
 // SetGroup tells the group of an endpoint.
-func (n *Intake) SetGroup(name id.Endpoint, group id.Group) {
+func (n *Scheduler) SetGroup(name id.Endpoint, group id.Group) {
 	if e := n.byName[name]; e != nil && e.group != group {
 		e.group = group
 		n.forgetDoubts()
@@ -27,16 +27,16 @@
 }
 
 // forgetDoubts drops the doubts about groups to which no endpoint belongs.
-func (n *Intake) forgetDoubts() {
+func (n *Scheduler) forgetDoubts() {
 	maps.DeleteFunc(n.doubts, func(group id.Group, _ *doubt) bool {
 		return !slices.ContainsFunc(n.endpoints, func(e *endpoint) bool { return e.group == group })
 	})
 }
 
-// Doubt records that an endpoint refused a request because its group is down.
+// TripBreaker records that an endpoint refused a request because its group is down.
 // Until something shows that the group is up, it gets a trial request at an
 // interval and the others wait.
-func (n *Intake) Doubt(name id.Endpoint, now time.Duration) {
+func (n *Scheduler) TripBreaker(name id.Endpoint, now time.Duration) {
 	e := n.byName[name]
 	if e == nil {
 		return
@@ -49,14 +49,14 @@
 	d.since = now
 }
 
-// InDoubt returns the number of groups in doubt.
-func (n *Intake) InDoubt() int { return len(n.doubts) }
+// OpenBreakers returns the number of groups in doubt.
+func (n *Scheduler) OpenBreakers() int { return len(n.doubts) }
 
-// Moved records that a group began a pass or formed anew.
-func (n *Intake) Moved(group id.Group, at time.Duration) { n.alive(group, at) }
+// GroupProgressed records that a group began a pass or formed anew.
+func (n *Scheduler) GroupProgressed(group id.Group, at time.Duration) { n.alive(group, at) }
 
 // alive ends the doubt about a group that was up at a time.
-func (n *Intake) alive(group id.Group, at time.Duration) {
+func (n *Scheduler) alive(group id.Group, at time.Duration) {
 	if d := n.doubts[group]; d != nil && at > d.since {
 		delete(n.doubts, group)
 	}
@@ -64,13 +64,13 @@
 
 // doubted reports whether an endpoint must not get a request now because of its
 // group.
-func (n *Intake) doubted(e *endpoint, now time.Duration) bool {
+func (n *Scheduler) doubted(e *endpoint, now time.Duration) bool {
 	d := n.doubts[e.group]
 	return d != nil && now-d.trial < trialInterval
 }
 
 // allDoubted reports whether no endpoint is beyond doubt.
-func (n *Intake) allDoubted() bool {
+func (n *Scheduler) allDoubted() bool {
 	for _, e := range n.endpoints {
 		if e.Usable && !e.blocked && n.doubts[e.group] == nil {
 			return false
--- a/balance/intake/doubt_test.go
+++ b/balance/intake/doubt_test.go
@@ -15,7 +15,7 @@
 	b := newBench(t, Config{}, slots("a", 4), slots("b", 4))
 	b.n.SetGroup("a", "g")
 	b.n.SetGroup("b", "g")
-	b.n.Doubt("a", b.now)
+	b.n.TripBreaker("a", b.now)
 	var waiting []*Decision
 	for range 5 {
 		waiting = append(waiting, b.submit(b.chat()))
@@ -34,17 +34,17 @@
 	assert.Equal(t, started(), 1)
 	b.after(trialInterval / 2)
 	assert.Equal(t, started(), 1)
-	b.n.Doubt("b", b.now) // The trial was refused as well.
+	b.n.TripBreaker("b", b.now) // The trial was refused as well.
 	b.after(trialInterval / 2)
 	assert.Equal(t, started(), 2)
-	b.n.Moved("g", b.now+ms)
+	b.n.GroupProgressed("g", b.now+ms)
 	b.after(0)
 	assert.Equal(t, started(), 5)
 }
 
 func TestFirstEventEndsDoubt(t *testing.T) {
 	b := newBench(t, Config{}, slots("a", 4))
-	b.n.Doubt("a", b.now)
+	b.n.TripBreaker("a", b.now)
 	r := b.chat()
 	b.after(trialInterval)
 	d := b.submit(r)
@@ -67,7 +67,7 @@
 	b := newBench(t, Config{}, slots("a", 4), slots("b", 4))
 	b.n.SetGroup("a", "g")
 	b.n.SetGroup("b", "h")
-	b.n.Doubt("a", b.now)
+	b.n.TripBreaker("a", b.now)
 	for range 4 {
 		assert.Equal(t, b.submit(b.chat()).Endpoint, id.Endpoint("b"))
 	}
@@ -77,10 +77,10 @@
 // that was not known yet stays in doubt.
 func TestDoubtLeavesWithItsGroup(t *testing.T) {
 	b := newBench(t, Config{}, slots("a", 4))
-	b.n.Doubt("a", b.now)
+	b.n.TripBreaker("a", b.now)
 	b.n.SetGroup("a", "g")
 	assert.Equal(t, b.submit(b.chat()).Endpoint, id.Endpoint("a"))
-	b.n.Doubt("a", b.now)
+	b.n.TripBreaker("a", b.now)
 	b.n.SetEndpoints([]Endpoint{slots("b", 4)})
 	assert.Equal(t, b.submit(b.chat()).Endpoint, id.Endpoint("b"))
 	assert.Assert(t, !b.n.recovering(b.now))
@@ -90,23 +90,23 @@
 // refused with the time that is left.
 func TestDoubtEndsInRefusals(t *testing.T) {
 	b := newBench(t, Config{}, slots("a", 4))
-	b.n.Doubt("a", b.now)
+	b.n.TripBreaker("a", b.now)
 	r := b.chat()
-	r.Silence = b.now + time.Second
+	r.FirstEventDeadline = b.now + time.Second
 	d := b.submit(r)
 	for range 20 {
-		b.n.Doubt("a", b.now)
+		b.n.TripBreaker("a", b.now)
 		b.n.doubts[""].trial = b.now // Other requests are the trials.
 		b.after(50 * ms)
 	}
-	assert.Equal(t, d.Reason, Down)
+	assert.Equal(t, d.Reason, GroupDown)
 	assert.Equal(t, d.RetryAfter, minOutageLeft)
 }
 
 // TestShortReturnIsTheSameOutage names the pattern "looks cross the return of a
 // group": the time that is left is counted from the beginning.
 func TestShortReturnIsTheSameOutage(t *testing.T) {
-	b := newBench(t, Config{Outage: 4 * time.Second}, slots("a", 4))
+	b := newBench(t, Config{OutageDuration: 4 * time.Second}, slots("a", 4))
 	b.after(time.Second)
 	b.n.SetDown(true, b.now)
 	b.after(3 * time.Second)
@@ -127,13 +127,13 @@
 		b.after(20 * ms)
 		b.n.Ended("a", &r, true, 20*ms)
 	}
-	b.n.Doubt("a", b.now)
+	b.n.TripBreaker("a", b.now)
 	for range 8 {
 		b.after(2 * trialInterval)
 		r := b.chat()
 		assert.Equal(t, b.submit(r).Endpoint, id.Endpoint("a"))
 		b.n.Ended("a", &r, false, 5*ms)
-		b.n.Doubt("a", b.now)
+		b.n.TripBreaker("a", b.now)
 	}
 	for range 20 {
 		assert.Equal(t, b.submit(b.chat()).Reason, Reason(""))
--- a/balance/intake/intake.go
+++ b/balance/intake/intake.go
@@ -9,8 +9,8 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Intake decides on the requests of one service. It is not safe for concurrent use.
-type Intake struct {
+// Scheduler decides on the requests of one service. It is not safe for concurrent use.
+type Scheduler struct {
 	cfg       Config
 	rng       *rand.Rand
 	endpoints []*endpoint
@@ -57,16 +57,16 @@
 const ratePeriod = time.Second
 
 // New returns an intake without endpoints.
-func New(cfg Config, seed uint64) *Intake {
+func New(cfg Config, seed uint64) *Scheduler {
 	cfg = cfg.withDefaults()
-	return &Intake{
+	return &Scheduler{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed)), byName: make(map[id.Endpoint]*endpoint), doubts: make(map[id.Group]*doubt),
-		first: newEstimate(cfg.FirstAnswer), whole: newEstimate(cfg.WholeAnswer), outage: cfg.Outage,
+		first: newEstimate(cfg.FirstEventLatency), whole: newEstimate(cfg.RequestDuration), outage: cfg.OutageDuration,
 	}
 }
 
 // SetEndpoints replaces the endpoints. The load of those that remain is kept.
-func (n *Intake) SetEndpoints(list []Endpoint) {
+func (n *Scheduler) SetEndpoints(list []Endpoint) {
 	next := make(map[id.Endpoint]*endpoint, len(list))
 	n.endpoints = n.endpoints[:0]
 	for _, e := range list {
@@ -82,51 +82,51 @@
 	n.forgetDoubts()
 }
 
-// SetOthers replaces what other entries run at an endpoint.
-func (n *Intake) SetOthers(name id.Endpoint, l Load) {
+// SetPeerLoad replaces what other entries run at an endpoint.
+func (n *Scheduler) SetPeerLoad(name id.Endpoint, l Load) {
 	if e := n.byName[name]; e != nil {
 		e.others = l
 	}
 }
 
-// Own returns what this entry runs at an endpoint.
-func (n *Intake) Own(name id.Endpoint) Load {
+// OwnLoad returns what this entry runs at an endpoint.
+func (n *Scheduler) OwnLoad(name id.Endpoint) Load {
 	if e := n.byName[name]; e != nil {
 		return e.own
 	}
 	return Load{}
 }
 
-// SetPace tells how much slower than usual an endpoint is; one is usual.
-func (n *Intake) SetPace(name id.Endpoint, pace float64) {
+// SetSlowdown tells how much slower than usual an endpoint is; one is usual.
+func (n *Scheduler) SetSlowdown(name id.Endpoint, pace float64) {
 	if e := n.byName[name]; e != nil {
 		e.pace = max(pace, 1)
 	}
 }
 
 // SetUsable tells whether an endpoint may receive requests at all.
-func (n *Intake) SetUsable(name id.Endpoint, usable bool) {
+func (n *Scheduler) SetUsable(name id.Endpoint, usable bool) {
 	if e := n.byName[name]; e != nil {
 		e.Usable = usable
 	}
 }
 
 // SetBlocked keeps requests from an endpoint whose group is down.
-func (n *Intake) SetBlocked(name id.Endpoint, blocked bool) {
+func (n *Scheduler) SetBlocked(name id.Endpoint, blocked bool) {
 	if e := n.byName[name]; e != nil {
 		e.blocked = blocked
 	}
 }
 
 // Suspect makes an endpoint the last choice until a time.
-func (n *Intake) Suspect(name id.Endpoint, until time.Duration) {
+func (n *Scheduler) Suspect(name id.Endpoint, until time.Duration) {
 	if e := n.byName[name]; e != nil {
 		e.suspect = until
 	}
 }
 
 // SetDown tells whether the group is down.
-func (n *Intake) SetDown(down bool, now time.Duration) {
+func (n *Scheduler) SetDown(down bool, now time.Duration) {
 	switch {
 	case down && !n.down:
 		// A group that was up for a moment only is still in the same outage.
@@ -138,7 +138,7 @@
 		n.upSince = now
 		if lasted := now - n.downSince; now-n.wentDown >= minOutage {
 			// The last outage tells half of the next estimate.
-			n.outage = (n.outage + min(lasted, 2*n.cfg.Outage)) / 2
+			n.outage = (n.outage + min(lasted, 2*n.cfg.OutageDuration)) / 2
 		}
 	}
 	n.down = down
@@ -153,15 +153,15 @@
 const minUp = 2 * time.Second
 
 // Down reports whether the group is down, and since when.
-func (n *Intake) Down() (bool, time.Duration) { return n.down, n.downSince }
+func (n *Scheduler) Down() (bool, time.Duration) { return n.down, n.downSince }
 
-func (n *Intake) start(e *endpoint, r *Request, now time.Duration) {
+func (n *Scheduler) start(e *endpoint, r *Request, now time.Duration) {
 	e.own.Running++
-	e.own.Prompt += r.Prompt
+	e.own.PromptTokens += r.PromptTokens
 	n.count(now)
 }
 
-func (n *Intake) count(now time.Duration) {
+func (n *Scheduler) count(now time.Duration) {
 	if elapsed := now - n.periodStart; elapsed >= ratePeriod {
 		if !n.recovering(now) {
 			n.usual += (float64(n.started) - n.usual) / usualWeight
@@ -177,7 +177,7 @@
 
 // rate returns the requests that can be started per second while all endpoints
 // are busy: as many as lately, or as many as end.
-func (n *Intake) rate(now time.Duration) float64 {
+func (n *Scheduler) rate(now time.Duration) float64 {
 	part := min(1, float64(now-n.periodStart)/float64(ratePeriod))
 	lately := float64(n.started) + (1-part)*float64(n.lastStarted)
 	own := 0
@@ -193,12 +193,12 @@
 
 // recovering reports whether the starts of the last periods say nothing about
 // the next one, since a group is in doubt or was down.
-func (n *Intake) recovering(now time.Duration) bool {
+func (n *Scheduler) recovering(now time.Duration) bool {
 	return n.down || len(n.doubts) > 0 || (n.upSince > 0 && now-n.upSince < 2*ratePeriod)
 }
 
 // free returns the places at the endpoints that may be used.
-func (n *Intake) free() int {
+func (n *Scheduler) free() int {
 	sum := 0
 	for _, e := range n.endpoints {
 		if e.Usable && !e.blocked {
@@ -209,9 +209,9 @@
 }
 
 // FirstEvent records that a started request has its first event, after a time.
-func (n *Intake) FirstEvent(name id.Endpoint, r *Request, after, now time.Duration) {
+func (n *Scheduler) FirstEvent(name id.Endpoint, r *Request, after, now time.Duration) {
 	if e := n.byName[name]; e != nil {
-		e.own.Prompt = max(e.own.Prompt-r.Prompt, 0)
+		e.own.PromptTokens = max(e.own.PromptTokens-r.PromptTokens, 0)
 		n.alive(e.group, now-after)
 	}
 	n.first.add(after)
@@ -219,7 +219,7 @@
 
 // Ended records that a started request ended after a time. Answered is false if
 // it had no first event.
-func (n *Intake) Ended(name id.Endpoint, r *Request, answered bool, after time.Duration) {
+func (n *Scheduler) Ended(name id.Endpoint, r *Request, answered bool, after time.Duration) {
 	if answered {
 		n.whole.add(after)
 	}
@@ -229,13 +229,13 @@
 	}
 	e.own.Running = max(e.own.Running-1, 0)
 	if !answered {
-		e.own.Prompt = max(e.own.Prompt-r.Prompt, 0)
+		e.own.PromptTokens = max(e.own.PromptTokens-r.PromptTokens, 0)
 	}
 }
 
 // Submit asks for a request to be started. The ticket's Decided is called by
 // this call or by a later one of Pump.
-func (n *Intake) Submit(t *Ticket, now time.Duration) {
+func (n *Scheduler) Submit(t *Ticket, now time.Duration) {
 	t.key = t.Request.Target + time.Duration(t.Request.Priority)*n.cfg.PriorityStep
 	if t.Request.Resumed {
 		t.key = 0
@@ -246,18 +246,18 @@
 	}
 	i := sort.Search(len(n.waiting), func(i int) bool { return n.waiting[i].key > t.key })
 	n.waiting = slices.Insert(n.waiting, i, t)
-	n.Pump(now)
+	n.Dispatch(now)
 	if !t.done && t.Queued != nil {
 		t.Queued(n.standing())
 	}
 }
 
-func (n *Intake) standing() Standing {
-	return Standing{Running: n.running(), Places: n.places(), Waiting: len(n.waiting), Down: n.down}
+func (n *Scheduler) standing() Occupancy {
+	return Occupancy{Running: n.running(), Capacity: n.places(), Waiting: len(n.waiting), Down: n.down}
 }
 
 // places returns the requests that the usable endpoints may have together.
-func (n *Intake) places() int {
+func (n *Scheduler) places() int {
 	sum := 0
 	for _, e := range n.endpoints {
 		if e.Usable && !e.blocked {
@@ -268,20 +268,20 @@
 }
 
 // Withdraw takes a ticket back. It has no effect once the ticket was decided.
-func (n *Intake) Withdraw(t *Ticket) {
+func (n *Scheduler) Withdraw(t *Ticket) {
 	t.done = true
 	if i := slices.Index(n.waiting, t); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 	}
 }
 
-func (n *Intake) decide(t *Ticket, d Decision, now time.Duration) {
+func (n *Scheduler) decide(t *Ticket, d Decision, now time.Duration) {
 	if t.done {
 		return
 	}
 	t.done = true
 	d.Waited = max(now-t.Request.Arrival, 0)
-	d.Standing = n.standing()
+	d.Occupancy = n.standing()
 	if n.down {
 		d.DownFor = now - n.downSince
 	}
@@ -289,7 +289,7 @@
 }
 
 // running returns the requests at all endpoints.
-func (n *Intake) running() int {
+func (n *Scheduler) running() int {
 	sum := 0
 	for _, e := range n.endpoints {
 		sum += e.own.Running + e.others.Running
@@ -298,7 +298,7 @@
 }
 
 // slots returns the slots of the usable endpoints.
-func (n *Intake) slots() int {
+func (n *Scheduler) slots() int {
 	sum := 0
 	for _, e := range n.endpoints {
 		if e.Usable && !e.blocked {
@@ -309,7 +309,7 @@
 }
 
 // Waiting returns the number of requests that wait.
-func (n *Intake) Waiting() int { return len(n.waiting) }
+func (n *Scheduler) Waiting() int { return len(n.waiting) }
 
 // estimate follows a duration and its spread.
 type estimate struct{ mean, deviation time.Duration }
--- a/balance/intake/intake_test.go
+++ b/balance/intake/intake_test.go
@@ -14,7 +14,7 @@
 // bench runs an intake by hand.
 type bench struct {
 	t   *testing.T
-	n   *Intake
+	n   *Scheduler
 	now time.Duration
 }
 
@@ -39,27 +39,27 @@
 
 func (b *bench) after(d time.Duration) {
 	b.now += d
-	b.n.Pump(b.now)
+	b.n.Dispatch(b.now)
 }
 
 // chat returns a request that expects its first event within 500 ms.
 func (b *bench) chat() Request {
 	return Request{
-		Arrival: b.now, Target: b.now + 500*ms, Silence: b.now + 2*time.Second, Deadline: b.now + 8*time.Second, Prompt: 800,
+		Arrival: b.now, Target: b.now + 500*ms, FirstEventDeadline: b.now + 2*time.Second, Deadline: b.now + 8*time.Second, PromptTokens: 800,
 	}
 }
 
 func TestLeastLoadedEndpointFirst(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(*Intake)
+		prepare func(*Scheduler)
 		want    id.Endpoint
 	}{
-		"others' requests count":                   {func(n *Intake) { n.SetOthers("a", Load{Running: 2}) }, "b"},
-		"prompts being read count":                 {func(n *Intake) { n.SetOthers("b", Load{Running: 1, Prompt: 2000}); n.SetOthers("a", Load{Running: 2}) }, "a"},
-		"a slow endpoint costs more":               {func(n *Intake) { n.SetPace("a", 3); n.SetOthers("b", Load{Running: 1}) }, "b"},
-		"a suspect endpoint is last":               {func(n *Intake) { n.Suspect("a", time.Second); n.SetOthers("b", Load{Running: 3}) }, "b"},
-		"a suspect endpoint is used if it must be": {func(n *Intake) { n.Suspect("a", time.Second); n.SetOthers("b", Load{Running: 4}) }, "a"},
-		"a blocked endpoint gets nothing":          {func(n *Intake) { n.SetBlocked("a", true); n.SetOthers("b", Load{Running: 3}) }, "b"},
+		"others' requests count":                   {func(n *Scheduler) { n.SetPeerLoad("a", Load{Running: 2}) }, "b"},
+		"prompts being read count":                 {func(n *Scheduler) { n.SetPeerLoad("b", Load{Running: 1, PromptTokens: 2000}); n.SetPeerLoad("a", Load{Running: 2}) }, "a"},
+		"a slow endpoint costs more":               {func(n *Scheduler) { n.SetSlowdown("a", 3); n.SetPeerLoad("b", Load{Running: 1}) }, "b"},
+		"a suspect endpoint is last":               {func(n *Scheduler) { n.Suspect("a", time.Second); n.SetPeerLoad("b", Load{Running: 3}) }, "b"},
+		"a suspect endpoint is used if it must be": {func(n *Scheduler) { n.Suspect("a", time.Second); n.SetPeerLoad("b", Load{Running: 4}) }, "a"},
+		"a blocked endpoint gets nothing":          {func(n *Scheduler) { n.SetBlocked("a", true); n.SetPeerLoad("b", Load{Running: 3}) }, "b"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -73,8 +73,8 @@
 // TestSlowRankGetsWhatOthersCannotTake names the pattern "one rank is slow and all
 // passes wait for it": its fixed part of a step alone takes longer than full ranks.
 func TestSlowRankGetsWhatOthersCannotTake(t *testing.T) {
-	b := newBench(t, Config{Fixed: 5}, slots("a", 8), slots("b", 8), slots("c", 8))
-	b.n.SetPace("a", 4)
+	b := newBench(t, Config{StepOverhead: 5}, slots("a", 8), slots("b", 8), slots("c", 8))
+	b.n.SetSlowdown("a", 4)
 	got := make(map[id.Endpoint]int)
 	for range 18 {
 		got[b.submit(b.chat()).Endpoint]++
@@ -165,10 +165,10 @@
 // TestGroupDown names the pattern "a rank is lost": nothing is sent meanwhile,
 // what cannot wait is told when to come back, and what can goes on at once.
 func TestGroupDown(t *testing.T) {
-	b := newBench(t, Config{Outage: 4 * time.Second}, slots("a", 4))
+	b := newBench(t, Config{OutageDuration: 4 * time.Second}, slots("a", 4))
 	b.n.SetDown(true, b.now)
 	d := b.submit(b.chat())
-	assert.Equal(t, d.Reason, Down)
+	assert.Equal(t, d.Reason, GroupDown)
 	assert.Equal(t, d.RetryAfter, 4*time.Second)
 	b.after(3 * time.Second)
 	d = b.submit(b.chat())
@@ -181,7 +181,7 @@
 }
 
 func TestOutagesAreLearned(t *testing.T) {
-	b := newBench(t, Config{Outage: 4 * time.Second}, slots("a", 4))
+	b := newBench(t, Config{OutageDuration: 4 * time.Second}, slots("a", 4))
 	b.n.SetDown(true, b.now)
 	b.after(time.Second)
 	b.n.SetDown(false, b.now)
@@ -206,7 +206,7 @@
 	b.n.Ended("a", &running, true, 100*ms)
 	b.after(ms)
 	assert.Assert(t, !called)
-	assert.Equal(t, b.n.Own("a").Running, 0)
+	assert.Equal(t, b.n.OwnLoad("a").Running, 0)
 }
 
 func TestLoadsOfEndpointsThatRemain(t *testing.T) {
@@ -214,42 +214,42 @@
 	r := b.chat()
 	b.submit(r)
 	b.n.SetEndpoints([]Endpoint{slots("a", 4), slots("b", 4)})
-	assert.Equal(t, b.n.Own("a"), Load{Running: 1, Prompt: 800})
+	assert.Equal(t, b.n.OwnLoad("a"), Load{Running: 1, PromptTokens: 800})
 	b.n.FirstEvent("a", &r, 100*ms, b.now)
-	assert.Equal(t, b.n.Own("a"), Load{Running: 1})
+	assert.Equal(t, b.n.OwnLoad("a"), Load{Running: 1})
 	b.n.SetEndpoints([]Endpoint{slots("b", 4)})
 	b.n.Ended("a", &r, true, 100*ms) // The endpoint is gone; its end is no one's.
-	assert.Equal(t, b.n.Own("a"), Load{})
+	assert.Equal(t, b.n.OwnLoad("a"), Load{})
 }
 
 // TestRefusalTellsWhatItWaitedFor shows that a request which is refused in the
 // moment at which many others end was kept waiting by full endpoints.
 func TestRefusalTellsWhatItWaitedFor(t *testing.T) {
 	b := newBench(t, Config{}, slots("a", 4), slots("b", 4))
-	var queued []Standing
+	var queued []Occupancy
 	for range 4 {
 		b.submit(b.chat())
 	}
-	b.n.SetOthers("a", Load{Running: 2})
-	b.n.SetOthers("b", Load{Running: 2})
+	b.n.SetPeerLoad("a", Load{Running: 2})
+	b.n.SetPeerLoad("b", Load{Running: 2})
 	var got Decision
 	b.n.Submit(&Ticket{
-		Request: b.chat(), Queued: func(s Standing) { queued = append(queued, s) }, Decided: func(d Decision) { got = d },
+		Request: b.chat(), Queued: func(s Occupancy) { queued = append(queued, s) }, Decided: func(d Decision) { got = d },
 	}, b.now)
-	assert.DeepEqual(t, queued, []Standing{{Running: 8, Places: 8, Waiting: 1}})
+	assert.DeepEqual(t, queued, []Occupancy{{Running: 8, Capacity: 8, Waiting: 1}})
 	b.now += 2 * time.Second
-	b.n.SetOthers("a", Load{})
-	b.n.SetOthers("b", Load{})
-	b.n.Pump(b.now)
+	b.n.SetPeerLoad("a", Load{})
+	b.n.SetPeerLoad("b", Load{})
+	b.n.Dispatch(b.now)
 	assert.Equal(t, got.Reason, Overload)
 	assert.Equal(t, got.Running, 4)
-	assert.Equal(t, got.Places, 8)
+	assert.Equal(t, got.Capacity, 8)
 }
 
 // TestLongOutageIsNotWaitedFor names the pattern "the group does not come back":
 // nobody waits for the next moment of an outage that has lasted far longer than usual.
 func TestLongOutageIsNotWaitedFor(t *testing.T) {
-	b := newBench(t, Config{Outage: 5 * time.Second}, slots("a", 4))
+	b := newBench(t, Config{OutageDuration: 5 * time.Second}, slots("a", 4))
 	b.now = time.Second
 	b.n.SetDown(true, b.now)
 	b.now += 5200 * time.Millisecond
@@ -257,6 +257,6 @@
 	assert.Equal(t, soon.Reason, Reason(""), "a group that is due is waited for")
 	b.now += 10 * time.Second
 	late := b.submit(b.chat())
-	assert.Equal(t, late.Reason, Down)
+	assert.Equal(t, late.Reason, GroupDown)
 	assert.Equal(t, late.RetryAfter, 5100*time.Millisecond)
 }
--- a/balance/intake/pump.go
+++ b/balance/intake/pump.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Pump starts and refuses what is due. The owner calls it after each change of
+// Dispatch starts and refuses what is due. The owner calls it after each change of
 // loads and at an interval while requests wait.
-func (n *Intake) Pump(now time.Duration) {
+func (n *Scheduler) Dispatch(now time.Duration) {
 	n.refuseWaiting(now)
 	if n.down {
 		return
@@ -18,8 +18,8 @@
 
 // startOne starts the most urgent request for which there is a place. Requests
 // that can be on time go before those that cannot.
-func (n *Intake) startOne(now time.Duration) bool {
-	if float64(n.running()) >= n.cfg.MaxRunning*float64(n.slots()) && n.waiting[0].key != 0 {
+func (n *Scheduler) startOne(now time.Duration) bool {
+	if float64(n.running()) >= n.cfg.MaxUtilization*float64(n.slots()) && n.waiting[0].key != 0 {
 		return false
 	}
 	for _, late := range []bool{false, true} {
@@ -44,13 +44,13 @@
 }
 
 // late reports whether a request can no longer be on time.
-func (n *Intake) late(r *Request, now time.Duration) bool {
+func (n *Scheduler) late(r *Request, now time.Duration) bool {
 	return !r.Resumed && now+n.first.mean > r.Target
 }
 
 // place returns the endpoint with a free place that costs the request the least,
 // or nil.
-func (n *Intake) place(r *Request, now time.Duration) *endpoint {
+func (n *Scheduler) place(r *Request, now time.Duration) *endpoint {
 	var best *endpoint
 	var least float64
 	offset := 0
@@ -76,10 +76,10 @@
 // suspectCost ranks suspect endpoints behind all others.
 const suspectCost = 1e6
 
-func (n *Intake) cost(e *endpoint, now time.Duration) float64 {
+func (n *Scheduler) cost(e *endpoint, now time.Duration) float64 {
 	running := float64(e.own.Running + e.others.Running)
-	prompt := float64(e.own.Prompt + e.others.Prompt)
-	cost := (n.cfg.Fixed + running + 1 + prompt/n.cfg.PromptTokens) * e.pace / float64(max(e.Slots, 1))
+	prompt := float64(e.own.PromptTokens + e.others.PromptTokens)
+	cost := (n.cfg.StepOverhead + running + 1 + prompt/n.cfg.PromptTokensPerRequest) * e.pace / float64(max(e.Slots, 1))
 	if e.suspect > now {
 		cost += suspectCost
 	}
@@ -87,7 +87,7 @@
 }
 
 // refuseAtOnce reports whether a new request is refused without waiting.
-func (n *Intake) refuseAtOnce(t *Ticket, now time.Duration) (Decision, bool) {
+func (n *Scheduler) refuseAtOnce(t *Ticket, now time.Duration) (Decision, bool) {
 	r := &t.Request
 	if !n.anyUsable(r) {
 		return Decision{Reason: NoEndpoint, RetryAfter: noEndpointRetry}, true
@@ -98,7 +98,7 @@
 	limit := n.waitLimit(r, now)
 	if n.down {
 		if left := n.expectedOutage(now); left > limit {
-			return Decision{Reason: Down, RetryAfter: left}, true
+			return Decision{Reason: GroupDown, RetryAfter: left}, true
 		}
 		return Decision{}, false
 	}
@@ -112,7 +112,7 @@
 // platform replaces within about a second.
 const noEndpointRetry = time.Second
 
-func (n *Intake) anyUsable(r *Request) bool {
+func (n *Scheduler) anyUsable(r *Request) bool {
 	for _, e := range n.endpoints {
 		if e.Usable && !slices.Contains(r.Exclude, e.Name) {
 			return true
@@ -122,10 +122,10 @@
 }
 
 // waitLimit returns the time for which a request may wait from now on.
-func (n *Intake) waitLimit(r *Request, now time.Duration) time.Duration {
+func (n *Scheduler) waitLimit(r *Request, now time.Duration) time.Duration {
 	limit := r.Deadline
-	if r.Silence != 0 {
-		limit = min(limit, r.Silence)
+	if r.FirstEventDeadline != 0 {
+		limit = min(limit, r.FirstEventDeadline)
 	}
 	return limit - n.first.upper() - now
 }
@@ -133,7 +133,7 @@
 // expectedOutage returns the time for which the group is expected to stay down.
 // Of an outage that lasts longer than usual nothing is known but that: what is
 // expected grows with the time by which it is over.
-func (n *Intake) expectedOutage(now time.Duration) time.Duration {
+func (n *Scheduler) expectedOutage(now time.Duration) time.Duration {
 	left := n.outage - (now - n.downSince)
 	return max(left, -left/overdueDivisor, minOutageLeft)
 }
@@ -147,7 +147,7 @@
 
 // expectedWait returns the time until a new request is started, from the number
 // of requests ahead of it and the rate of starts.
-func (n *Intake) expectedWait(t *Ticket, now time.Duration) time.Duration {
+func (n *Scheduler) expectedWait(t *Ticket, now time.Duration) time.Duration {
 	ahead := 0
 	for _, w := range n.waiting {
 		if w.key <= t.key && !n.late(&w.Request, now) {
@@ -161,7 +161,7 @@
 }
 
 // refuseWaiting refuses the requests that can no longer be served.
-func (n *Intake) refuseWaiting(now time.Duration) {
+func (n *Scheduler) refuseWaiting(now time.Duration) {
 	var out []*Ticket
 	n.waiting = slices.DeleteFunc(n.waiting, func(t *Ticket) bool {
 		if n.waitLimit(&t.Request, now) > 0 && n.anyUsable(&t.Request) {
@@ -176,9 +176,9 @@
 		case !n.anyUsable(&t.Request):
 			d = Decision{Reason: NoEndpoint, RetryAfter: noEndpointRetry}
 		case n.down:
-			d = Decision{Reason: Down, RetryAfter: n.expectedOutage(now)}
+			d = Decision{Reason: GroupDown, RetryAfter: n.expectedOutage(now)}
 		case n.allDoubted():
-			d = Decision{Reason: Down, RetryAfter: minOutageLeft}
+			d = Decision{Reason: GroupDown, RetryAfter: minOutageLeft}
 		}
 		n.decide(t, d, now)
 	}
--- a/balance/intake/types.go
+++ b/balance/intake/types.go
@@ -22,36 +22,36 @@
 	// PriorityStep is what a step of priority is worth in the order of requests.
 	// Default: 100 ms, a fifth of a short target.
 	PriorityStep time.Duration
-	// FirstAnswer is the initial estimate of the time from the start of a request
+	// FirstEventLatency is the initial estimate of the time from the start of a request
 	// to its answer or first event. Default: 100 ms.
-	FirstAnswer time.Duration
-	// WholeAnswer is the initial estimate of the time from the start of a request
+	FirstEventLatency time.Duration
+	// RequestDuration is the initial estimate of the time from the start of a request
 	// to its end. Default: FirstAnswer.
-	WholeAnswer time.Duration
-	// Outage is the initial estimate of the time for which a group is down. Default: 5.5 s: a crash is noticed, the process is replaced, the group forms.
-	Outage time.Duration
+	RequestDuration time.Duration
+	// OutageDuration is the initial estimate of the time for which a group is down. Default: 5.5 s: a crash is noticed, the process is replaced, the group forms.
+	OutageDuration time.Duration
 	// Overcommit is the number of requests beyond its slots that an endpoint may
 	// have, which wait there for a slot. Default: 0.
 	Overcommit int
-	// PromptTokens is the number of prompt tokens being read that weigh as much
+	// PromptTokensPerRequest is the number of prompt tokens being read that weigh as much
 	// as a running request when endpoints are compared. Default: 200.
-	PromptTokens float64
-	// Fixed is what a step of an endpoint costs beside its requests, as a number of
+	PromptTokensPerRequest float64
+	// StepOverhead is what a step of an endpoint costs beside its requests, as a number of
 	// running requests. A slow endpoint multiplies it, with or without requests.
 	// Default: 0.
-	Fixed float64
-	// MaxRunning bounds the requests at all endpoints together, as a part of
+	StepOverhead float64
+	// MaxUtilization bounds the requests at all endpoints together, as a part of
 	// their slots. Default: 1.
-	MaxRunning float64
+	MaxUtilization float64
 }
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.PriorityStep, 100*time.Millisecond)
-	setDefault(&c.FirstAnswer, 100*time.Millisecond)
-	setDefault(&c.WholeAnswer, c.FirstAnswer)
-	setDefault(&c.Outage, 5500*time.Millisecond)
-	setDefault(&c.PromptTokens, 200)
-	setDefault(&c.MaxRunning, 1)
+	setDefault(&c.FirstEventLatency, 100*time.Millisecond)
+	setDefault(&c.RequestDuration, c.FirstEventLatency)
+	setDefault(&c.OutageDuration, 5500*time.Millisecond)
+	setDefault(&c.PromptTokensPerRequest, 200)
+	setDefault(&c.MaxUtilization, 1)
 	return c
 }
 
@@ -74,8 +74,8 @@
 type Load struct {
 	// Running counts requests.
 	Running int
-	// Prompt counts the prompt tokens of requests without a first event.
-	Prompt int
+	// PromptTokens counts the prompt tokens of requests without a first event.
+	PromptTokens int
 }
 
 // Request describes a request that asks to be started.
@@ -86,13 +86,13 @@
 	Target time.Duration
 	// Deadline is when the client or the route gives up.
 	Deadline time.Duration
-	// Silence is when the client gives up unless it has a first event. Zero means
+	// FirstEventDeadline is when the client gives up unless it has a first event. Zero means
 	// that it waits until the deadline.
-	Silence time.Duration
+	FirstEventDeadline time.Duration
 	// Priority ranks the request, zero first.
 	Priority int
-	// Prompt is the number of prompt tokens.
-	Prompt int
+	// PromptTokens is the number of prompt tokens.
+	PromptTokens int
 	// Resumed is true for a stream that broke off and goes on. It is started
 	// before all others, since its client is reading.
 	Resumed bool
@@ -106,8 +106,8 @@
 const (
 	// NoEndpoint means that no endpoint of the service may receive the request.
 	NoEndpoint Reason = "no endpoint may receive it"
-	// Down means that the group is down for longer than the request can wait.
-	Down Reason = "the group is down"
+	// GroupDown means that the group is down for longer than the request can wait.
+	GroupDown Reason = "the group is down"
 	// Overload means that the request would wait for too long.
 	Overload Reason = "all endpoints are busy"
 	// TooLate means that the rest of the request's time is too short.
@@ -129,16 +129,16 @@
 	DownFor time.Duration
 	// Late is true if the request was started after it could be on time.
 	Late bool
-	// Standing is that of the service at the decision.
-	Standing
+	// Occupancy is that of the service at the decision.
+	Occupancy
 }
 
-// Standing tells how busy a service is.
-type Standing struct {
+// Occupancy tells how busy a service is.
+type Occupancy struct {
 	// Running counts the requests at all endpoints, as far as they are known.
 	Running int
-	// Places is the number of requests that the usable endpoints may have.
-	Places int
+	// Capacity is the number of requests that the usable endpoints may have.
+	Capacity int
 	// Waiting counts the requests that wait in this intake.
 	Waiting int
 	// Down is true while all groups are down.
@@ -152,7 +152,7 @@
 	Decided func(Decision)
 	// Queued is called by Submit if the request has to wait, with the standing
 	// that keeps it from starting. It may be nil.
-	Queued func(Standing)
+	Queued func(Occupancy)
 
 	key  time.Duration
 	done bool
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -81,7 +81,7 @@
 		s := h.Service("s")
 		slot, d := s.Acquire(t.Context(), intake.Request{Target: time.Hour, Deadline: time.Hour}, nil)
 		assert.Assert(t, slot != nil, "%v", d)
-		assert.Equal(t, slot.Decision.Places, slots)
+		assert.Equal(t, slot.Decision.Capacity, slots)
 		slot.End(Good)
 	}
 }
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -247,8 +247,8 @@
 }
 
 // queued returns what logs that a request has to wait.
-func (h *Handler) queued(q *request) func(intake.Standing) {
-	return func(s intake.Standing) { h.journal.queued(q, s) }
+func (h *Handler) queued(q *request) func(intake.Occupancy) {
+	return func(s intake.Occupancy) { h.journal.queued(q, s) }
 }
 
 // ask describes the request to the intake.
@@ -263,7 +263,7 @@
 		silence = q.began.Add(silenceLimit(q.route)).Sub(base)
 	}
 	return intake.Request{
-		Arrival: q.began.Sub(base), Target: q.began.Add(target).Sub(base), Deadline: q.deadline.Sub(base), Silence: silence,
-		Priority: q.priority(), Prompt: q.call.PromptTokens, Exclude: q.failed,
+		Arrival: q.began.Sub(base), Target: q.began.Add(target).Sub(base), Deadline: q.deadline.Sub(base), FirstEventDeadline: silence,
+		Priority: q.priority(), PromptTokens: q.call.PromptTokens, Exclude: q.failed,
 	}
 }
--- a/entry/direct/journal.go
+++ b/entry/direct/journal.go
@@ -55,8 +55,8 @@
 }
 
 // queued tells that a request has to wait, and why.
-func (j *journal) queued(q *request, s intake.Standing) {
-	j.request(j.log.Info(), "request.queued", q).Int("running", s.Running).Int("places", s.Places).
+func (j *journal) queued(q *request, s intake.Occupancy) {
+	j.request(j.log.Info(), "request.queued", q).Int("running", s.Running).Int("places", s.Capacity).
 		Int("waiting", s.Waiting).Bool("down", s.Down).Send()
 }
 
@@ -72,7 +72,7 @@
 func (j *journal) refused(q *request, d intake.Decision, status int) {
 	j.count(endRefused, q.service.name)
 	j.request(j.log.Info(), "request.refused", q).Int("status", status).Dur("waited", d.Waited).
-		Dur("retry_after", d.RetryAfter).Int("running", d.Running).Int("places", d.Places).Int("waiting", d.Waiting).
+		Dur("retry_after", d.RetryAfter).Int("running", d.Running).Int("places", d.Capacity).Int("waiting", d.Waiting).
 		Dur("down_for", d.DownFor).Int("sent", q.sent).Msg(string(d.Reason))
 }
 
--- a/entry/direct/loads.go
+++ b/entry/direct/loads.go
@@ -103,9 +103,9 @@
 	sl := serviceLoads{Endpoints: hash, Running: make([]byte, len(names)), Prompts: make([]byte, len(names))}
 	busy := false
 	for i, name := range names {
-		load := s.intake.Own(name)
+		load := s.intake.OwnLoad(name)
 		sl.Running[i] = byte(min(load.Running, maxCount))
-		sl.Prompts[i] = byte(min((load.Prompt+promptUnit-1)/promptUnit, maxCount))
+		sl.Prompts[i] = byte(min((load.PromptTokens+promptUnit-1)/promptUnit, maxCount))
 		busy = busy || load.Running > 0
 	}
 	return sl, busy
@@ -162,7 +162,7 @@
 			}
 			for i := range names {
 				sums[i].Running += int(sl.Running[i])
-				sums[i].Prompt += int(sl.Prompts[i]) * promptUnit
+				sums[i].PromptTokens += int(sl.Prompts[i]) * promptUnit
 			}
 		}
 		s.SetOthers(names, sums, heard)
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -33,7 +33,7 @@
 
 	mu       sync.Mutex // leaf lock; guards all below
 	config   routes.Service
-	intake   *intake.Intake
+	intake   *intake.Scheduler
 	detector *outlier.Detector
 	window   *retry.Window
 	backends map[id.Endpoint]*Backend
@@ -63,13 +63,13 @@
 
 func intakeConfig(s routes.Service) intake.Config {
 	if s.Engine == nil {
-		return intake.Config{Overcommit: plainOvercommit, FirstAnswer: 50 * time.Millisecond, Outage: time.Second}
+		return intake.Config{Overcommit: plainOvercommit, FirstEventLatency: 50 * time.Millisecond, OutageDuration: time.Second}
 	}
 	e := s.Engine
 	whole := e.MeanAnswer * float64(e.FullStep())
-	c := intake.Config{FirstAnswer: 150 * time.Millisecond, WholeAnswer: time.Duration(whole)}
+	c := intake.Config{FirstEventLatency: 150 * time.Millisecond, RequestDuration: time.Duration(whole)}
 	if e.PerSequence > 0 {
-		c.Fixed = float64(e.Step) / float64(e.PerSequence)
+		c.StepOverhead = float64(e.Step) / float64(e.PerSequence)
 	}
 	return c
 }
@@ -135,7 +135,7 @@
 // Acquire waits until the request may be sent to an endpoint. It calls queued,
 // which may log but not block, if the request has to wait. Without a slot the decision
 // tells why; it is empty if ctx ended.
-func (s *Service) Acquire(ctx context.Context, r intake.Request, queued func(intake.Standing)) (*Slot, intake.Decision) {
+func (s *Service) Acquire(ctx context.Context, r intake.Request, queued func(intake.Occupancy)) (*Slot, intake.Decision) {
 	decided := make(chan intake.Decision, 1)
 	t := &intake.Ticket{Request: r, Decided: func(d intake.Decision) { decided <- d }, Queued: queued}
 	s.mu.Lock()
@@ -178,7 +178,7 @@
 // pump starts what is due, and again at an interval while requests wait. The
 // caller holds mu.
 func (s *Service) pump() {
-	s.intake.Pump(s.now())
+	s.intake.Dispatch(s.now())
 	if s.intake.Waiting() == 0 || s.pumping {
 		return
 	}
@@ -285,16 +285,16 @@
 func (s *Service) Doubt(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tellDoubt(name, "it refused a request because its group is down", func() { s.intake.Doubt(name, s.now()) })
+	s.tellDoubt(name, "it refused a request because its group is down", func() { s.intake.TripBreaker(name, s.now()) })
 	s.pump()
 }
 
 // tellDoubt logs whether a change puts an endpoint's group in doubt or ends the
 // doubt. The caller holds mu.
 func (s *Service) tellDoubt(name id.Endpoint, why string, change func()) {
-	before := s.intake.InDoubt()
+	before := s.intake.OpenBreakers()
 	change()
-	if after := s.intake.InDoubt(); after != before {
+	if after := s.intake.OpenBreakers(); after != before {
 		s.log.Info().Str("event", "group.doubt").Str("service", string(s.name)).Str("endpoint", string(name)).Int("in_doubt", after).
 			Int("waiting", s.intake.Waiting()).Msg(why)
 	}
@@ -334,10 +334,10 @@
 			r.Blocked = others
 		}
 		s.intake.SetBlocked(name, r.Blocked)
-		s.intake.SetPace(name, r.Pace)
+		s.intake.SetSlowdown(name, r.Pace)
 		if r.Group != "" {
 			s.intake.SetGroup(name, r.Group)
-			s.tellDoubt(name, "its group was seen to go on", func() { s.intake.Moved(r.Group, r.Moved.Sub(s.began)) })
+			s.tellDoubt(name, "its group was seen to go on", func() { s.intake.GroupProgressed(r.Group, r.Moved.Sub(s.began)) })
 		}
 		down = down && r.Blocked
 	}
@@ -362,7 +362,7 @@
 		s.othersAt = heard
 	}
 	for i, name := range names {
-		s.intake.SetOthers(name, loads[i])
+		s.intake.SetPeerLoad(name, loads[i])
 	}
 	s.pump()
 }
--- a/entry/direct/stream.go
+++ b/entry/direct/stream.go
@@ -73,7 +73,7 @@
 	if s.begun {
 		r.Resumed = true
 		r.Arrival = s.progress.Sub(q.service.began)
-		r.Silence = s.progress.Add(silenceLimit(q.route)).Sub(q.service.began)
+		r.FirstEventDeadline = s.progress.Add(silenceLimit(q.route)).Sub(q.service.began)
 	}
 	return r
 }
