--- a/balance/outlier/outlier.go
+++ b/balance/outlier/outlier.go
@@ -1,8 +1,8 @@
-// Package outlier finds endpoints that fail much more often than the others of
-// their service although they count as healthy, by the outcomes of requests.
+// Package outlier detects endpoints that pass health checks although their requests
+// fail much more often than those of the other endpoints of their service.
 //
 // An outlier is suspect for a time that doubles with each repetition. At most a
-// part of the endpoints is suspect at a time, so that the rest is not overloaded.
+// fraction of the endpoints is suspect at once, so that the rest is not overloaded.
 package outlier
 
 import (
@@ -13,18 +13,18 @@
 
 // Config holds the settings of a Detector. Zero values select the defaults.
 type Config struct {
-	// DecayTime is the time constant with which outcomes are forgotten. Default: 4 s.
+	// DecayTime is the time constant of the decay of outcome counts. Default: 4 s.
 	DecayTime time.Duration
-	// MinFailures is the least number of remembered failures of an outlier. Default: 2.5.
+	// MinFailures is the least decayed number of failures of an outlier. Default: 2.5.
 	MinFailures float64
-	// FailureRateMargin is added to the usual part of failures of the other endpoints. An
-	// outlier fails more often. Default: 0.25.
+	// FailureRateMargin is the excess over the failure rate of the other endpoints
+	// above which an endpoint is an outlier. Default: 0.25.
 	FailureRateMargin float64
-	// BaseSuspectTime is the time for which an outlier is suspect at first. Default: 1 s.
+	// BaseSuspectTime is the time for which a first-time outlier is suspect. Default: 1 s.
 	BaseSuspectTime time.Duration
-	// MaxSuspectTime bounds that time. Default: 8 s.
+	// MaxSuspectTime bounds the doubled suspect time. Default: 8 s.
 	MaxSuspectTime time.Duration
-	// MaxSuspectFraction bounds the part of the endpoints that are suspect. Default: 0.34.
+	// MaxSuspectFraction bounds the fraction of endpoints that are suspect. Default: 0.34.
 	MaxSuspectFraction float64
 }
 
@@ -44,68 +44,68 @@
 	}
 }
 
-// Detector judges the endpoints of one service. It is not safe for concurrent
-// use; times are durations since any fixed moment.
+// Detector finds the outliers of one service. It is not safe for concurrent use.
+// Times are durations since an arbitrary fixed origin.
 type Detector struct {
 	cfg       Config
 	endpoints map[id.Endpoint]*record
 }
 
 type record struct {
-	ok, failed float64
-	updated    time.Duration
-	until      time.Duration
-	next       time.Duration
+	ok, failed   float64
+	updated      time.Duration
+	suspectUntil time.Duration
+	suspectTime  time.Duration
 }
 
-// New returns a detector that knows no endpoint.
+// New returns a detector without recorded outcomes.
 func New(cfg Config) *Detector {
 	return &Detector{cfg: cfg.withDefaults(), endpoints: make(map[id.Endpoint]*record)}
 }
 
-// Record takes in the outcome of a request and returns the time until which the
-// endpoint is suspect, zero if it is not.
+// Record counts the outcome of a request. It returns the time until which the
+// endpoint is suspect, which may have passed, or zero if it never was.
 func (d *Detector) Record(name id.Endpoint, ok bool, now time.Duration) time.Duration {
-	r := d.recall(name, now)
+	r := d.recordOf(name, now)
 	if ok {
 		r.ok++
-		return r.until
+		return r.suspectUntil
 	}
 	r.failed++
-	return d.judge(name, r, now)
+	return d.evaluate(name, r, now)
 }
 
-// RecordHang takes in a request that the endpoint left without a word while others of
-// the service were served. It weighs as much as the least failures of an outlier:
-// each further request would wait as long. It returns what Record does.
+// RecordHang counts a request that timed out without a response while other
+// endpoints of the service responded. It counts as MinFailures failures, because
+// each further request would wait as long. The result is that of Record.
 func (d *Detector) RecordHang(name id.Endpoint, now time.Duration) time.Duration {
-	r := d.recall(name, now)
+	r := d.recordOf(name, now)
 	r.failed += d.cfg.MinFailures
-	return d.judge(name, r, now)
+	return d.evaluate(name, r, now)
 }
 
-// recall returns what is still remembered of an endpoint.
-func (d *Detector) recall(name id.Endpoint, now time.Duration) *record {
+// recordOf returns the decayed counts of an endpoint.
+func (d *Detector) recordOf(name id.Endpoint, now time.Duration) *record {
 	r := d.endpoints[name]
 	if r == nil {
-		r = &record{updated: now, next: d.cfg.BaseSuspectTime}
+		r = &record{updated: now, suspectTime: d.cfg.BaseSuspectTime}
 		d.endpoints[name] = r
 	}
 	d.decay(r, now)
 	return r
 }
 
-// judge makes an endpoint suspect after a failure if it is an outlier.
-func (d *Detector) judge(name id.Endpoint, r *record, now time.Duration) time.Duration {
-	if r.until <= now && d.outlier(name, r, now) && d.mayAdd(now) {
-		r.until = now + r.next
-		r.next = min(2*r.next, d.cfg.MaxSuspectTime)
+// evaluate marks an endpoint as suspect after a failure if it is an outlier.
+func (d *Detector) evaluate(name id.Endpoint, r *record, now time.Duration) time.Duration {
+	if r.suspectUntil <= now && d.isOutlier(name, r, now) && d.belowSuspectLimit(now) {
+		r.suspectUntil = now + r.suspectTime
+		r.suspectTime = min(2*r.suspectTime, d.cfg.MaxSuspectTime)
 		r.ok, r.failed = 0, 0
 	}
-	return r.until
+	return r.suspectUntil
 }
 
-// Retain drops what is known of endpoints that no longer exist.
+// Retain drops the records of endpoints that no longer exist.
 func (d *Detector) Retain(exists func(id.Endpoint) bool) {
 	for name := range d.endpoints {
 		if !exists(name) {
@@ -118,13 +118,13 @@
 	keep := max(0, 1-float64(now-r.updated)/float64(d.cfg.DecayTime))
 	r.ok *= keep
 	r.failed *= keep
-	if r.until <= now && r.failed == 0 && r.ok > 0 {
-		r.next = max(d.cfg.BaseSuspectTime, r.next/2)
+	if r.suspectUntil <= now && r.failed == 0 && r.ok > 0 {
+		r.suspectTime = max(d.cfg.BaseSuspectTime, r.suspectTime/2)
 	}
 	r.updated = now
 }
 
-func (d *Detector) outlier(name id.Endpoint, r *record, now time.Duration) bool {
+func (d *Detector) isOutlier(name id.Endpoint, r *record, now time.Duration) bool {
 	if r.failed < d.cfg.MinFailures {
 		return false
 	}
@@ -136,17 +136,17 @@
 			failed += o.failed
 		}
 	}
-	usual := 0.0
+	baseline := 0.0
 	if ok+failed > 0 {
-		usual = failed / (ok + failed)
+		baseline = failed / (ok + failed)
 	}
-	return r.failed/(r.ok+r.failed) > usual+d.cfg.FailureRateMargin
+	return r.failed/(r.ok+r.failed) > baseline+d.cfg.FailureRateMargin
 }
 
-func (d *Detector) mayAdd(now time.Duration) bool {
+func (d *Detector) belowSuspectLimit(now time.Duration) bool {
 	suspect := 1
 	for _, r := range d.endpoints {
-		if r.until > now {
+		if r.suspectUntil > now {
 			suspect++
 		}
 	}
--- a/balance/outlier/outlier_test.go
+++ b/balance/outlier/outlier_test.go
@@ -10,8 +10,8 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// play sends requests to all endpoints in turn; fails tells which of them fail.
-func play(d *Detector, endpoints, requests int, fails func(endpoint, turn int) bool) map[id.Endpoint]bool {
+// runRequests records requests to all endpoints in turn and returns the suspect ones.
+func runRequests(d *Detector, endpoints, requests int, fails func(endpoint, turn int) bool) map[id.Endpoint]bool {
 	suspect := make(map[id.Endpoint]bool)
 	var now time.Duration
 	for turn := range requests {
@@ -40,7 +40,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := play(New(Config{}), c.endpoints, 40, c.fails)
+			got := runRequests(New(Config{}), c.endpoints, 40, c.fails)
 			for _, e := range c.want {
 				assert.Assert(t, got[e], "%s is not suspect", e)
 			}
@@ -76,9 +76,9 @@
 	assert.Assert(t, d.Record("bad", true, now) <= now)
 }
 
-// TestHungRank: one request without a word is enough if others are served, not if
-// all endpoints are silent.
-func TestHungRank(t *testing.T) {
+// TestHungEndpoint checks that one hung request makes an endpoint suspect, but
+// never more than a third of the endpoints when all of them hang.
+func TestHungEndpoint(t *testing.T) {
 	d := New(Config{})
 	for range 3 {
 		for _, e := range []id.Endpoint{"a", "b", "c"} {
@@ -93,7 +93,7 @@
 	assert.Assert(t, d.Record("a", true, now+2*time.Second) <= now+2*time.Second)
 }
 
-func TestForget(t *testing.T) {
+func TestRetain(t *testing.T) {
 	d := New(Config{})
 	d.Record("a", false, 0)
 	d.Retain(func(id.Endpoint) bool { return false })
