--- a/balance/retry/retry.go
+++ b/balance/retry/retry.go
@@ -1,8 +1,8 @@
-// Package retry decides whether and when a failed try of a request is repeated.
+// Package retry decides whether and when a failed request is retried.
 //
 // Only a request that is known not to have run, or that is idempotent, is
-// repeated. A budget tied to the number of first tries bounds the additional
-// load when many endpoints fail at once.
+// retried. A retry budget proportional to the number of first tries bounds the
+// additional load when many endpoints fail at once.
 package retry
 
 import (
@@ -14,7 +14,7 @@
 )
 
 const (
-	// creditUnit is one retry in units of the budget's counter.
+	// creditUnit is the credit that one retry costs.
 	creditUnit = 1_000_000
 	// maxDoublings bounds the exponent of the backoff.
 	maxDoublings = 16
@@ -27,7 +27,7 @@
 	// Initial is the number of retries permitted before any first try.
 	// Unit: retries. Default: 2. Negative: none.
 	Initial int
-	// Burst bounds the retries that are saved up. Unit: retries. Default: 50.
+	// Burst bounds the retries that the budget accumulates. Unit: retries. Default: 50.
 	Burst int
 	// MaxTries bounds the tries of one request, the first included. Unit: tries. Default: 3.
 	MaxTries int
@@ -36,8 +36,8 @@
 	BaseDelay time.Duration
 	// MaxDelay bounds the backoff. Unit: duration. Default: 1 s.
 	MaxDelay time.Duration
-	// MinRemaining is the least time before the deadline at which a try is
-	// worth its start. Unit: duration. Default: 5 ms.
+	// MinRemaining is the least time between the start of a retry and the
+	// deadline. Unit: duration. Default: 5 ms.
 	MinRemaining time.Duration
 	// Rand returns uniform numbers in [0, 1) and is safe for concurrent use.
 	// Default: the runtime's generator.
@@ -72,14 +72,14 @@
 	Idempotent bool
 	// Tries counts the tries so far, the first included.
 	Tries int
-	// RetryAfter is the least delay that the refusal asked for. Zero means none.
+	// RetryAfter is the least delay, as requested by the endpoint. Zero means none.
 	RetryAfter time.Duration
 	// Deadline of the request. Zero means none.
 	Deadline time.Time
 	Now      time.Time
 }
 
-// repeatable tells whether a further try cannot run a non-idempotent request twice.
+// repeatable reports whether a retry cannot run a non-idempotent request twice.
 func (a Attempt) repeatable() bool {
 	switch a.Outcome {
 	case outcome.NotRun:
@@ -112,20 +112,20 @@
 // once for each request that it dispatches.
 func (b *Budget) RecordFirstTry() {
 	limit := int64(b.cfg.Burst) * creditUnit
-	gain := int64(b.cfg.Ratio * creditUnit)
+	earned := int64(b.cfg.Ratio * creditUnit)
 	for {
 		old := b.credit.Load()
 		if old >= limit {
 			return
 		}
-		if b.credit.CompareAndSwap(old, min(old+gain, limit)) {
+		if b.credit.CompareAndSwap(old, min(old+earned, limit)) {
 			return
 		}
 	}
 }
 
-// Decide tells whether a failed try may be repeated and after which delay.
-// A positive answer takes one retry from the budget.
+// Decide reports whether a failed try may be retried and after which delay.
+// A permitted retry is deducted from the budget.
 func (b *Budget) Decide(a Attempt) (time.Duration, bool) {
 	if !a.repeatable() || a.Tries >= b.cfg.MaxTries {
 		return 0, false
@@ -134,7 +134,7 @@
 	if !a.Deadline.IsZero() && a.Now.Add(delay+b.cfg.MinRemaining).After(a.Deadline) {
 		return 0, false
 	}
-	if !b.take() {
+	if !b.spend() {
 		return 0, false
 	}
 	return delay, true
@@ -147,7 +147,7 @@
 	return bound/2 + time.Duration(b.cfg.Rand()*float64(bound/2))
 }
 
-func (b *Budget) take() bool {
+func (b *Budget) spend() bool {
 	for {
 		old := b.credit.Load()
 		if old < creditUnit {
--- a/balance/retry/retry_test.go
+++ b/balance/retry/retry_test.go
@@ -67,7 +67,7 @@
 	assert.Equal(t, delay, 3*time.Second)
 }
 
-// TestBudgetBound checks the bound of Budget's doc comment over random histories.
+// TestBudgetBound checks the documented bound on retries over random histories.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		initial := rapid.IntRange(0, 10).Draw(t, "initial")
--- a/balance/retry/window_test.go
+++ b/balance/retry/window_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWindowKeepsShare plays entries with uneven traffic, of which one restarts,
-// and counts the repeats in every window.
+// TestWindowKeepsShare runs entries with uneven traffic, of which one restarts and
+// loses its counts, and checks the budget of all entries in every window.
 func TestWindowKeepsShare(t *testing.T) {
 	const entries = 4
 	cfg := WindowConfig{Ratio: 0.2, ExtraRetries: 92, Length: 10 * time.Second}
@@ -19,10 +19,10 @@
 		windows[i] = NewWindow(cfg)
 	}
 	const tick = 10 * time.Millisecond
-	var requests, repeats []int
+	var requests, retries []int
 	for now := time.Duration(0); now < 60*time.Second; now += tick {
 		if now == 25*time.Second {
-			windows[2] = NewWindow(cfg) // A restart forgets what was used.
+			windows[2] = NewWindow(cfg) // A restart loses the counts.
 		}
 		r, n := 0, 0
 		for i, w := range windows {
@@ -30,21 +30,21 @@
 				w.RecordRequest(now)
 				r++
 			}
-			for w.AllowRetry(now, entries) { // Every client repeats as often as it can.
+			for w.AllowRetry(now, entries) { // Use up the budget.
 				n++
 			}
 		}
-		requests, repeats = append(requests, r), append(repeats, n)
+		requests, retries = append(requests, r), append(retries, n)
 	}
 	length := int(cfg.Length / tick)
 	for from := 0; from+length <= len(requests); from++ {
 		r, n := 0, 0
 		for i := from; i < from+length; i++ {
 			r += requests[i]
-			n += repeats[i]
+			n += retries[i]
 		}
 		bound := cfg.Ratio*float64(r) + float64(cfg.ExtraRetries)
-		assert.Assert(t, float64(n) <= bound, "window from %v: %d repeats for %d requests", time.Duration(from)*tick, n, r)
+		assert.Assert(t, float64(n) <= bound, "window from %v: %d retries for %d requests", time.Duration(from)*tick, n, r)
 	}
 }
 
