--- a/balance/prefix/generations.go
+++ b/balance/prefix/generations.go
@@ -1,19 +1,18 @@
 package prefix
 
-// generations is a bounded map that forgets what was put longest ago. Entries
-// move from the current to the previous generation when the current one is
-// full, and are forgotten when it is full again.
+// generations is a bounded map that evicts the oldest keys in bulk. When the
+// current generation is full, it replaces the previous one, whose keys are evicted.
 type generations[V any] struct {
-	half     int
-	current  map[uint64]V
-	previous map[uint64]V
+	generationSize int
+	current        map[uint64]V
+	previous       map[uint64]V
 }
 
 func newGenerations[V any](size int) *generations[V] {
 	return &generations[V]{
-		half:     max(size/2, 1),
-		current:  map[uint64]V{},
-		previous: map[uint64]V{},
+		generationSize: max(size/2, 1),
+		current:        map[uint64]V{},
+		previous:       map[uint64]V{},
 	}
 }
 
@@ -31,7 +30,7 @@
 }
 
 func (g *generations[V]) put(key uint64, v V) {
-	if _, ok := g.current[key]; !ok && len(g.current) >= g.half {
+	if _, ok := g.current[key]; !ok && len(g.current) >= g.generationSize {
 		clear(g.previous)
 		g.current, g.previous = g.previous, g.current
 	}
--- a/balance/prefix/holders.go
+++ b/balance/prefix/holders.go
@@ -7,10 +7,10 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// holdersPerBlock bounds the endpoints remembered for one block.
+// holdersPerBlock bounds the endpoints indexed per block.
 const holdersPerBlock = 4
 
-// holderSet lists the endpoints that stored a block last.
+// holderSet is a ring of the endpoints that stored a block last.
 type holderSet struct {
 	names [holdersPerBlock]id.Endpoint
 	n     uint8
@@ -31,7 +31,7 @@
 
 // holders maps blocks to the endpoints that stored them last.
 type holders struct {
-	turn atomic.Uint32
+	nextHolder atomic.Uint32
 
 	mu     sync.RWMutex
 	blocks *generations[holderSet]
@@ -44,8 +44,9 @@
 	h.blocks.put(block, s.with(e))
 }
 
-// longest returns one of the endpoints known for the longest prefix, in turn.
-func (h *holders) longest(blocks []uint64) (id.Endpoint, bool) {
+// forLongestPrefix returns an endpoint that stored the longest known prefix,
+// rotating through the candidates.
+func (h *holders) forLongestPrefix(blocks []uint64) (id.Endpoint, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	var found holderSet
@@ -61,5 +62,5 @@
 	if found.n == 0 {
 		return "", false
 	}
-	return found.names[h.turn.Add(1)%uint32(found.n)], true
+	return found.names[h.nextHolder.Add(1)%uint32(found.n)], true
 }
--- a/balance/prefix/prefix.go
+++ b/balance/prefix/prefix.go
@@ -1,10 +1,10 @@
-// Package prefix indexes which endpoints hold which blocks of prompt prefixes
-// in their cache.
+// Package prefix indexes which endpoints hold which prompt prefix blocks in their
+// KV cache.
 //
-// The index is fed by the cache events of the engines. Events carry sequence
-// numbers; after a gap the endpoint's blocks are forgotten, and it is distrusted
-// until it reports its whole cache again. What the index says is a hint: routing
-// by it costs time when it is wrong and nothing else.
+// The index is built from the engines' cache events. Events carry sequence
+// numbers; after a gap the endpoint's blocks are dropped and it counts as out of
+// sync until a snapshot or the clearing of its cache. The index is a hint: a wrong
+// match costs prefill time, never correctness.
 package prefix
 
 import (
@@ -15,24 +15,23 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Event tells that an endpoint stored or evicted a block.
+// Event is a change of an endpoint's cache.
 type Event struct {
 	// Seq counts the endpoint's events from 1.
 	Seq uint64
 	// Block is the hash of the prefix up to and including the block.
 	Block uint64
-	// Evicted is true if the block was removed, Cleared if the whole cache was.
+	// Evicted is true if the block was removed, Cleared if the whole cache was
+	// emptied. If both are false, the block was stored.
 	Evicted bool
 	Cleared bool
 }
 
 // Config holds the settings of an Index. Zero values select the defaults.
 type Config struct {
-	// MaxEndpointBlocks bounds the blocks remembered for one endpoint.
-	// Unit: blocks. Default: 4,096.
+	// MaxEndpointBlocks bounds the blocks indexed per endpoint. Default: 4,096.
 	MaxEndpointBlocks int
-	// MaxHolderBlocks bounds the blocks for which holders are remembered.
-	// Unit: blocks. Default: 32,768.
+	// MaxHolderBlocks bounds the blocks for which holders are indexed. Default: 32,768.
 	MaxHolderBlocks int
 }
 
@@ -46,7 +45,8 @@
 	return c
 }
 
-// Index tells which endpoints hold a block. It is safe for concurrent use.
+// Index maps prefix blocks to the endpoints that hold them. It is safe for
+// concurrent use.
 type Index struct {
 	cfg Config
 
@@ -64,43 +64,42 @@
 	return x
 }
 
-// cache is what is known of one endpoint's cache.
+// cache mirrors the cache of one endpoint.
 type cache struct {
 	mu          sync.RWMutex
 	incarnation id.Incarnation
 	seq         uint64
-	trusted     bool
+	inSync      bool
 	blocks      *generations[struct{}]
 }
 
-// Apply records the events of one incarnation of an endpoint, in order.
-// Repeated events are ignored, but for the event 1, which tells that the engine
-// counts anew. It returns false if the endpoint is distrusted
-// afterwards; the caller may then ask for a snapshot.
+// Apply applies the events of one incarnation of an endpoint, in order. Repeated
+// events are ignored, except that event 1 marks a restart of the engine. It returns
+// false if the endpoint is out of sync afterwards and needs a snapshot.
 func (x *Index) Apply(e id.Endpoint, inc id.Incarnation, events []Event) bool {
 	c := x.cache(e)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.incarnation != inc {
-		c.restart(inc)
+		c.reset(inc)
 	}
 	for _, ev := range events {
 		x.apply(e, c, ev)
 	}
-	return c.trusted
+	return c.inSync
 }
 
-// restart forgets an earlier incarnation. The new one is trusted from its first event on.
-func (c *cache) restart(inc id.Incarnation) {
+// reset empties the cache for an incarnation, which is in sync from its first event on.
+func (c *cache) reset(inc id.Incarnation) {
 	c.incarnation = inc
 	c.seq = 0
-	c.trusted = true
+	c.inSync = true
 	c.blocks.clear()
 }
 
 func (x *Index) apply(e id.Endpoint, c *cache, ev Event) {
 	if ev.Seq == 1 && c.seq > 1 {
-		c.restart(c.incarnation) // The engine restarted while the agent did not.
+		c.reset(c.incarnation) // The engine restarted while the agent did not.
 	}
 	if ev.Seq <= c.seq {
 		return
@@ -109,14 +108,14 @@
 	c.seq = ev.Seq
 	if ev.Cleared {
 		c.blocks.clear()
-		c.trusted = true
+		c.inSync = true
 		return
 	}
 	if gap {
 		c.blocks.clear()
-		c.trusted = false
+		c.inSync = false
 	}
-	if !c.trusted {
+	if !c.inSync {
 		return
 	}
 	if ev.Evicted {
@@ -127,8 +126,8 @@
 	x.holders.add(ev.Block, e)
 }
 
-// ApplySnapshot replaces what is known of an endpoint by its whole cache as of an event.
-// A snapshot older than the events already applied is ignored.
+// ApplySnapshot replaces an endpoint's blocks by its whole cache as of event seq. A
+// snapshot older than the events already applied is ignored.
 func (x *Index) ApplySnapshot(e id.Endpoint, inc id.Incarnation, seq uint64, blocks []uint64) {
 	c := x.cache(e)
 	c.mu.Lock()
@@ -136,7 +135,7 @@
 	if c.incarnation == inc && seq < c.seq {
 		return
 	}
-	c.restart(inc)
+	c.reset(inc)
 	c.seq = seq
 	for _, b := range blocks {
 		c.blocks.put(b, struct{}{})
@@ -144,7 +143,7 @@
 	}
 }
 
-// Remove forgets an endpoint that is no longer configured.
+// Remove drops an endpoint that is no longer configured.
 func (x *Index) Remove(e id.Endpoint) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -153,7 +152,7 @@
 	x.caches.Store(&next)
 }
 
-// InSync tells whether the events of an endpoint are known without a gap.
+// InSync reports whether the events of an endpoint were received without a gap.
 func (x *Index) InSync(e id.Endpoint) bool {
 	c := (*x.caches.Load())[e]
 	if c == nil {
@@ -161,12 +160,12 @@
 	}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.trusted
+	return c.inSync
 }
 
-// Match returns how many leading blocks the endpoint is expected to hold. It is
-// zero for a distrusted endpoint and for one that lacks the first block. The cost grows with the logarithm of the
-// number of blocks, as an engine that holds a prefix holds all shorter ones.
+// Match returns how many leading blocks the endpoint is expected to hold, zero if
+// it is out of sync. It takes time logarithmic in the number of blocks, since an
+// engine that holds a prefix also holds all shorter ones.
 func (x *Index) Match(blocks []uint64, e id.Endpoint) int {
 	c := (*x.caches.Load())[e]
 	if c == nil {
@@ -174,7 +173,7 @@
 	}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if !c.trusted || len(blocks) == 0 || !c.blocks.has(blocks[0]) {
+	if !c.inSync || len(blocks) == 0 || !c.blocks.has(blocks[0]) {
 		return 0
 	}
 	low, high := 1, len(blocks)
@@ -189,13 +188,14 @@
 	return low
 }
 
-// Holder returns an endpoint that was last seen to hold many of the leading
-// blocks. Match tells how many it holds now. It implements route.Prefixes.
+// Holder returns an endpoint that stored the longest known prefix of the blocks.
+// It may have evicted them since; Match accounts for that. Holder and Match
+// implement route.PrefixIndex.
 func (x *Index) Holder(blocks []uint64) (id.Endpoint, bool) {
-	return x.holders.longest(blocks)
+	return x.holders.forLongestPrefix(blocks)
 }
 
-// cache returns the cache of an endpoint and creates it if it is new.
+// cache returns the cache of an endpoint, creating it if necessary.
 func (x *Index) cache(e id.Endpoint) *cache {
 	if c := (*x.caches.Load())[e]; c != nil {
 		return c
--- a/balance/prefix/prefix_test.go
+++ b/balance/prefix/prefix_test.go
@@ -18,10 +18,10 @@
 func TestMatch(t *testing.T) {
 	prompt := []uint64{11, 12, 13, 14}
 	tests := []struct {
-		name    string
-		events  []Event
-		want    int
-		trusted bool
+		name   string
+		events []Event
+		want   int
+		inSync bool
 	}{
 		{"no events", nil, 0, true},
 		{"whole prompt", []Event{stored(1, 11), stored(2, 12), stored(3, 13), stored(4, 14)}, 4, true},
@@ -35,27 +35,27 @@
 		{"cleared after a gap", []Event{stored(1, 11), stored(3, 12), cleared(7), stored(8, 11)}, 1, true},
 		{"gap up to cleared", []Event{stored(1, 11), cleared(7), stored(8, 11), stored(9, 12)}, 2, true},
 		{"cleared", []Event{stored(1, 11), cleared(2)}, 0, true},
-		{"engine counts anew", []Event{stored(1, 12), stored(2, 13), stored(1, 11)}, 1, true},
+		{"engine restarted", []Event{stored(1, 12), stored(2, 13), stored(1, 11)}, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			x := NewIndex(Config{})
-			assert.Equal(t, x.Apply("a", "i1", tt.events), tt.trusted)
+			assert.Equal(t, x.Apply("a", "i1", tt.events), tt.inSync)
 			assert.Equal(t, x.Match(prompt, "a"), tt.want)
-			assert.Equal(t, x.InSync("a"), tt.trusted)
+			assert.Equal(t, x.InSync("a"), tt.inSync)
 			assert.Equal(t, x.Match(prompt, "b"), 0)
 		})
 	}
 }
 
-func TestIncarnationForgetsBlocks(t *testing.T) {
+func TestNewIncarnationClearsBlocks(t *testing.T) {
 	x := NewIndex(Config{})
 	x.Apply("a", "i1", []Event{stored(1, 11)})
 	x.Apply("a", "i2", nil)
 	assert.Equal(t, x.Match([]uint64{11}, "a"), 0)
 }
 
-func TestSnapshotRestoresTrust(t *testing.T) {
+func TestSnapshotRestoresSync(t *testing.T) {
 	x := NewIndex(Config{})
 	x.Apply("a", "i1", []Event{stored(1, 11), stored(5, 12)})
 	x.ApplySnapshot("a", "i1", 4, []uint64{11, 12})
@@ -95,9 +95,9 @@
 	assert.Assert(t, x.holders.blocks.len() <= 128)
 }
 
-// TestTrustedIndexEqualsCache applies random event streams with losses and
-// checks that a trusted endpoint is never credited with a block it lacks.
-func TestTrustedIndexEqualsCache(t *testing.T) {
+// TestSyncedIndexEqualsCache applies random event streams with losses and checks
+// that the blocks of an endpoint that is in sync equal its cache.
+func TestSyncedIndexEqualsCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewIndex(Config{})
 		held := map[uint64]bool{}
@@ -117,10 +117,10 @@
 			if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 				continue
 			}
-			trusted := x.Apply("a", "i", []Event{ev})
+			inSync := x.Apply("a", "i", []Event{ev})
 			for b := uint64(1); b <= 8; b++ {
 				got := x.Match([]uint64{b}, "a") == 1
-				assert.Equal(t, got, trusted && held[b], "block %d", b)
+				assert.Equal(t, got, inSync && held[b], "block %d", b)
 			}
 		}
 	})
