--- a/balance/retry/retry_test.go
+++ b/balance/retry/retry_test.go
@@ -67,7 +67,7 @@
 	assert.Equal(t, delay, 3*time.Second)
 }
 
-// TestBudgetBound checks the bound of Budget's doc comment over random histories.
+// TestBudgetBound checks the documented bound on retries over random histories.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		initial := rapid.IntRange(0, 10).Draw(t, "initial")
@@ -80,7 +80,7 @@
 		first, retries := 0, 0
 		for _, isFirst := range rapid.SliceOfN(rapid.Bool(), 1, 500).Draw(t, "tries") {
 			if isFirst {
-				b.FirstTry()
+				b.RecordFirstTry()
 				first++
 				continue
 			}
@@ -118,7 +118,7 @@
 		b := NewBudget(Config{Rand: rng.Float64})
 		total := 0
 		for range requests {
-			b.FirstTry()
+			b.RecordFirstTry()
 			for tries := 1; ; tries++ {
 				total++
 				if rng.IntN(3) != 0 {
@@ -141,7 +141,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				b.FirstTry()
+				b.RecordFirstTry()
 				if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Tries: 1, Now: epoch}); ok {
 					permitted.Add(1)
 				}
--- a/balance/route/sim_test.go
+++ b/balance/route/sim_test.go
@@ -203,7 +203,7 @@
 }
 
 func (s *sim) addEntry(zone id.Zone, endpoints []route.Endpoint) {
-	cfg := route.Config{Start: simEpoch, Rand: s.rng.Uint64, BlockTokens: simBlock, PrefillRate: simPrefill, Choices: s.choices}
+	cfg := route.Config{Start: simEpoch, Rand: s.rng.Uint64, BlockTokens: simBlock, PrefillTokensPerStep: simPrefill, RandomCandidates: s.choices}
 	f := &frontend{zone: zone, index: prefix.NewIndex(prefix.Config{})}
 	if s.prefixes {
 		cfg.Prefixes = f.index
@@ -246,7 +246,7 @@
 		}
 	}
 	if j.tries == 0 {
-		f.budget.FirstTry()
+		f.budget.RecordFirstTry()
 		s.result.firsts++
 	}
 	j.tries++
