--- a/balance/mapswitch/change.go
+++ b/balance/mapswitch/change.go
@@ -3,7 +3,7 @@
 import "time"
 
 // learn waits for a report of every rank of an open group.
-func (m *Machine) learn(now time.Duration) {
+func (m *Coordinator) learn(now time.Duration) {
 	for i := range m.ranks {
 		if k := &m.ranks[i]; !k.known || !k.report.Open {
 			return
@@ -16,14 +16,14 @@
 }
 
 // idle watches for the traces of another coordinator.
-func (m *Machine) idle(now time.Duration) {
+func (m *Coordinator) idle(now time.Duration) {
 	if m.foreign() {
 		m.beginRecovery(now, "another coordinator is at work")
 	}
 }
 
 // foreign reports whether a rank is armed or holds a step by another's order.
-func (m *Machine) foreign() bool {
+func (m *Coordinator) foreign() bool {
 	for i := range m.ranks {
 		r := &m.ranks[i].report
 		if r.Armed != 0 && r.Armed != m.version {
@@ -36,8 +36,8 @@
 	return false
 }
 
-func (m *Machine) prepare(now time.Duration) []Order {
-	if now-m.since > m.cfg.PrepareLimit {
+func (m *Coordinator) prepare(now time.Duration) []Order {
+	if now-m.since > m.cfg.PrepareTimeout {
 		m.abandon(now, "the weights were not copied in time")
 		return nil
 	}
@@ -64,7 +64,7 @@
 	return out
 }
 
-func (m *Machine) onPrepare(k *rank, o Order, got Outcome, now time.Duration) {
+func (m *Coordinator) onPrepare(k *rank, o Order, got Outcome, now time.Duration) {
 	switch m.phase {
 	case Preparing:
 		if o.Version != m.version {
@@ -89,13 +89,13 @@
 }
 
 // abandon gives up a change of which no rank was armed.
-func (m *Machine) abandon(now time.Duration, reason string) {
+func (m *Coordinator) abandon(now time.Duration, reason string) {
 	m.version, m.target = 0, nil
 	m.enter(Idle, now, reason)
 }
 
-func (m *Machine) hold(now time.Duration) []Order {
-	if m.holdTries > maxHoldTries || now-m.since > m.cfg.PrepareLimit {
+func (m *Coordinator) hold(now time.Duration) []Order {
+	if m.holdTries > maxHoldTries || now-m.since > m.cfg.PrepareTimeout {
 		m.permit() // No rank was armed for it.
 		m.abandon(now, "no step could be held")
 		return nil
@@ -112,7 +112,7 @@
 	return out
 }
 
-func (m *Machine) onHold(o Order, got Outcome, now time.Duration) {
+func (m *Coordinator) onHold(o Order, got Outcome, now time.Duration) {
 	if m.phase != Holding || o.Step != m.step {
 		return
 	}
@@ -126,13 +126,13 @@
 	m.enter(Arming, now, "the step is held")
 }
 
-func (m *Machine) arm(now time.Duration) []Order {
+func (m *Coordinator) arm(now time.Duration) []Order {
 	if m.allArmed() {
 		m.permit()
 		m.enter(Releasing, now, "every rank is armed")
 		return nil
 	}
-	if now-m.heldAt > max(m.cfg.HoldLimit, m.cfg.PingDelay+holdTrips*m.longestTrip()) {
+	if now-m.heldAt > max(m.cfg.HoldTimeout, m.cfg.PingDelay+holdTrips*m.longestTrip()) {
 		m.enter(Deciding, now, "the step was held for too long")
 		return nil
 	}
@@ -141,7 +141,7 @@
 		k := &m.ranks[i]
 		switch {
 		case k.armed:
-		case k.doubted && now-m.heldAt > max(m.cfg.PingLimit, m.cfg.PingDelay+resendTrips*k.trip):
+		case k.doubted && now-m.heldAt > max(m.cfg.PingTimeout, m.cfg.PingDelay+resendTrips*k.trip):
 			m.enter(Deciding, now, "the relay that passed the hold on is silent")
 			return out
 		case k.doubted && now-m.heldAt < m.cfg.PingDelay:
@@ -155,7 +155,7 @@
 	return out
 }
 
-func (m *Machine) onArm(k *rank, o Order, got Outcome, now time.Duration) {
+func (m *Coordinator) onArm(k *rank, o Order, got Outcome, now time.Duration) {
 	if o.Version != m.version {
 		return
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-func (m *Machine) allArmed() bool {
+func (m *Coordinator) allArmed() bool {
 	for i := range m.ranks {
 		if !m.ranks[i].armed {
 			return false
@@ -180,7 +180,7 @@
 // decide fences the ranks that were not seen armed. The first fence that takes, or a
 // rank that was not asked, means that the change can be undone; a rank that refuses
 // the fence and reports that it is armed counts as armed.
-func (m *Machine) decide(now time.Duration) []Order {
+func (m *Coordinator) decide(now time.Duration) []Order {
 	if m.allArmed() {
 		m.permit()
 		m.enter(Releasing, now, "every rank is armed")
@@ -204,12 +204,12 @@
 
 // unarmed reports whether the version of the change cannot be armed at a rank, now or
 // later. Only this lease's orders name the version. Against is that of mostArmed.
-func (m *Machine) unarmed(i int, against uint64) bool {
+func (m *Coordinator) unarmed(i int, against uint64) bool {
 	return m.ranks[i].fenced(against) || m.version != 0 && m.target != nil && !m.ranks[i].asked && m.ranks[i].report.Armed == 0
 }
 
 // mostArmed returns the highest version that is or may be armed.
-func (m *Machine) mostArmed() uint64 {
+func (m *Coordinator) mostArmed() uint64 {
 	v := m.version
 	for i := range m.ranks {
 		v = max(v, m.ranks[i].report.Armed)
@@ -226,7 +226,7 @@
 }
 
 // fence asks a rank to prepare the map in use under a new version.
-func (m *Machine) fence(i int, now time.Duration) []Order {
+func (m *Coordinator) fence(i int, now time.Duration) []Order {
 	k := &m.ranks[i]
 	content, ok := m.current[k.report.Version]
 	if !ok || m.waits(i, Prepare, now) {
@@ -239,7 +239,7 @@
 }
 
 // undo disarms and fences all ranks.
-func (m *Machine) undo(now time.Duration) []Order {
+func (m *Coordinator) undo(now time.Duration) []Order {
 	var out []Order
 	fenced := true
 	against := m.mostArmed()
@@ -277,7 +277,7 @@
 
 // allFenced reports whether no rank is armed with any version, so that holds of other
 // coordinators are needed no more.
-func (m *Machine) allFenced() bool {
+func (m *Coordinator) allFenced() bool {
 	against := m.mostArmed()
 	for i := range m.ranks {
 		if !m.ranks[i].fenced(against) {
@@ -288,7 +288,7 @@
 }
 
 // mayDisarm reports whether a version cannot be armed at some rank.
-func (m *Machine) mayDisarm(version, against uint64) bool {
+func (m *Coordinator) mayDisarm(version, against uint64) bool {
 	for i := range m.ranks {
 		if m.ranks[i].fence > version || version == m.version && m.unarmed(i, against) {
 			return true
@@ -297,7 +297,7 @@
 	return false
 }
 
-func (m *Machine) release(now time.Duration) []Order {
+func (m *Coordinator) release(now time.Duration) []Order {
 	if m.step == 0 || m.lastStep() >= m.step {
 		m.released(now)
 		return nil
@@ -305,13 +305,13 @@
 	return m.ask(Order{Rank: m.holder, Op: Release, Step: m.step}, now)
 }
 
-func (m *Machine) onRelease(o Order, now time.Duration) {
+func (m *Coordinator) onRelease(o Order, now time.Duration) {
 	if m.phase == Releasing && o.Step == m.step {
 		m.released(now)
 	}
 }
 
-func (m *Machine) released(now time.Duration) {
+func (m *Coordinator) released(now time.Duration) {
 	if m.version == 0 {
 		m.pause(now)
 		m.enter(Idle, now, "the change was undone")
@@ -321,7 +321,7 @@
 }
 
 // settle waits until every rank has the armed map in use.
-func (m *Machine) settle(now time.Duration) {
+func (m *Coordinator) settle(now time.Duration) {
 	for i := range m.ranks {
 		if m.ranks[i].report.Version != m.version {
 			m.permitWhileArmed()
@@ -338,7 +338,7 @@
 
 // permitWhileArmed lets holds of other coordinators be released. As every rank is
 // armed with one version, none takes another map into use before that.
-func (m *Machine) permitWhileArmed() {
+func (m *Coordinator) permitWhileArmed() {
 	for i := range m.ranks {
 		if r := &m.ranks[i].report; r.Held != 0 && r.Armed == m.version {
 			m.decided[hold{i, r.Held}] = true
@@ -347,7 +347,7 @@
 }
 
 // superseded starts anew if another coordinator changed the map after this one.
-func (m *Machine) superseded(now time.Duration) {
+func (m *Coordinator) superseded(now time.Duration) {
 	if m.lastStep() <= m.step+1 {
 		return
 	}
@@ -362,7 +362,7 @@
 
 // releaseDecided ends the holds that nobody needs any more, among them those
 // that were carried out late.
-func (m *Machine) releaseDecided(now time.Duration) []Order {
+func (m *Coordinator) releaseDecided(now time.Duration) []Order {
 	if m.phase == Releasing {
 		return nil
 	}
--- a/balance/mapswitch/explore_test.go
+++ b/balance/mapswitch/explore_test.go
@@ -98,9 +98,9 @@
 func TestMutantsAreCaught(t *testing.T) {
 	mutants := []struct {
 		name   string
-		mutate func(*Machine)
+		mutate func(*Coordinator)
 	}{
-		{"a majority of armed ranks is enough", func(m *Machine) {
+		{"a majority of armed ranks is enough", func(m *Coordinator) {
 			armed := 0
 			for i := range m.ranks {
 				if m.ranks[i].armed {
@@ -111,31 +111,31 @@
 				m.ranks[i].armed = m.ranks[i].armed || 2*armed > len(m.ranks)
 			}
 		}},
-		{"any fence counts", func(m *Machine) {
+		{"any fence counts", func(m *Coordinator) {
 			for i := range m.ranks {
 				if m.ranks[i].fence != 0 {
 					m.ranks[i].fence = 1 << 60
 				}
 			}
 		}},
-		{"ranks are disarmed before a fence took", func(m *Machine) {
+		{"ranks are disarmed before a fence took", func(m *Coordinator) {
 			if m.phase == Deciding {
 				m.ranks[0].fence = 1 << 60
 			}
 		}},
-		{"an unanswered arm counts as done", func(m *Machine) {
+		{"an unanswered arm counts as done", func(m *Coordinator) {
 			for i := range m.ranks {
 				for _, p := range m.ranks[i].pending {
 					m.ranks[i].armed = m.ranks[i].armed || p.Op == Arm
 				}
 			}
 		}},
-		{"ranks that were asked to be armed need no fence", func(m *Machine) {
+		{"ranks that were asked to be armed need no fence", func(m *Coordinator) {
 			for i := range m.ranks {
 				m.ranks[i].asked = false
 			}
 		}},
-		{"holds are taken for granted", func(m *Machine) {
+		{"holds are taken for granted", func(m *Coordinator) {
 			if m.phase == Holding {
 				m.enter(Arming, 0, "mutant")
 			}
--- a/balance/mapswitch/far_test.go
+++ b/balance/mapswitch/far_test.go
@@ -90,7 +90,7 @@
 		r, c := w.engine.report(i), w.engine.ranks[i].content
 		w.after(w.trips[i]/2, func() {
 			w.coords[0].Report(r, w.now)
-			w.coords[0].Learn(r.Epoch, r.Version, mapWith(c))
+			w.coords[0].SetContent(r.Epoch, r.Version, mapWith(c))
 		})
 	}
 }
--- a/balance/mapswitch/machine.go
+++ b/balance/mapswitch/machine.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Machine decides which orders to send to the ranks of one group. It acts for
+// Coordinator decides which orders to send to the ranks of one group. It acts for
 // one lease. It is not safe for concurrent use.
-type Machine struct {
+type Coordinator struct {
 	cfg Config
 	// nextVersion is higher than all versions of earlier leases.
 	nextVersion uint64
@@ -95,10 +95,10 @@
 
 // New returns a machine for the holder of a lease with a fencing number that is
 // higher than that of any earlier holder. The number must be below 2^32.
-func New(cfg Config, lease uint64) *Machine {
+func New(cfg Config, lease uint64) *Coordinator {
 	n := uint64(cfg.Ranks)
 	residues := (distinctHolds + n - 1) / n
-	return &Machine{
+	return &Coordinator{
 		cfg:         cfg.withDefaults(),
 		nextVersion: lease<<versionBits + 1,
 		own:         int(lease % n),
@@ -111,13 +111,13 @@
 }
 
 // stepAfter returns the first step from one on that the lease may hold.
-func (m *Machine) stepAfter(s uint64) uint64 {
+func (m *Coordinator) stepAfter(s uint64) uint64 {
 	s = max(s, m.lastDecided+1)
 	return s + (m.residue+m.residues-s%m.residues)%m.residues
 }
 
 // permit lets the step of the change be released at any time.
-func (m *Machine) permit() {
+func (m *Coordinator) permit() {
 	if m.step == 0 {
 		return
 	}
@@ -128,14 +128,14 @@
 }
 
 // Phase returns what the machine is doing.
-func (m *Machine) Phase() Phase { return m.phase }
+func (m *Coordinator) Phase() Phase { return m.phase }
 
 // Epoch returns the epoch of the group, zero if none is known.
-func (m *Machine) Epoch() uint64 { return m.epoch }
+func (m *Coordinator) Epoch() uint64 { return m.epoch }
 
 // Current returns the map in use if all ranks report the same version and its
 // content is known.
-func (m *Machine) Current() (version uint64, content Map, ok bool) {
+func (m *Coordinator) Current() (version uint64, content Map, ok bool) {
 	for i := range m.ranks {
 		if !m.ranks[i].known || m.ranks[i].report.Version != m.ranks[0].report.Version {
 			return 0, nil, false
@@ -146,22 +146,22 @@
 	return version, content, ok
 }
 
-// Learn tells the content of a version that is or was in use in an epoch.
-func (m *Machine) Learn(epoch, version uint64, content Map) {
+// SetContent tells the content of a version that is or was in use in an epoch.
+func (m *Coordinator) SetContent(epoch, version uint64, content Map) {
 	if epoch == m.epoch {
 		m.current[version] = content
 	}
 }
 
 // Events returns what was decided since the last call.
-func (m *Machine) Events() []Event {
+func (m *Coordinator) Events() []Event {
 	e := m.events
 	m.events = nil
 	return e
 }
 
 // Report takes in the state of a rank.
-func (m *Machine) Report(r Report, now time.Duration) {
+func (m *Coordinator) Report(r Report, now time.Duration) {
 	if r.Rank < 0 || r.Rank >= len(m.ranks) || r.Epoch < m.epoch {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // reset forgets the former epoch, whose orders no rank accepts any more.
-func (m *Machine) reset(epoch uint64, now time.Duration) {
+func (m *Coordinator) reset(epoch uint64, now time.Duration) {
 	m.epoch = epoch
 	for i := range m.ranks {
 		m.ranks[i] = rank{trip: m.ranks[i].trip}
@@ -193,14 +193,14 @@
 	m.enter(Learning, now, "the group formed anew")
 }
 
-func (m *Machine) enter(p Phase, now time.Duration, reason string) {
+func (m *Coordinator) enter(p Phase, now time.Duration, reason string) {
 	m.phase, m.since = p, now
 	m.events = append(m.events, Event{Phase: p, Version: m.version, Step: m.step, Reason: reason})
 }
 
 // Start begins a change to a map, which differs from the current one. It is
 // false if the machine is not idle.
-func (m *Machine) Start(target Map, now time.Duration) bool {
+func (m *Coordinator) Start(target Map, now time.Duration) bool {
 	if _, _, ok := m.Current(); m.phase != Idle || !ok || now < m.pausedUntil {
 		return false
 	}
@@ -212,15 +212,15 @@
 }
 
 // Version returns the version of the change under way or last made.
-func (m *Machine) Version() uint64 { return m.version }
+func (m *Coordinator) Version() uint64 { return m.version }
 
-func (m *Machine) newVersion() uint64 {
+func (m *Coordinator) newVersion() uint64 {
 	v := m.nextVersion
 	m.nextVersion++
 	return v
 }
 
-func (m *Machine) clearProgress() {
+func (m *Coordinator) clearProgress() {
 	for i := range m.ranks {
 		k := &m.ranks[i]
 		k.prepared, k.armed, k.disarmed, k.fence, k.conflict = false, false, false, 0, false
@@ -229,7 +229,7 @@
 }
 
 // Result takes in the answer to an order.
-func (m *Machine) Result(orderID uint64, o Outcome, now time.Duration) {
+func (m *Coordinator) Result(orderID uint64, o Outcome, now time.Duration) {
 	k := &m.ranks[orderID%uint64(len(m.ranks))]
 	i := slices.IndexFunc(k.pending, func(p pending) bool { return p.ID == orderID })
 	if i < 0 || k.pending[i].Epoch != m.epoch {
@@ -263,7 +263,7 @@
 
 // Tick advances the machine to a time and returns the orders to send. The owner
 // calls it after each report and result, and at an interval.
-func (m *Machine) Tick(now time.Duration) []Order {
+func (m *Coordinator) Tick(now time.Duration) []Order {
 	var out []Order
 	for before := Phase(0xff); before != m.phase; {
 		before = m.phase
@@ -272,7 +272,7 @@
 	return append(out, m.releaseDecided(now)...)
 }
 
-func (m *Machine) advance(now time.Duration) []Order {
+func (m *Coordinator) advance(now time.Duration) []Order {
 	switch m.phase {
 	case Learning:
 		m.learn(now)
@@ -300,12 +300,12 @@
 
 // ask returns an order that the rank's own relay passes on, unless the same one was
 // sent lately and not answered.
-func (m *Machine) ask(o Order, now time.Duration) []Order {
+func (m *Coordinator) ask(o Order, now time.Duration) []Order {
 	o.Via = o.Rank
 	return m.askVia(o, now)
 }
 
-func (m *Machine) askVia(o Order, now time.Duration) []Order {
+func (m *Coordinator) askVia(o Order, now time.Duration) []Order {
 	k := &m.ranks[o.Rank]
 	k.pending = slices.DeleteFunc(k.pending, func(p pending) bool { return now-p.sent > maxTrip })
 	for i := range k.pending {
@@ -327,7 +327,7 @@
 func same(a, b Order) bool { return a.Version == b.Version && a.Step == b.Step }
 
 // waits reports whether an order of a kind was sent to a rank lately and not answered.
-func (m *Machine) waits(rank int, op Op, now time.Duration) bool {
+func (m *Coordinator) waits(rank int, op Op, now time.Duration) bool {
 	for _, p := range m.ranks[rank].pending {
 		if p.Op == op && !p.stale && now-p.sent < m.resend(p.Order) {
 			return true
@@ -337,7 +337,7 @@
 }
 
 // lastStep returns the last step that a rank reported.
-func (m *Machine) lastStep() uint64 {
+func (m *Coordinator) lastStep() uint64 {
 	var s uint64
 	for i := range m.ranks {
 		s = max(s, m.ranks[i].report.Step)
--- a/balance/mapswitch/model_test.go
+++ b/balance/mapswitch/model_test.go
@@ -128,7 +128,7 @@
 	rng    *rand.Rand
 	engine *engine
 	now    time.Duration
-	coords []*Machine
+	coords []*Coordinator
 	paused []bool
 	flight []flight
 	late   []flight
@@ -143,20 +143,20 @@
 
 	trace func(format string, args ...any)
 	// mutate changes a machine before each tick, for tests of the checker.
-	mutate func(*Machine)
+	mutate func(*Coordinator)
 }
 
 func newWorld(seed uint64, ranks int) *world {
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 1)), engine: newEngine(ranks), faults: true,
-		harm: int(seed % 9), pingLimit: time.Duration(1+seed%4) * 100 * time.Millisecond, trace: func(string, ...any) {}, mutate: func(*Machine) {},
+		harm: int(seed % 9), pingLimit: time.Duration(1+seed%4) * 100 * time.Millisecond, trace: func(string, ...any) {}, mutate: func(*Coordinator) {},
 	}
 	w.addCoordinator()
 	return w
 }
 
 func (w *world) addCoordinator() {
-	w.coords = append(w.coords, New(Config{Ranks: len(w.engine.ranks), PingLimit: w.pingLimit}, uint64(len(w.coords)+1)))
+	w.coords = append(w.coords, New(Config{Ranks: len(w.engine.ranks), PingTimeout: w.pingLimit}, uint64(len(w.coords)+1)))
 	w.paused = append(w.paused, false)
 }
 
@@ -195,7 +195,7 @@
 		m := w.coords[f.from]
 		m.Report(*f.report, w.now)
 		w.trace("c%d sees %+v", f.from, *f.report)
-		m.Learn(f.report.Epoch, f.report.Version, mapWith(f.contentOf))
+		m.SetContent(f.report.Epoch, f.report.Version, mapWith(f.contentOf))
 	}
 }
 
--- a/balance/mapswitch/recover.go
+++ b/balance/mapswitch/recover.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-func (m *Machine) beginRecovery(now time.Duration, reason string) {
+func (m *Coordinator) beginRecovery(now time.Duration, reason string) {
 	m.clearProgress()
 	for i := range m.ranks {
 		m.ranks[i].pending = nil
@@ -14,7 +14,7 @@
 // recover fences every rank. If all ranks are armed with one version instead,
 // the change of the earlier coordinator is completed. If some are, it is undone,
 // which the fences that took permit.
-func (m *Machine) recover(now time.Duration) []Order {
+func (m *Coordinator) recover(now time.Duration) []Order {
 	var out []Order
 	var fenced, armed int
 	against := m.mostArmed()
@@ -49,7 +49,7 @@
 }
 
 // adopt takes over the step that another coordinator held.
-func (m *Machine) adopt() {
+func (m *Coordinator) adopt() {
 	m.step, m.target = 0, nil
 	for i := range m.ranks {
 		if h := m.ranks[i].report.Held; h != 0 {
@@ -59,13 +59,13 @@
 }
 
 // finishRecovery permits the release of all holds.
-func (m *Machine) finishRecovery(now time.Duration, reason string) {
+func (m *Coordinator) finishRecovery(now time.Duration, reason string) {
 	m.decideHeld()
 	m.version = 0
 	m.enter(Idle, now, reason)
 }
 
-func (m *Machine) decideHeld() {
+func (m *Coordinator) decideHeld() {
 	for i := range m.ranks {
 		if h := m.ranks[i].report.Held; h != 0 {
 			m.decided[hold{i, h}] = true
@@ -73,7 +73,7 @@
 	}
 }
 
-func (m *Machine) sameArmed() bool {
+func (m *Coordinator) sameArmed() bool {
 	for i := range m.ranks {
 		if m.ranks[i].report.Armed != m.ranks[0].report.Armed {
 			return false
--- a/balance/mapswitch/stall_test.go
+++ b/balance/mapswitch/stall_test.go
@@ -50,7 +50,7 @@
 		if !s.gone(i) {
 			s.coords[0].Report(s.engine.report(i), s.now)
 		}
-		s.coords[0].Learn(s.engine.epoch, s.engine.ranks[i].version, mapWith(s.engine.ranks[i].content))
+		s.coords[0].SetContent(s.engine.epoch, s.engine.ranks[i].version, mapWith(s.engine.ranks[i].content))
 	}
 }
 
--- a/balance/mapswitch/timing.go
+++ b/balance/mapswitch/timing.go
@@ -45,13 +45,13 @@
 }
 
 // resend returns the time after which an order is sent again.
-func (m *Machine) resend(o Order) time.Duration {
+func (m *Coordinator) resend(o Order) time.Duration {
 	trips := resendTrips * max(m.ranks[o.Rank].trip, m.ranks[o.Via].trip)
-	return max(m.cfg.Resend, min(trips, maxResend))
+	return max(m.cfg.ResendInterval, min(trips, maxResend))
 }
 
 // longestTrip returns the trip to the rank that is farthest away.
-func (m *Machine) longestTrip() time.Duration {
+func (m *Coordinator) longestTrip() time.Duration {
 	var t time.Duration
 	for i := range m.ranks {
 		t = max(t, m.ranks[i].trip)
@@ -61,7 +61,7 @@
 
 // notePass learns from a report how long a pass takes. Reports may wait and be handled
 // together, so that only a while of them tells.
-func (m *Machine) notePass(step uint64, now time.Duration) {
+func (m *Coordinator) notePass(step uint64, now time.Duration) {
 	if step <= m.lastStep() {
 		return
 	}
@@ -81,16 +81,16 @@
 
 // lead returns the number of steps between the last one begun and that of a change,
 // so that all ranks are armed before it comes.
-func (m *Machine) lead() uint64 {
+func (m *Coordinator) lead() uint64 {
 	if m.pass <= 0 {
-		return m.cfg.Lead
+		return m.cfg.LeadSteps
 	}
 	need := m.cfg.PingDelay + leadTrips*m.longestTrip()
-	return min(max(m.cfg.Lead, uint64((need+m.pass-1)/m.pass)+1), max(maxLead, m.cfg.Lead))
+	return min(max(m.cfg.LeadSteps, uint64((need+m.pass-1)/m.pass)+1), max(maxLead, m.cfg.LeadSteps))
 }
 
 // pause keeps changes from being started for a while after one that was undone.
-func (m *Machine) pause(now time.Duration) {
+func (m *Coordinator) pause(now time.Duration) {
 	m.pausedUntil = now + min(minPause<<min(m.undone, 16), maxPause)
 	m.undone++
 }
--- a/balance/mapswitch/types.go
+++ b/balance/mapswitch/types.go
@@ -27,7 +27,7 @@
 // small groups its own residue of steps, at which it holds; it never holds a step
 // again that it may have released.
 //
-// Machine is a state machine without input, output or clock of its own.
+// Coordinator is a state machine without input, output or clock of its own.
 package mapswitch
 
 import (
@@ -107,30 +107,30 @@
 	Held uint64
 }
 
-// Config sets up a Machine.
+// Config sets up a Coordinator.
 type Config struct {
 	// Ranks is the number of ranks of the group. Required.
 	Ranks int
-	// Lead is the least number of steps between the last one begun and that of a
+	// LeadSteps is the least number of steps between the last one begun and that of a
 	// change. Default: 2, so that arming ends while a step is still under way
 	// and the group does not wait for it. It grows with the way to the ranks.
-	Lead uint64
-	// Resend is the least time after which an order without an answer is sent
+	LeadSteps uint64
+	// ResendInterval is the least time after which an order without an answer is sent
 	// again. Default: 40 ms, several times the way to a near rank and back.
-	Resend time.Duration
-	// PrepareLimit is the time after which a change whose weights are not
+	ResendInterval time.Duration
+	// PrepareTimeout is the time after which a change whose weights are not
 	// copied is abandoned. Default: 3 s.
-	PrepareLimit time.Duration
-	// HoldLimit is the time for which a step is held before a change is undone.
+	PrepareTimeout time.Duration
+	// HoldTimeout is the time for which a step is held before a change is undone.
 	// Default: 400 ms, about five times a pass.
-	HoldLimit time.Duration
+	HoldTimeout time.Duration
 	// PingDelay is the time after the hold from which on an answer of the relay that
 	// passed it on counts. Default: 20 ms; a host that stalls over an order does so
 	// within a few milliseconds of it.
 	PingDelay time.Duration
-	// PingLimit is the least time after the hold in which that relay must answer.
-	// Default: 100 ms, PingDelay and twice Resend.
-	PingLimit time.Duration
+	// PingTimeout is the least time after the hold in which that relay must answer.
+	// Default: 100 ms, PingDelay and twice ResendInterval.
+	PingTimeout time.Duration
 }
 
 const (
@@ -150,23 +150,23 @@
 )
 
 func (c Config) withDefaults() Config {
-	if c.Lead == 0 {
-		c.Lead = defaultLead
+	if c.LeadSteps == 0 {
+		c.LeadSteps = defaultLead
 	}
-	if c.Resend == 0 {
-		c.Resend = defaultResend
+	if c.ResendInterval == 0 {
+		c.ResendInterval = defaultResend
 	}
-	if c.PrepareLimit == 0 {
-		c.PrepareLimit = defaultPrepareLimit
+	if c.PrepareTimeout == 0 {
+		c.PrepareTimeout = defaultPrepareLimit
 	}
-	if c.HoldLimit == 0 {
-		c.HoldLimit = defaultHoldLimit
+	if c.HoldTimeout == 0 {
+		c.HoldTimeout = defaultHoldLimit
 	}
 	if c.PingDelay == 0 {
 		c.PingDelay = defaultPingDelay
 	}
-	if c.PingLimit == 0 {
-		c.PingLimit = defaultPingLimit
+	if c.PingTimeout == 0 {
+		c.PingTimeout = defaultPingLimit
 	}
 	return c
 }
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -26,7 +26,7 @@
 	slots    int
 	followed *metrics.Histogram
 	log      zerolog.Logger
-	machine  *mapswitch.Machine
+	machine  *mapswitch.Coordinator
 	demand   *expertmap.Demand
 	ranks    []member
 	// sampledAt is when the last sample of any rank came.
@@ -130,7 +130,7 @@
 			content[s][r] = lay.Experts[s]
 		}
 	}
-	g.machine.Learn(first.Epoch, first.Version, content)
+	g.machine.SetContent(first.Epoch, first.Version, content)
 }
 
 func (g *group) onSample(l *ranklink.Link, s *relay.Sample, now time.Duration) {
