--- a/agent/rank/member.go
+++ b/agent/rank/member.go
@@ -142,7 +142,7 @@
 	defer m.mu.Unlock()
 	changed = m.rank.Observe(state)
 	m.noteDivergence()
-	if v, wanted := m.rank.StageWanted(); wanted && m.weights != nil && m.weights.Map == v {
+	if v, wanted := m.rank.MapToStage(); wanted && m.weights != nil && m.weights.Map == v {
 		t.stage = m.weights
 	}
 	t.order = m.orderFor(state)
--- a/agent/rank/rank_test.go
+++ b/agent/rank/rank_test.go
@@ -62,9 +62,9 @@
 	epoch  lockstep.Epoch
 }
 
-func (f *fixture) handle(kind lockstep.CommandKind, t lockstep.Target) {
+func (f *fixture) handle(kind lockstep.CommandKind, t lockstep.Decision) {
 	f.agent.Handle(context.Background(), groupmsg.Order{Group: "g", Command: lockstep.Command{
-		Kind: kind, Incarnation: "inc_1", Epoch: f.epoch, Target: t,
+		Kind: kind, Incarnation: "inc_1", Epoch: f.epoch, Decision: t,
 	}})
 }
 
@@ -77,13 +77,13 @@
 	f.agent = New(Config{
 		Group: "g", Incarnation: "inc_1", Ranks: []Local{{Engine: f.engine}}, LoadTicks: 3, Recorder: f.ring,
 	}, f.sent)
-	f.handle(lockstep.Join, lockstep.Target{})
+	f.handle(lockstep.Join, lockstep.Decision{})
 	stage := lockstep.Command{Kind: lockstep.Stage, Incarnation: "inc_1", Epoch: f.epoch, Map: 1}
 	f.agent.Handle(context.Background(), groupmsg.Order{Group: "g", Command: stage, Weights: &groupmsg.Weights{Map: 1}})
 	f.agent.Tick(context.Background())
-	form := lockstep.Target{Formation: f.epoch, Map: 1}
+	form := lockstep.Decision{Formation: f.epoch, Map: 1}
 	f.handle(lockstep.Prepare, form)
-	assert.Assert(t, f.sent.last().Report.Held)
+	assert.Assert(t, f.sent.last().Report.Promised)
 	f.handle(lockstep.Commit, form)
 	assert.Equal(t, f.sent.last().Report.Committed, form)
 	assert.Equal(t, f.engine.state.Order.MapAt(5), lockstep.Version(1))
@@ -116,10 +116,10 @@
 func TestSupersededFormation(t *testing.T) {
 	f := newFixture(t)
 	f.epoch++
-	f.handle(lockstep.Join, lockstep.Target{})
+	f.handle(lockstep.Join, lockstep.Decision{})
 	f.engine.err = errDown
-	f.handle(lockstep.Prepare, lockstep.Target{Formation: f.epoch, Map: 1})
-	assert.Assert(t, !f.sent.last().Report.Held)
+	f.handle(lockstep.Prepare, lockstep.Decision{Formation: f.epoch, Map: 1})
+	assert.Assert(t, !f.sent.last().Report.Promised)
 	f.engine.err = nil
 	newer := lockstep.EngineOrder{Epoch: f.epoch + 1, Formation: f.epoch + 1, Map: 2, SwitchAt: lockstep.Never}
 	f.engine.state.Order = newer
@@ -132,7 +132,7 @@
 	f := newFixture(t)
 	f.engine.state.Staged = append(f.engine.state.Staged, 2)
 	f.engine.err = errDown
-	change := lockstep.Target{Formation: f.epoch, Index: 1, Step: 9, Map: 2}
+	change := lockstep.Decision{Formation: f.epoch, Index: 1, Step: 9, Map: 2}
 	count := len(f.sent.statuses)
 	f.handle(lockstep.Prepare, change)
 	for range 3 {
@@ -141,7 +141,7 @@
 	assert.Equal(t, len(f.sent.statuses), count, "rank without its engine is not silent")
 	f.engine.err = nil
 	f.agent.Tick(context.Background())
-	assert.Assert(t, f.sent.last().Report.Held)
+	assert.Assert(t, f.sent.last().Report.Promised)
 	assert.Equal(t, f.engine.state.Order.MapAt(9), lockstep.Version(0))
 }
 
--- a/balance/lockstep/coordinator.go
+++ b/balance/lockstep/coordinator.go
@@ -11,9 +11,9 @@
 	Margin Step
 	// PollTicks is the number of ticks between two polls of all ranks. Default 4.
 	PollTicks int
-	// FreshTicks is the greatest age of a report, in ticks, for a change to be
+	// MaxReportAgeTicks is the greatest age of a report, in ticks, for a change to be
 	// started; a group is not stopped for a rank that does not answer. Default 8.
-	FreshTicks int
+	MaxReportAgeTicks int
 }
 
 // MaxMargin is the greatest margin in steps.
@@ -32,8 +32,8 @@
 	if c.PollTicks == 0 {
 		c.PollTicks = defaultPollTicks
 	}
-	if c.FreshTicks == 0 {
-		c.FreshTicks = defaultFreshTicks
+	if c.MaxReportAgeTicks == 0 {
+		c.MaxReportAgeTicks = defaultFreshTicks
 	}
 	return c
 }
@@ -74,7 +74,7 @@
 	epoch    Epoch
 	margin   Step
 	target   Version
-	prepared Target
+	prepared Decision
 	ranks    []rankView
 	ticks    int
 	phase    Phase
@@ -100,7 +100,7 @@
 func (c *Coordinator) Phase() Phase { return c.phase }
 
 // Staging returns the map that the ranks are to load in PhaseStaging, zero if
-// the coordinator knows of none and needs SetTarget.
+// the coordinator knows of none and needs SetTargetMap.
 func (c *Coordinator) Staging() Version { return c.staging }
 
 // WaitsFor returns the ranks that have not done yet what the phase needs.
@@ -110,7 +110,7 @@
 func (c *Coordinator) Silent() []int {
 	var silent []int
 	for i := range c.ranks {
-		if c.ranks[i].age > c.cfg.FreshTicks {
+		if c.ranks[i].age > c.cfg.MaxReportAgeTicks {
 			silent = append(silent, i)
 		}
 	}
@@ -118,9 +118,9 @@
 }
 
 // Committed returns the decision that every rank has committed, and false if there is none.
-func (c *Coordinator) Committed() (Target, bool) {
+func (c *Coordinator) Committed() (Decision, bool) {
 	if !c.allJoined() {
-		return Target{}, false
+		return Decision{}, false
 	}
 	top := c.topCommitted()
 	return top, c.intact(top)
@@ -131,12 +131,12 @@
 	return c.ranks[rank].report, c.ranks[rank].joined
 }
 
-// SetTarget sets the map that the group shall use. Lower versions than an earlier one are ignored.
-func (c *Coordinator) SetTarget(v Version) { c.target = max(c.target, v) }
+// SetTargetMap sets the map that the group shall use. Lower versions than an earlier one are ignored.
+func (c *Coordinator) SetTargetMap(v Version) { c.target = max(c.target, v) }
 
-// SetCautious keeps the coordinator from beginning a change of the map while
+// SetChangesPaused keeps the coordinator from beginning a change of the map while
 // cautious is true. It completes what was begun, and forms the group if needed.
-func (c *Coordinator) SetCautious(cautious bool) { c.cautious = cautious }
+func (c *Coordinator) SetChangesPaused(cautious bool) { c.cautious = cautious }
 
 // Receive handles a report and returns commands to send.
 func (c *Coordinator) Receive(r Report) []Command {
@@ -178,7 +178,7 @@
 		return
 	}
 	c.epoch = next
-	c.prepared = Target{}
+	c.prepared = Decision{}
 	for i := range c.ranks {
 		c.ranks[i].joined = false
 	}
--- a/balance/lockstep/decide.go
+++ b/balance/lockstep/decide.go
@@ -39,7 +39,7 @@
 		c.nextRound()
 		return
 	}
-	if broken && !c.prepared.IsZero() && !c.prepared.Forms() {
+	if broken && !c.prepared.IsZero() && !c.prepared.IsFormation() {
 		c.nextRound()
 	}
 }
@@ -67,8 +67,8 @@
 	return false
 }
 
-func (c *Coordinator) topCommitted() Target {
-	var top Target
+func (c *Coordinator) topCommitted() Decision {
+	var top Decision
 	for i := range c.ranks {
 		if t := c.ranks[i].report.Committed; t.After(top) {
 			top = t
@@ -78,7 +78,7 @@
 }
 
 // intact reports whether every rank has committed top.
-func (c *Coordinator) intact(top Target) bool {
+func (c *Coordinator) intact(top Decision) bool {
 	if top.IsZero() {
 		return false
 	}
@@ -93,13 +93,13 @@
 
 // partlyCommitted reports whether every rank has committed or promised top. As
 // a commit needs the promise of every rank, the commit can then be completed.
-func (c *Coordinator) partlyCommitted(top Target) bool {
+func (c *Coordinator) partlyCommitted(top Decision) bool {
 	if top.IsZero() {
 		return false
 	}
 	for i := range c.ranks {
 		r := &c.ranks[i].report
-		if r.Diverged || r.Committed != top && (r.Pending != top || !r.Held) {
+		if r.Diverged || r.Committed != top && (r.Pending != top || !r.Promised) {
 			return false
 		}
 	}
@@ -107,9 +107,9 @@
 }
 
 // commit completes a decision at the ranks that have not committed it.
-func (c *Coordinator) commit(t Target) []Command {
+func (c *Coordinator) commit(t Decision) []Command {
 	c.phase = PhaseChanging
-	if t.Forms() {
+	if t.IsFormation() {
 		c.phase = PhaseForming
 	}
 	return c.toEach(
@@ -118,9 +118,9 @@
 	)
 }
 
-func (c *Coordinator) decideIntact(top Target) []Command {
+func (c *Coordinator) decideIntact(top Decision) []Command {
 	if c.prepared == top {
-		c.prepared = Target{}
+		c.prepared = Decision{}
 		c.margin = c.cfg.Margin
 	}
 	if !c.prepared.IsZero() {
@@ -136,7 +136,7 @@
 	if !c.stagedEverywhere(c.target) {
 		return c.stage(c.target)
 	}
-	c.prepared = Target{
+	c.prepared = Decision{
 		Formation: top.Formation, Index: top.Index + 1,
 		Step: max(c.greatestNext(), top.Step) + c.margin, Map: c.target,
 	}
@@ -148,7 +148,7 @@
 func (c *Coordinator) resume() []Command {
 	c.phase = PhaseChanging
 	return c.toEach(
-		func(i int) Command { return c.command(i, Resume, Target{}) },
+		func(i int) Command { return c.command(i, Abort, Decision{}) },
 		func(v *rankView) bool { return !v.report.Pending.IsZero() },
 	)
 }
@@ -166,7 +166,7 @@
 	if !c.stagedEverywhere(v) {
 		return c.stage(v)
 	}
-	c.prepared = Target{Formation: c.epoch, Map: v}
+	c.prepared = Decision{Formation: c.epoch, Map: v}
 	return c.prepareOrCommit()
 }
 
@@ -202,14 +202,14 @@
 		return c.commit(t)
 	}
 	c.phase = PhaseChanging
-	if t.Forms() {
+	if t.IsFormation() {
 		c.phase = PhaseForming
 	}
 	return missing
 }
 
 func (c *Coordinator) promised(r *Report) bool {
-	return r.Held && !r.Diverged && r.Pending == c.prepared && r.PendingEpoch == c.epoch
+	return r.Promised && !r.Diverged && r.Pending == c.prepared && r.PendingEpoch == c.epoch
 }
 
 func (c *Coordinator) stage(v Version) []Command {
@@ -217,7 +217,7 @@
 	c.staging = v
 	return c.toEach(
 		func(i int) Command {
-			cmd := c.command(i, Stage, Target{})
+			cmd := c.command(i, Stage, Decision{})
 			cmd.Map = v
 			return cmd
 		},
@@ -257,9 +257,9 @@
 	return Command{Kind: Join, Rank: rank, Epoch: c.epoch}
 }
 
-func (c *Coordinator) command(rank int, kind CommandKind, t Target) Command {
+func (c *Coordinator) command(rank int, kind CommandKind, t Decision) Command {
 	return Command{
 		Kind: kind, Rank: rank, Incarnation: c.ranks[rank].report.Incarnation,
-		Epoch: c.epoch, Target: t,
+		Epoch: c.epoch, Decision: t,
 	}
 }
--- a/balance/lockstep/doc.go
+++ b/balance/lockstep/doc.go
@@ -4,7 +4,7 @@
 // Reports. Both are state machines without input, output or clock; their owners
 // deliver messages, which may be lost, duplicated, delayed and reordered.
 //
-// A group is formed, and its map changed, by a unanimous decision (Target). The
+// A group is formed, and its map changed, by a unanimous decision (Decision). The
 // coordinator first lets every rank join its epoch, which fences all lower
 // epochs. It then names a step beyond every rank's progress. Each rank promises
 // to stop before that step, and the decision is committed with the promise of
--- a/balance/lockstep/engine_test.go
+++ b/balance/lockstep/engine_test.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if o.Formation != e.state.Order.Formation {
-		if !o.Enters() {
+		if !o.EntersFormation() {
 			return
 		}
 		e.state.Next, e.state.LastMap = 0, 0
--- a/balance/lockstep/explore_test.go
+++ b/balance/lockstep/explore_test.go
@@ -112,7 +112,7 @@
 		{"rank commits what it did not promise", func(m *model) {
 			m.beforeReceive = func(r *Rank, c Command) {
 				if c.Kind == Commit {
-					r.pending, r.held = c.Target, true
+					r.pending, r.held = c.Decision, true
 				}
 			}
 		}},
@@ -154,7 +154,7 @@
 	}
 	for i := range c.ranks {
 		r := &c.ranks[i].report
-		r.Pending, r.PendingEpoch, r.Held = c.prepared, c.epoch, true
+		r.Pending, r.PendingEpoch, r.Promised = c.prepared, c.epoch, true
 	}
 }
 
--- a/balance/lockstep/model_test.go
+++ b/balance/lockstep/model_test.go
@@ -68,7 +68,7 @@
 
 func (m *model) newTarget() {
 	m.target++
-	m.coordinators[len(m.coordinators)-1].SetTarget(m.target)
+	m.coordinators[len(m.coordinators)-1].SetTargetMap(m.target)
 }
 
 func (m *model) sendCommands(from int, cmds []Command) {
@@ -112,7 +112,7 @@
 // sync is one pass of an agent: read the engine back and send it what is wanted.
 func (m *model) sync(rank int) {
 	r, e := m.ranks[rank], m.engines[rank]
-	if v, ok := r.StageWanted(); ok {
+	if v, ok := r.MapToStage(); ok {
 		e.loading = v
 	}
 	if r.Observe(e.state) {
--- a/balance/lockstep/rank.go
+++ b/balance/lockstep/rank.go
@@ -16,11 +16,11 @@
 	seq         uint64
 
 	epoch          Epoch
-	committed      Target
+	committed      Decision
 	committedEpoch Epoch
 	// previous is the map before the committed decision.
 	previous     Version
-	pending      Target
+	pending      Decision
 	pendingEpoch Epoch
 	held         bool
 	refused      bool
@@ -65,7 +65,7 @@
 		r.prepare(c)
 	case Commit:
 		r.commit(c)
-	case Resume:
+	case Abort:
 		r.resume(c)
 	}
 	r.updateOrder()
@@ -76,11 +76,11 @@
 	if !r.mayPrepare(c) {
 		return
 	}
-	r.pending = c.Target
+	r.pending = c.Decision
 	r.pendingEpoch = c.Epoch
 	r.held = false
 	r.refused = false
-	if c.Target.Forms() {
+	if c.Decision.IsFormation() {
 		r.leave()
 	}
 }
@@ -91,17 +91,17 @@
 	if !r.pending.IsZero() && r.pendingEpoch >= c.Epoch {
 		return false
 	}
-	if c.Target.Forms() {
-		return c.Target.Formation == c.Epoch && c.Target.After(r.committed)
+	if c.Decision.IsFormation() {
+		return c.Decision.Formation == c.Epoch && c.Decision.After(r.committed)
 	}
-	return c.Target.Formation == r.committed.Formation &&
-		c.Target.Index == r.committed.Index+1 &&
-		c.Target.Step > r.committed.Step
+	return c.Decision.Formation == r.committed.Formation &&
+		c.Decision.Index == r.committed.Index+1 &&
+		c.Decision.Step > r.committed.Step
 }
 
 // leave gives up the current formation for good.
 func (r *Rank) leave() {
-	r.committed = Target{}
+	r.committed = Decision{}
 	r.committedEpoch = 0
 	r.previous = 0
 	r.next = 0
@@ -110,7 +110,7 @@
 }
 
 func (r *Rank) commit(c Command) {
-	if !r.held || r.pending != c.Target {
+	if !r.held || r.pending != c.Decision {
 		return
 	}
 	r.previous = r.committed.Map
@@ -120,7 +120,7 @@
 }
 
 func (r *Rank) resume(c Command) {
-	if r.pending.IsZero() || r.pending.Forms() || r.pendingEpoch >= c.Epoch {
+	if r.pending.IsZero() || r.pending.IsFormation() || r.pendingEpoch >= c.Epoch {
 		return
 	}
 	// The order that follows needs a fencing number above the withdrawn one.
@@ -129,7 +129,7 @@
 }
 
 func (r *Rank) clearPending() {
-	r.pending = Target{}
+	r.pending = Decision{}
 	r.pendingEpoch = 0
 	r.held = false
 	r.refused = false
@@ -190,7 +190,7 @@
 // ready reports whether the engine has run a step of the committed decision, so
 // that its order can describe the pending one.
 func (r *Rank) ready() bool {
-	return r.pending.Forms() || r.committed.Index == 0 || r.next > r.committed.Step
+	return r.pending.IsFormation() || r.committed.Index == 0 || r.next > r.committed.Step
 }
 
 // Order returns the wanted state of the engine, and false if there is none. An
@@ -199,8 +199,8 @@
 	return r.order, r.order.Formation != 0 && !r.diverged
 }
 
-// StageWanted returns the map whose weights the engine should load, and false if there is none.
-func (r *Rank) StageWanted() (Version, bool) {
+// MapToStage returns the map whose weights the engine should load, and false if there is none.
+func (r *Rank) MapToStage() (Version, bool) {
 	if r.stage == 0 || slices.Contains(r.staged, r.stage) {
 		return 0, false
 	}
@@ -219,7 +219,7 @@
 
 func (r *Rank) wantedOrder() EngineOrder {
 	switch {
-	case r.pending.Forms():
+	case r.pending.IsFormation():
 		return EngineOrder{Epoch: r.pendingEpoch, Formation: r.pending.Formation, Map: r.pending.Map}
 	case r.committed.IsZero():
 		return EngineOrder{}
@@ -246,7 +246,7 @@
 	return Report{
 		Rank: r.index, Incarnation: r.incarnation, Seq: r.seq, Epoch: r.epoch,
 		Committed: r.committed, Pending: r.pending, PendingEpoch: r.pendingEpoch,
-		Held: r.held, Refused: r.refused, Diverged: r.diverged,
+		Promised: r.held, Refused: r.refused, Diverged: r.diverged,
 		Next: r.next, Staged: slices.Clone(r.staged),
 	}
 }
--- a/balance/lockstep/rank_test.go
+++ b/balance/lockstep/rank_test.go
@@ -13,16 +13,16 @@
 func preparedRank(t *testing.T) *Rank {
 	t.Helper()
 	r := NewRank(0, "inc_1")
-	form := Target{Formation: testEpoch, Map: 1}
-	receive := func(kind CommandKind, target Target) {
-		assert.Assert(t, r.Receive(Command{Kind: kind, Incarnation: "inc_1", Epoch: testEpoch, Target: target}))
+	form := Decision{Formation: testEpoch, Map: 1}
+	receive := func(kind CommandKind, target Decision) {
+		assert.Assert(t, r.Receive(Command{Kind: kind, Incarnation: "inc_1", Epoch: testEpoch, Decision: target}))
 	}
-	receive(Join, Target{})
+	receive(Join, Decision{})
 	receive(Prepare, form)
 	r.Observe(EngineState{Order: r.order, Staged: []Version{1, 2}})
 	receive(Commit, form)
 	assert.Equal(t, r.Report().Committed, form)
-	receive(Prepare, Target{Formation: testEpoch, Index: 1, Step: 10, Map: 2})
+	receive(Prepare, Decision{Formation: testEpoch, Index: 1, Step: 10, Map: 2})
 	return r
 }
 
@@ -32,10 +32,10 @@
 }
 
 func TestRankPromise(t *testing.T) {
-	change := Target{Formation: testEpoch, Index: 1, Step: 10, Map: 2}
-	other := Target{Formation: testEpoch, Index: 1, Step: 12, Map: 3}
-	command := func(kind CommandKind, epoch Epoch, target Target) Command {
-		return Command{Kind: kind, Incarnation: "inc_1", Epoch: epoch, Target: target}
+	change := Decision{Formation: testEpoch, Index: 1, Step: 10, Map: 2}
+	other := Decision{Formation: testEpoch, Index: 1, Step: 12, Map: 3}
+	command := func(kind CommandKind, epoch Epoch, target Decision) Command {
+		return Command{Kind: kind, Incarnation: "inc_1", Epoch: epoch, Decision: target}
 	}
 	tests := []struct {
 		name string
@@ -43,52 +43,52 @@
 		want func(r Report) bool
 	}{
 		{"holds once the engine shows the order", hold, func(r Report) bool {
-			return r.Held && r.Pending == change
+			return r.Promised && r.Pending == change
 		}},
 		{"does not hold while the engine shows an earlier order", func(r *Rank) {
 			old := r.order
 			old.Turn--
 			r.Observe(EngineState{Order: old, Next: 5, LastMap: 1, Staged: []Version{1, 2}})
-		}, func(r Report) bool { return !r.Held && !r.Refused }},
+		}, func(r Report) bool { return !r.Promised && !r.Refused }},
 		{"refuses when the engine is past the step", func(r *Rank) {
 			r.Observe(EngineState{Order: r.order, Next: 11, LastMap: 1, Staged: []Version{1, 2}})
-		}, func(r Report) bool { return !r.Held && r.Refused && !r.Diverged }},
+		}, func(r Report) bool { return !r.Promised && r.Refused && !r.Diverged }},
 		{"refuses without the weights", func(r *Rank) {
 			r.Observe(EngineState{Order: r.order, Next: 5, LastMap: 1, Staged: []Version{1}})
-		}, func(r Report) bool { return !r.Held && r.Refused }},
+		}, func(r Report) bool { return !r.Promised && r.Refused }},
 		{"promises one target per epoch", func(r *Rank) {
 			r.Receive(command(Prepare, testEpoch, other))
 			hold(r)
-		}, func(r Report) bool { return r.Held && r.Pending == change }},
+		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"keeps its promise when it joins a higher epoch", func(r *Rank) {
 			hold(r)
-			r.Receive(command(Join, testEpoch+1, Target{}))
-		}, func(r Report) bool { return r.Held && r.Pending == change && r.Epoch == testEpoch+1 }},
+			r.Receive(command(Join, testEpoch+1, Decision{}))
+		}, func(r Report) bool { return r.Promised && r.Pending == change && r.Epoch == testEpoch+1 }},
 		{"ignores the commit of a lower epoch", func(r *Rank) {
 			hold(r)
-			r.Receive(command(Join, testEpoch+1, Target{}))
+			r.Receive(command(Join, testEpoch+1, Decision{}))
 			r.Receive(command(Commit, testEpoch, change))
-		}, func(r Report) bool { return r.Held && r.Pending == change }},
+		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"ignores the commit of another target", func(r *Rank) {
 			hold(r)
 			r.Receive(command(Commit, testEpoch, other))
-		}, func(r Report) bool { return r.Held && r.Pending == change }},
+		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"ignores a commit without its promise", func(r *Rank) {
 			r.Receive(command(Commit, testEpoch, change))
 		}, func(r Report) bool { return r.Pending == change }},
 		{"ignores a resume of the epoch that it promised in", func(r *Rank) {
 			hold(r)
-			r.Receive(command(Resume, testEpoch, Target{}))
-		}, func(r Report) bool { return r.Held && r.Pending == change }},
+			r.Receive(command(Abort, testEpoch, Decision{}))
+		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"resumes for a higher epoch", func(r *Rank) {
 			hold(r)
-			r.Receive(command(Join, testEpoch+1, Target{}))
-			r.Receive(command(Resume, testEpoch+1, Target{}))
-		}, func(r Report) bool { return !r.Held && r.Pending.IsZero() && r.Committed.Index == 0 }},
+			r.Receive(command(Join, testEpoch+1, Decision{}))
+			r.Receive(command(Abort, testEpoch+1, Decision{}))
+		}, func(r Report) bool { return !r.Promised && r.Pending.IsZero() && r.Committed.Index == 0 }},
 		{"ignores commands for another incarnation", func(r *Rank) {
 			hold(r)
-			r.Receive(Command{Kind: Commit, Incarnation: "inc_2", Epoch: testEpoch, Target: change})
-		}, func(r Report) bool { return r.Held && r.Pending == change }},
+			r.Receive(Command{Kind: Commit, Incarnation: "inc_2", Epoch: testEpoch, Decision: change})
+		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"reports an engine that broke the promise", func(r *Rank) {
 			hold(r)
 			r.Observe(EngineState{Order: r.order, Next: 11, LastMap: 1, Staged: []Version{1, 2}})
--- a/balance/lockstep/types.go
+++ b/balance/lockstep/types.go
@@ -40,9 +40,9 @@
 // Never is a step that no group reaches.
 const Never Step = math.MaxUint64
 
-// Target is one decision on the map of a group: from Step on, the formation
+// Decision is one decision on the map of a group: from Step on, the formation
 // uses Map until the decision with the next Index.
-type Target struct {
+type Decision struct {
 	// Formation is the epoch in which the group was formed. Zero means none.
 	Formation Epoch `cbor:"1,keyasint,omitempty"`
 	// Index counts the decisions of a formation. Index zero forms the group at step zero.
@@ -52,13 +52,13 @@
 }
 
 // IsZero reports whether t is no decision.
-func (t Target) IsZero() bool { return t == Target{} }
+func (t Decision) IsZero() bool { return t == Decision{} }
 
-// Forms reports whether t forms a group, as opposed to changing its map.
-func (t Target) Forms() bool { return !t.IsZero() && t.Index == 0 }
+// IsFormation reports whether t forms a group, as opposed to changing its map.
+func (t Decision) IsFormation() bool { return !t.IsZero() && t.Index == 0 }
 
 // After reports whether t was decided later than u.
-func (t Target) After(u Target) bool {
+func (t Decision) After(u Decision) bool {
 	if t.Formation != u.Formation {
 		return t.Formation > u.Formation
 	}
@@ -77,8 +77,8 @@
 	Prepare
 	// Commit tells that every rank gave the promise.
 	Commit
-	// Resume withdraws a promise that was given in a lower epoch.
-	Resume
+	// Abort withdraws a promise that was given in a lower epoch.
+	Abort
 )
 
 // Command is a message from a coordinator to a rank. All commands are idempotent.
@@ -88,8 +88,8 @@
 	// Incarnation is the run of the agent that the command is for. Join is for any.
 	Incarnation id.Incarnation `cbor:"3,keyasint,omitempty"`
 	Epoch       Epoch          `cbor:"4,keyasint"`
-	// Target is set for Prepare and Commit.
-	Target Target `cbor:"5,keyasint,omitempty"`
+	// Decision is set for Prepare and Commit.
+	Decision Decision `cbor:"5,keyasint,omitempty"`
 	// Map is set for Stage.
 	Map Version `cbor:"6,keyasint,omitempty"`
 }
@@ -103,12 +103,12 @@
 	// Epoch is the greatest epoch that the rank joined.
 	Epoch Epoch `cbor:"4,keyasint"`
 	// Committed is the latest decision, zero for a rank outside any formation.
-	Committed Target `cbor:"5,keyasint,omitempty"`
+	Committed Decision `cbor:"5,keyasint,omitempty"`
 	// Pending is the decision that the rank was asked to promise, and PendingEpoch by whom.
-	Pending      Target `cbor:"6,keyasint,omitempty"`
-	PendingEpoch Epoch  `cbor:"7,keyasint,omitempty"`
-	// Held is the promise: the engine will not begin the step of Pending without a commit.
-	Held bool `cbor:"8,keyasint,omitempty"`
+	Pending      Decision `cbor:"6,keyasint,omitempty"`
+	PendingEpoch Epoch    `cbor:"7,keyasint,omitempty"`
+	// Promised is the promise: the engine will not begin the step of Pending without a commit.
+	Promised bool `cbor:"8,keyasint,omitempty"`
 	// Refused tells that the engine was past the step of Pending already, or
 	// does not hold the weights of its map.
 	Refused bool `cbor:"9,keyasint,omitempty"`
@@ -151,9 +151,9 @@
 	return o.Next
 }
 
-// Enters reports whether o allows no step. Only such an order takes an engine
+// EntersFormation reports whether o allows no step. Only such an order takes an engine
 // into another formation, which then starts at step zero.
-func (o EngineOrder) Enters() bool { return o.SwitchAt == 0 && o.Next == 0 }
+func (o EngineOrder) EntersFormation() bool { return o.SwitchAt == 0 && o.Next == 0 }
 
 // Older reports whether o has a lower fencing number than p.
 func (o EngineOrder) Older(p EngineOrder) bool {
--- a/entry/coordinator/atlas.go
+++ b/entry/coordinator/atlas.go
@@ -83,7 +83,7 @@
 	var decided, staged lockstep.Version
 	for _, r := range reports {
 		decided = max(decided, r.Committed.Map)
-		if r.Pending.Forms() {
+		if r.Pending.IsFormation() {
 			decided = max(decided, r.Pending.Map)
 		}
 		for _, v := range r.Staged {
--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -90,7 +90,7 @@
 	sincePlan int
 	phase     lockstep.Phase
 	silent    []int
-	committed lockstep.Target
+	committed lockstep.Decision
 }
 
 // New returns a duty that is idle until the process holds the lease.
@@ -106,7 +106,7 @@
 	Epoch  lockstep.Epoch `json:"epoch"`
 	Phase  lockstep.Phase `json:"phase"`
 	// Committed is the decision that every rank has taken, if there is one.
-	Committed lockstep.Target `json:"committed"`
+	Committed lockstep.Decision `json:"committed"`
 	// Step is the greatest next step that a rank has reported.
 	Step lockstep.Step `json:"step"`
 	// WaitsFor are the ranks that have not done yet what the phase needs.
@@ -144,7 +144,7 @@
 		return
 	}
 	d.sincePlan++
-	d.core.SetCautious(!d.leases.Renewed())
+	d.core.SetChangesPaused(!d.leases.Renewed())
 	d.advance()
 	d.send(d.core.Tick())
 	d.noteSilent()
@@ -200,7 +200,7 @@
 	d.sincePlan = 0
 	d.phase = ""
 	d.silent = nil
-	d.committed = lockstep.Target{}
+	d.committed = lockstep.Decision{}
 	d.record(EventStarted, "lease %d", number)
 }
 
--- a/entry/coordinator/coordinator_test.go
+++ b/entry/coordinator/coordinator_test.go
@@ -50,7 +50,7 @@
 func running(rank int, epoch lockstep.Epoch, seq uint64) groupmsg.Status {
 	return groupmsg.Status{Group: "g", Report: lockstep.Report{
 		Rank: rank, Incarnation: "inc", Seq: seq, Epoch: epoch, Next: 100, Staged: []lockstep.Version{9},
-		Committed: lockstep.Target{Formation: 5, Map: 9},
+		Committed: lockstep.Decision{Formation: 5, Map: 9},
 	}}
 }
 
@@ -179,7 +179,7 @@
 	d.Tick()
 	for rank := range 2 {
 		status := running(rank, lockstep.NewEpoch(1), 1)
-		status.Report.Committed, status.Report.Staged = lockstep.Target{}, nil
+		status.Report.Committed, status.Report.Staged = lockstep.Decision{}, nil
 		d.Receive(status)
 	}
 	s.take()
--- a/entry/coordinator/plan.go
+++ b/entry/coordinator/plan.go
@@ -81,7 +81,7 @@
 	}
 	d.committed = t
 	kind := EventSwitched
-	if t.Forms() {
+	if t.IsFormation() {
 		kind = EventFormed
 	}
 	d.record(kind, "map %d from step %d of formation %d", t.Map, t.Step, t.Formation)
@@ -192,7 +192,7 @@
 	d.made++
 	v := lockstep.NewVersion(d.lease, d.made)
 	d.atlas.add(v, p.target)
-	d.core.SetTarget(v)
+	d.core.SetTargetMap(v)
 	plansMade.Inc()
 	bytesRanks.AddInt64(p.rankBytes)
 	bytesStore.AddInt64(p.storeBytes)
--- a/entry/groups/config.go
+++ b/entry/groups/config.go
@@ -65,5 +65,5 @@
 
 func (c Config) lockstep() lockstep.Config {
 	poll := c.ticks(c.PollInterval)
-	return lockstep.Config{PollTicks: poll, FreshTicks: missedPolls * poll}
+	return lockstep.Config{PollTicks: poll, MaxReportAgeTicks: missedPolls * poll}
 }
--- a/itest/group/engine_test.go
+++ b/itest/group/engine_test.go
@@ -65,7 +65,7 @@
 		return errStalled
 	case !e.ignoreFence && o.Older(e.state.Order):
 		return errFenced
-	case o.Formation != e.state.Order.Formation && !o.Enters():
+	case o.Formation != e.state.Order.Formation && !o.EntersFormation():
 		return errOutside
 	}
 	if e.delay == 0 {
--- a/itest/group/group_test.go
+++ b/itest/group/group_test.go
@@ -108,7 +108,7 @@
 // formation that its successor joined.
 func (w *world) earlierAgentForms() {
 	w.agents[1] = w.newAgent(1)
-	w.until(limit, "pending formation", func() bool { return w.engines[0].snapshot().Order.Enters() })
+	w.until(limit, "pending formation", func() bool { return w.engines[0].snapshot().Order.EntersFormation() })
 	earlier := w.agents[0]
 	w.agents[0] = w.newAgent(0)
 	w.newMap()
--- a/lab/ranks/rank.go
+++ b/lab/ranks/rank.go
@@ -58,7 +58,7 @@
 	if fencing && o.Older(e.state.Order) {
 		return errFenced
 	}
-	if o.Formation != e.state.Order.Formation && !o.Enters() {
+	if o.Formation != e.state.Order.Formation && !o.EntersFormation() {
 		return errOutside
 	}
 	if e.faults.OrderDelay > 0 {
