--- a/balance/expertmap/demand.go
+++ b/balance/expertmap/demand.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// DemandConfig sets up a Demand.
+// DemandConfig sets up a DemandEstimator.
 type DemandConfig struct {
 	// Sets and Experts are the sets of layers and the experts of a set. Required.
 	Sets, Experts int
 	// Ranks is the number of ranks. Required.
 	Ranks int
-	// Sampled is the number of ranks that send samples. Default: Ranks.
-	Sampled int
-	// Memory is the time constant with which samples are forgotten while demand
+	// SampledRanks is the number of ranks that send samples. Default: Ranks.
+	SampledRanks int
+	// TimeConstant is the time constant with which samples are forgotten while demand
 	// is steady. Default: 1 s.
-	Memory time.Duration
-	// Shift is the distance between the demand in one pass and the estimate from
+	TimeConstant time.Duration
+	// ShiftThreshold is the distance between the demand in one pass and the estimate from
 	// which on earlier samples are dropped: half the sum of the differences of
 	// the experts' parts. Default: 0.2; under steady load passes differ by 0.12.
-	Shift float64
+	ShiftThreshold float64
 }
 
 const (
@@ -34,10 +34,10 @@
 	enoughRanks = 0.75
 )
 
-// Demand estimates how often the experts of each set are chosen, from samples of
+// DemandEstimator estimates how often the experts of each set are chosen, from samples of
 // the ranks. A sudden change drops what was counted before. It is not safe for
 // concurrent use.
-type Demand struct {
+type DemandEstimator struct {
 	cfg  DemandConfig
 	sets []setDemand
 
@@ -57,24 +57,24 @@
 	noise float64
 }
 
-// NewDemand returns an estimate without samples.
-func NewDemand(cfg DemandConfig) *Demand {
-	if cfg.Memory == 0 {
-		cfg.Memory = defaultMemory
+// NewDemandEstimator returns an estimate without samples.
+func NewDemandEstimator(cfg DemandConfig) *DemandEstimator {
+	if cfg.TimeConstant == 0 {
+		cfg.TimeConstant = defaultMemory
 	}
-	if cfg.Shift == 0 {
-		cfg.Shift = defaultShift
+	if cfg.ShiftThreshold == 0 {
+		cfg.ShiftThreshold = defaultShift
 	}
-	if cfg.Sampled == 0 {
-		cfg.Sampled = cfg.Ranks
+	if cfg.SampledRanks == 0 {
+		cfg.SampledRanks = cfg.Ranks
 	}
-	d := &Demand{cfg: cfg}
+	d := &DemandEstimator{cfg: cfg}
 	d.Reset()
 	return d
 }
 
 // Reset forgets all samples.
-func (d *Demand) Reset() {
+func (d *DemandEstimator) Reset() {
 	d.sets = make([]setDemand, d.cfg.Sets)
 	for s := range d.sets {
 		d.sets[s].load = make(Load, d.cfg.Experts)
@@ -83,14 +83,14 @@
 	d.seen, d.have, d.passes = make([]bool, d.cfg.Ranks), 0, 0
 }
 
-// Add takes in what a rank counted since its last sample, set by set. It returns
+// AddSample takes in what a rank counted since its last sample, set by set. It returns
 // true if the estimate changed.
-func (d *Demand) Add(rank int, counts []float64, now time.Duration) bool {
+func (d *DemandEstimator) AddSample(rank int, counts []float64, now time.Duration) bool {
 	if len(counts) != len(d.pass) || rank < 0 || rank >= len(d.seen) {
 		return false
 	}
 	changed := false
-	if d.seen[rank] && float64(d.have) >= enoughRanks*float64(d.cfg.Sampled) {
+	if d.seen[rank] && float64(d.have) >= enoughRanks*float64(d.cfg.SampledRanks) {
 		d.close(now) // The ranks that are missing have no work, or are silent.
 		changed = true
 	}
@@ -101,7 +101,7 @@
 	for i, n := range counts {
 		d.pass[i] += n
 	}
-	if d.have >= d.cfg.Sampled {
+	if d.have >= d.cfg.SampledRanks {
 		d.close(now)
 		changed = true
 	}
@@ -109,8 +109,8 @@
 }
 
 // close adds what was collected to the estimate.
-func (d *Demand) close(now time.Duration) {
-	keep := 1 - min(1, float64(now-d.updated)/float64(d.cfg.Memory))
+func (d *DemandEstimator) close(now time.Duration) {
+	keep := 1 - min(1, float64(now-d.updated)/float64(d.cfg.TimeConstant))
 	for s := range d.sets {
 		d.sets[s].add(d, d.pass[s*d.cfg.Experts:(s+1)*d.cfg.Experts], keep)
 	}
@@ -121,7 +121,7 @@
 	d.have = 0
 }
 
-func (s *setDemand) add(d *Demand, pass []float64, keep float64) {
+func (s *setDemand) add(d *DemandEstimator, pass []float64, keep float64) {
 	total, passTotal := s.load.Total(), Load(pass).Total()
 	if passTotal == 0 {
 		return
@@ -131,7 +131,7 @@
 		for e, n := range pass {
 			distance += abs(n/passTotal-s.load[e]/total) / 2
 		}
-		if distance > max(d.cfg.Shift, noiseFactor*s.noise) {
+		if distance > max(d.cfg.ShiftThreshold, noiseFactor*s.noise) {
 			clear(s.load)
 			d.shifts++
 		}
@@ -151,8 +151,8 @@
 }
 
 // Loads returns the estimate, set by set, and false if there is none. The result
-// must not be changed and is valid until the next call of Add.
-func (d *Demand) Loads() ([]Load, bool) {
+// must not be changed and is valid until the next call of AddSample.
+func (d *DemandEstimator) Loads() ([]Load, bool) {
 	if d.passes == 0 {
 		return nil, false
 	}
@@ -164,7 +164,7 @@
 }
 
 // Age returns the time since the last pass that was counted.
-func (d *Demand) Age(now time.Duration) time.Duration { return now - d.updated }
+func (d *DemandEstimator) Age(now time.Duration) time.Duration { return now - d.updated }
 
 // Shifts returns how often a set's earlier samples were dropped.
-func (d *Demand) Shifts() int { return d.shifts }
+func (d *DemandEstimator) Shifts() int { return d.shifts }
--- a/balance/expertmap/demand_test.go
+++ b/balance/expertmap/demand_test.go
@@ -31,8 +31,8 @@
 
 func part(l Load, e int) float64 { return l[e] / l.Total() }
 
-func newDemand() *Demand {
-	return NewDemand(DemandConfig{Sets: 1, Experts: demandExperts, Ranks: demandRanks})
+func newDemand() *DemandEstimator {
+	return NewDemandEstimator(DemandConfig{Sets: 1, Experts: demandExperts, Ranks: demandRanks})
 }
 
 func TestDemandFollowsAShiftAtOnce(t *testing.T) {
@@ -45,7 +45,7 @@
 		for range rounds {
 			now += 40 * time.Millisecond
 			for r := range demandRanks {
-				d.Add(r, sample(rng, weights, 500), now)
+				d.AddSample(r, sample(rng, weights, 500), now)
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 		weights := []float64{5, 5, 5, 5, 5, 5, 5, 5}
 		weights[rng.IntN(demandExperts)] += 12 // Each request likes another expert.
 		for r := range demandRanks {
-			d.Add(r, sample(rng, weights, 60), time.Duration(i)*40*time.Millisecond)
+			d.AddSample(r, sample(rng, weights, 60), time.Duration(i)*40*time.Millisecond)
 		}
 	}
 	assert.Assert(t, d.Shifts() < 40, "%d shifts", d.Shifts())
@@ -83,7 +83,7 @@
 	d := newDemand()
 	changes := 0
 	for i := range 40 {
-		if d.Add(i%demandRanks, sample(rng, []float64{8, 1, 1, 1, 1, 1, 1, 1}, 100), time.Duration(i)*10*time.Millisecond) {
+		if d.AddSample(i%demandRanks, sample(rng, []float64{8, 1, 1, 1, 1, 1, 1, 1}, 100), time.Duration(i)*10*time.Millisecond) {
 			changes++
 		}
 	}
@@ -96,12 +96,12 @@
 	changed := false
 	for i := range 3 {
 		for r := range 3 { // The last of four ranks is silent.
-			changed = d.Add(r, counts, time.Duration(i)*40*time.Millisecond) || changed
+			changed = d.AddSample(r, counts, time.Duration(i)*40*time.Millisecond) || changed
 		}
 	}
 	assert.Assert(t, changed)
-	assert.Assert(t, !d.Add(9, counts, time.Second))
-	assert.Assert(t, !d.Add(0, counts[:2], time.Second))
+	assert.Assert(t, !d.AddSample(9, counts, time.Second))
+	assert.Assert(t, !d.AddSample(0, counts[:2], time.Second))
 	d.Reset()
 	_, known := d.Loads()
 	assert.Assert(t, !known)
--- a/balance/expertmap/round.go
+++ b/balance/expertmap/round.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Round plans one of several quick changes: the maps of all sets of layers at
+// RoundPlanner plans one of several quick changes: the maps of all sets of layers at
 // once, with a bound on what each rank copies. As ranks copy side by side, the
 // bound fixes the time of the change.
-type Round struct {
-	// Ranks, Experts and Places are the ranks of the group, the experts of a set
+type RoundPlanner struct {
+	// Ranks, Experts and SlotsPerRank are the ranks of the group, the experts of a set
 	// and the experts of a set that a rank can hold. Required.
-	Ranks, Experts, Places int
-	// MaxNew bounds the experts of a set that are new to a rank. Required.
-	MaxNew int
-	// Copies bounds the experts that a rank copies over all sets. Required.
-	Copies int
-	// Pace is how much slower than usual each rank is; one is usual. A rank's load
+	Ranks, Experts, SlotsPerRank int
+	// MaxNewPerSet bounds the experts of a set that are new to a rank. Required.
+	MaxNewPerSet int
+	// MaxCopiesPerRank bounds the experts that a rank copies over all sets. Required.
+	MaxCopiesPerRank int
+	// SlowFactors is how much slower than usual each rank is; one is usual. A rank's load
 	// counts that many times. Nil means that no rank is slow.
-	Pace []float64
+	SlowFactors []float64
 	// MinGain is the least reduction of the largest rank load over the mean,
 	// summed over the sets, that is worth a copy. Default: 0.005.
 	MinGain float64
@@ -48,7 +48,7 @@
 
 // Plan returns the change from the current maps under the loads, set by set.
 // It does not change its arguments.
-func (c Round) Plan(current []Map, loads []Load) RoundPlan {
+func (c RoundPlanner) Plan(current []Map, loads []Load) RoundPlan {
 	if c.MinGain == 0 {
 		c.MinGain = defaultMinGain
 	}
@@ -72,7 +72,7 @@
 
 // roundSearch lowers the peaks of all sets step by step.
 type roundSearch struct {
-	cfg    Round
+	cfg    RoundPlanner
 	sets   []*roundSet
 	copies []int
 }
@@ -138,17 +138,17 @@
 }
 
 // pace returns how much slower than usual a rank is.
-func (c Round) pace(rank int) float64 {
-	if c.Pace == nil {
+func (c RoundPlanner) pace(rank int) float64 {
+	if c.SlowFactors == nil {
 		return 1
 	}
-	return c.Pace[rank]
+	return c.SlowFactors[rank]
 }
 
 // roundSet is the placement of one set during a search. Loads are relative to
 // the mean of the ranks, and multiplied by the pace of their rank.
 type roundSet struct {
-	cfg    Round
+	cfg    RoundPlanner
 	places [][]int // by rank; -1 is empty
 	held   []map[int]bool
 	added  []int // copies at each rank in this set
@@ -161,7 +161,7 @@
 	touched []int
 }
 
-func newRoundSet(c Round, m Map, load Load) *roundSet {
+func newRoundSet(c RoundPlanner, m Map, load Load) *roundSet {
 	s := &roundSet{
 		cfg: c, added: make([]int, c.Ranks), on: make([][]int, c.Experts),
 		load: make([]float64, c.Experts), ranks: make([]float64, c.Ranks), delta: make([]float64, c.Ranks),
@@ -173,10 +173,10 @@
 		}
 	}
 	for r := range c.Ranks {
-		row := slices.Repeat([]int{-1}, c.Places)
-		held := make(map[int]bool, c.Places)
+		row := slices.Repeat([]int{-1}, c.SlotsPerRank)
+		held := make(map[int]bool, c.SlotsPerRank)
 		for i, e := range m.Slots[r] {
-			if e != NoExpert && i < c.Places {
+			if e != NoExpert && i < c.SlotsPerRank {
 				row[i] = int(e)
 				held[int(e)] = true
 				s.on[e] = append(s.on[e], r)
@@ -239,7 +239,7 @@
 	if expert < 0 || s.held[rank][expert] {
 		return true
 	}
-	return p.copies[rank] < p.cfg.Copies && s.added[rank] < p.cfg.MaxNew
+	return p.copies[rank] < p.cfg.MaxCopiesPerRank && s.added[rank] < p.cfg.MaxNewPerSet
 }
 
 // power returns the load to the order of the norm, for a rank that is not overdrawn.
--- a/balance/expertmap/round_test.go
+++ b/balance/expertmap/round_test.go
@@ -86,7 +86,7 @@
 			}
 			return out
 		}
-		c := Round{Ranks: size.ranks, Experts: size.experts, Places: size.places, MaxNew: size.maxNew, Copies: 1}
+		c := RoundPlanner{Ranks: size.ranks, Experts: size.experts, SlotsPerRank: size.places, MaxNewPerSet: size.maxNew, MaxCopiesPerRank: 1}
 		var shifted, first, last []float64
 		for shift := range 12 {
 			for s := range order {
@@ -151,9 +151,9 @@
 				loads[s][e] = pop[i]
 			}
 		}
-		c := Round{Ranks: size.ranks, Experts: size.experts, Places: size.places, MaxNew: size.maxNew, Copies: 1}
+		c := RoundPlanner{Ranks: size.ranks, Experts: size.experts, SlotsPerRank: size.places, MaxNewPerSet: size.maxNew, MaxCopiesPerRank: 1}
 		after := func(pace []float64, rounds int) float64 {
-			c.Pace = pace
+			c.SlowFactors = pace
 			var p RoundPlan
 			for range rounds {
 				p = c.Plan(maps, loads)
@@ -170,7 +170,7 @@
 		pace[slow] = 5
 		before := 0.0
 		for s := range maps {
-			before += maps[s].SkewAt(loads[s], pace) / float64(size.sets)
+			before += maps[s].WeightedSkew(loads[s], pace) / float64(size.sets)
 		}
 		spared := after(pace, roundsIn3s)
 		again := after(nil, roundsIn3s)
--- a/balance/expertmap/types.go
+++ b/balance/expertmap/types.go
@@ -91,10 +91,10 @@
 }
 
 // Skew returns the largest rank load over the mean, one if there is no load.
-func (m Map) Skew(load Load) float64 { return m.SkewAt(load, nil) }
+func (m Map) Skew(load Load) float64 { return m.WeightedSkew(load, nil) }
 
-// SkewAt is Skew with each rank's load multiplied by its pace. Nil stands for ones.
-func (m Map) SkewAt(load Load, pace []float64) float64 {
+// WeightedSkew is Skew with each rank's load multiplied by its pace. Nil stands for ones.
+func (m Map) WeightedSkew(load Load, pace []float64) float64 {
 	loads := m.RankLoads(load)
 	mean := load.Total() / float64(len(loads))
 	if mean == 0 {
--- a/entry/expertmaps/coordinator.go
+++ b/entry/expertmaps/coordinator.go
@@ -47,7 +47,7 @@
 	Rest time.Duration
 	// Copies bounds the experts that a rank copies for one change. Default: 1.
 	Copies int
-	// RankGain is the least gain of a copy, see expertmap.Round, times the number
+	// RankGain is the least gain of a copy, see expertmap.RoundPlanner, times the number
 	// of ranks: a copy costs as much in a large group, but all ranks gain by it.
 	// It holds for groups that are busy; idle ones need up to three times as much.
 	// Default: 0.64, where copies cost about what they gain.
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -27,7 +27,7 @@
 	followed *metrics.Histogram
 	log      zerolog.Logger
 	machine  *mapswitch.Coordinator
-	demand   *expertmap.Demand
+	demand   *expertmap.DemandEstimator
 	ranks    []member
 	// sampledAt is when the last sample of any rank came.
 	sampledAt time.Duration
@@ -67,9 +67,9 @@
 		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, slots: s.engine.Slots,
 		log:     s.log,
 		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.lease),
-		demand: expertmap.NewDemand(expertmap.DemandConfig{
-			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, Memory: s.cfg.Memory,
-			Sampled: s.cfg.sampledRanks(size, s.engine.Slots),
+		demand: expertmap.NewDemandEstimator(expertmap.DemandConfig{
+			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, TimeConstant: s.cfg.Memory,
+			SampledRanks: s.cfg.sampledRanks(size, s.engine.Slots),
 		}),
 		ranks:    make([]member, size),
 		followed: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
@@ -143,7 +143,7 @@
 	}
 	rank := g.rankOf(l)
 	g.sampledAt, g.ranks[rank].sampledAt = now, now
-	if g.demand.Add(rank, counts, now) {
+	if g.demand.AddSample(rank, counts, now) {
 		g.follow(now)
 	}
 }
@@ -218,9 +218,9 @@
 	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.Rest && skew < g.rested.skew+g.cfg.MinReduction {
 		return false
 	}
-	round := expertmap.Round{
-		Ranks: g.size, Experts: g.experts.PerSet, Places: g.experts.Places,
-		MaxNew: g.experts.MaxNew, Copies: g.cfg.Copies, MinGain: g.minGain(skew), Pace: pace,
+	round := expertmap.RoundPlanner{
+		Ranks: g.size, Experts: g.experts.PerSet, SlotsPerRank: g.experts.Places,
+		MaxNewPerSet: g.experts.MaxNew, MaxCopiesPerRank: g.cfg.Copies, MinGain: g.minGain(skew), SlowFactors: pace,
 	}
 	p := round.Plan(maps, loads)
 	if p.SkewBefore-p.SkewAfter < g.cfg.MinReduction {
@@ -295,7 +295,7 @@
 func meanSkew(maps []expertmap.Map, loads []expertmap.Load, pace []float64) float64 {
 	var sum float64
 	for i, m := range maps {
-		sum += m.SkewAt(loads[i], pace)
+		sum += m.WeightedSkew(loads[i], pace)
 	}
 	return sum / float64(max(len(maps), 1))
 }
