--- a/entry/expertmaps/session.go
+++ b/entry/expertmaps/session.go
@@ -102,7 +102,7 @@
 			s.close(l)
 		}
 		s.links[e.Name] = ranklink.Open(ctx, ranklink.Options{
-			Endpoint: e, Source: s.source, Direct: s.direct, Events: s.events, Report: s.report,
+			Endpoint: e, Source: s.source, EngineClient: s.direct, Events: s.events, Report: s.report,
 			Watch: s.cfg.watch(false),
 		})
 	}
--- a/entry/ranklink/link.go
+++ b/entry/ranklink/link.go
@@ -64,9 +64,9 @@
 	// Source is the address of this host from which relays are reached. Default:
 	// the operating system's choice.
 	Source netip.Addr
-	// Direct returns a client for a rank that has no relay. Nil keeps the link
+	// EngineClient returns a client for a rank that has no relay. Nil keeps the link
 	// from asking the rank itself.
-	Direct func(address string) relay.Engine
+	EngineClient func(address string) relay.Engine
 	// StateOnly keeps the link from asking a rank without a relay for its experts.
 	StateOnly bool
 	Events    chan<- Event
@@ -249,11 +249,11 @@
 func (l *Link) runDirect(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, directFor)
 	defer cancel()
-	if l.opt.Direct == nil {
+	if l.opt.EngineClient == nil {
 		<-ctx.Done()
 		return
 	}
-	engine := l.opt.Direct(l.opt.Endpoint.Address)
+	engine := l.opt.EngineClient(l.opt.Endpoint.Address)
 	interval := directInterval
 	if watched := time.Duration(l.opt.Watch.StateMillis) * time.Millisecond; l.opt.StateOnly {
 		interval = min(max(watched, directInterval), directFor/2)
@@ -281,7 +281,7 @@
 	case o.Op == relay.Ping:
 		r = reach(ctx, engine)
 	case o.Address != "":
-		r = l.opt.Direct(o.Address).Order(ctx, o)
+		r = l.opt.EngineClient(o.Address).Order(ctx, o)
 	default:
 		r = engine.Order(ctx, o)
 	}
--- a/entry/ranklink/link_test.go
+++ b/entry/ranklink/link_test.go
@@ -41,7 +41,7 @@
 	t.Cleanup(func() { _ = l.Close() })
 	f.link = Open(t.Context(), Options{
 		Endpoint: Endpoint{Name: "e", Address: "127.0.0.1:1", Relay: l.Addr().String()}, Watch: relay.Watch{StateMillis: 20},
-		Direct: func(string) relay.Engine { return &f.rank }, Events: f.events,
+		EngineClient: func(string) relay.Engine { return &f.rank }, Events: f.events,
 		Report: func(_ *Link, what string, err error) { t.Log(what, err) },
 	})
 	return f
--- a/entry/roster/scout.go
+++ b/entry/roster/scout.go
@@ -73,7 +73,7 @@
 			l.Close()
 		}
 		s.links[e.Name] = ranklink.Open(ctx, ranklink.Options{
-			Endpoint: e, Source: s.Source, Direct: s.Direct, StateOnly: true, Events: events,
+			Endpoint: e, Source: s.Source, EngineClient: s.Direct, StateOnly: true, Events: events,
 			Watch:  relay.Watch{StateMillis: int(lookInterval.Milliseconds())},
 			Report: func(*ranklink.Link, string, error) {}, // The coordinator of the group reports.
 		})
