--- a/entry/direct/groups.go
+++ b/entry/direct/groups.go
@@ -53,7 +53,7 @@
 	// List returns the endpoints of the service with their zones.
 	List func() map[ranklink.Endpoint]id.Zone
 	// Roster tells the groups of the endpoints, as far as they are known.
-	Roster *roster.Book
+	Roster *roster.Roster
 	// Source is the address of this host from which relays are reached.
 	Source netip.Addr
 	Log    zerolog.Logger
@@ -164,7 +164,7 @@
 
 // unknowns returns since when endpoints are listed that the roster does not tell of.
 func (g *GroupWatch) unknowns(now time.Time) map[ranklink.Endpoint]time.Time {
-	seats := g.Roster.Seats()
+	seats := g.Roster.Ranks()
 	for e := range g.listed {
 		if _, ok := seats[e.Name]; ok {
 			delete(g.unknown, e)
@@ -186,7 +186,7 @@
 	if w := g.links[e]; w != nil && w.state.Group != "" {
 		return w.state.Group
 	}
-	return g.Roster.Seats()[e.Name].Group
+	return g.Roster.Ranks()[e.Name].Group
 }
 
 // choose returns the ranks to look at often: near ones first, in an order that
@@ -268,7 +268,7 @@
 			down++
 		}
 	}
-	seats := g.Roster.Seats()
+	seats := g.Roster.Ranks()
 	seen := make(map[id.Endpoint]RankSeen, len(g.listed))
 	for e := range g.listed {
 		group := g.groupOf(e)
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -30,7 +30,7 @@
 	rank := ranklink.Endpoint{Name: "a", Address: "127.0.0.1:1"}
 	w := &watched{look: look{every: fastLook, decides: true}}
 	return &GroupWatch{
-		Service: h.Service("s"), Roster: roster.NewBook(func() {}), Log: zerolog.Nop(),
+		Service: h.Service("s"), Roster: roster.New(func() {}), Log: zerolog.Nop(),
 		links: map[ranklink.Endpoint]*watched{rank: w}, listed: map[ranklink.Endpoint]id.Zone{rank: "z"},
 	}, w
 }
--- a/entry/edge/maps.go
+++ b/entry/edge/maps.go
@@ -49,7 +49,7 @@
 type service struct {
 	name   id.Service
 	engine routes.Engine
-	book   *roster.Book
+	book   *roster.Roster
 	ctx    context.Context
 	cancel context.CancelFunc
 	// scout is nil unless the entry is a scout.
@@ -89,7 +89,7 @@
 // start begins to work for a service. The caller holds mu.
 func (m *maps) start(name id.Service, engine *routes.Engine) {
 	e := m.edge
-	s := &service{name: name, engine: *engine, book: roster.NewBook(e.mesh.Changed), groups: make(map[id.Group]*coordinated)}
+	s := &service{name: name, engine: *engine, book: roster.New(e.mesh.Changed), groups: make(map[id.Group]*coordinated)}
 	s.ctx, s.cancel = context.WithCancel(e.ctx)
 	m.of[name] = s
 	if state := e.handler.Service(name); state != nil {
@@ -141,7 +141,7 @@
 
 // zonesOf returns the zones of the ranks of each group.
 func (m *maps) zonesOf(s *service) map[id.Group]map[id.Zone]bool {
-	seats := s.book.Seats()
+	seats := s.book.Ranks()
 	out := make(map[id.Group]map[id.Zone]bool)
 	for ep, zone := range m.edge.ranks(s.name) {
 		group := seats[ep.Name].Group
@@ -183,8 +183,8 @@
 func (m *maps) startScout(s *service) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.scout = cancel
-	x := roster.Scout{
-		Book: s.book, Host: m.edge.cfg.Host, Source: m.edge.cfg.Source, Direct: m.edge.adapter.Engine,
+	x := roster.Collector{
+		Roster: s.book, Host: m.edge.cfg.Host, Source: m.edge.cfg.Source, EngineClient: m.edge.adapter.Engine,
 		List: func() []ranklink.Endpoint { return m.edge.ranksOf(s, func(id.Group) bool { return true }) },
 	}
 	m.wg.Go(func() { x.Run(ctx) })
@@ -241,7 +241,7 @@
 const rosterTopic = "roster."
 
 // book returns the roster that a topic names, or nil.
-func (m *maps) book(t mesh.Topic) *roster.Book {
+func (m *maps) book(t mesh.Topic) *roster.Roster {
 	name, ok := strings.CutPrefix(string(t), rosterTopic)
 	if !ok {
 		return nil
@@ -283,7 +283,7 @@
 // ranksOf lists the endpoints of a service by their group, which is empty for those
 // without a seat in the roster. Those of this zone come first.
 func (e *Edge) ranksOf(s *service, group func(id.Group) bool) []ranklink.Endpoint {
-	seats := s.book.Seats()
+	seats := s.book.Ranks()
 	zones := e.ranks(s.name)
 	var out []ranklink.Endpoint
 	for ep := range zones {
--- a/entry/edge/values.go
+++ b/entry/edge/values.go
@@ -186,7 +186,7 @@
 		e.values.put(t, v)
 		return
 	}
-	if err := book.Take(v.Version, v.Data); err != nil {
+	if err := book.Update(v.Version, v.Data); err != nil {
 		e.log.Error().Err(err).Str("event", "roster.rejected").Str("topic", string(t)).Send()
 	}
 }
--- a/entry/roster/book.go
+++ b/entry/roster/book.go
@@ -15,8 +15,8 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Seat is what is known of the rank behind an endpoint.
-type Seat struct {
+// Rank is what is known of the rank behind an endpoint.
+type Rank struct {
 	Group id.Group `cbor:"1,keyasint"`
 	// Pace is above one while the rank is slow, in steps of paceStep.
 	Pace float64 `cbor:"2,keyasint"`
@@ -26,44 +26,44 @@
 // each look.
 const paceStep = 0.25
 
-func newSeat(group id.Group, pace float64) Seat {
-	return Seat{Group: group, Pace: max(math.Round(pace/paceStep)*paceStep, 1)}
+func newSeat(group id.Group, pace float64) Rank {
+	return Rank{Group: group, Pace: max(math.Round(pace/paceStep)*paceStep, 1)}
 }
 
 // authorBits is the number of bits of a version that tell versions of different
 // scouts apart.
 const authorBits = 8
 
-// Book holds the newest roster of a service. It is safe for concurrent use.
-type Book struct {
+// Roster holds the newest roster of a service. It is safe for concurrent use.
+type Roster struct {
 	// changed is told of a new version. It must not block.
 	changed func()
 
 	mu      sync.Mutex // leaf lock
 	version uint64
-	seats   map[id.Endpoint]Seat // replaced, never changed
+	seats   map[id.Endpoint]Rank // replaced, never changed
 }
 
-// NewBook returns an empty book. Changed, which may be nil, is told of a version
+// New returns an empty book. Changed, which may be nil, is told of a version
 // that this entry wrote.
-func NewBook(changed func()) *Book {
+func New(changed func()) *Roster {
 	if changed == nil {
 		changed = func() {}
 	}
-	return &Book{changed: changed}
+	return &Roster{changed: changed}
 }
 
-// Seats returns the roster, which must not be changed.
-func (b *Book) Seats() map[id.Endpoint]Seat {
+// Ranks returns the roster, which must not be changed.
+func (b *Roster) Ranks() map[id.Endpoint]Rank {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.seats
 }
 
 // Groups returns the groups in order.
-func (b *Book) Groups() []id.Group {
+func (b *Roster) Groups() []id.Group {
 	var out []id.Group
-	for _, s := range b.Seats() {
+	for _, s := range b.Ranks() {
 		if !slices.Contains(out, s.Group) {
 			out = append(out, s.Group)
 		}
@@ -73,23 +73,23 @@
 }
 
 // Version returns the version of the roster, zero if there is none.
-func (b *Book) Version() uint64 {
+func (b *Roster) Version() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.version
 }
 
 // Encode returns the version and the encoded roster.
-func (b *Book) Encode() (version uint64, data []byte, err error) {
+func (b *Roster) Encode() (version uint64, data []byte, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	data, err = cbor.Marshal(b.seats)
 	return b.version, data, err
 }
 
-// Take takes in a roster of another entry if its version is greater.
-func (b *Book) Take(version uint64, data []byte) error {
-	var seats map[id.Endpoint]Seat
+// Update takes in a roster of another entry if its version is greater.
+func (b *Roster) Update(version uint64, data []byte) error {
+	var seats map[id.Endpoint]Rank
 	if err := cbor.Unmarshal(data, &seats); err != nil {
 		return errors.Wrap(err, "roster")
 	}
@@ -103,10 +103,10 @@
 
 // write takes in what a scout saw of some endpoints. Those that it did not see and
 // that are still listed keep their seats. The author tells scouts apart.
-func (b *Book) write(seen map[id.Endpoint]Seat, listed func(id.Endpoint) bool, author byte) {
+func (b *Roster) write(seen map[id.Endpoint]Rank, listed func(id.Endpoint) bool, author byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next := make(map[id.Endpoint]Seat, len(seen))
+	next := make(map[id.Endpoint]Rank, len(seen))
 	for e, s := range b.seats {
 		if listed(e) {
 			next[e] = s
--- a/entry/roster/scout.go
+++ b/entry/roster/scout.go
@@ -22,27 +22,27 @@
 	eventQueue = 64
 )
 
-// Scout asks the ranks of a service and writes the roster.
-type Scout struct {
-	Book *Book
+// Collector asks the ranks of a service and writes the roster.
+type Collector struct {
+	Roster *Roster
 	// Host is this entry's.
 	Host id.Host
 	// List returns the endpoints of the service.
 	List func() []ranklink.Endpoint
 	// Source is the address of this host from which relays are reached.
 	Source netip.Addr
-	// Direct returns a client for a rank that has no relay.
-	Direct func(address string) relay.Engine
+	// EngineClient returns a client for a rank that has no relay.
+	EngineClient func(address string) relay.Engine
 
 	links map[id.Endpoint]*ranklink.Link
-	seen  map[id.Endpoint]Seat
+	seen  map[id.Endpoint]Rank
 }
 
 // Run works until ctx ends.
-func (s *Scout) Run(ctx context.Context) {
+func (s *Collector) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // Ends the links.
-	s.links, s.seen = make(map[id.Endpoint]*ranklink.Link), make(map[id.Endpoint]Seat)
+	s.links, s.seen = make(map[id.Endpoint]*ranklink.Link), make(map[id.Endpoint]Rank)
 	events := make(chan ranklink.Event, eventQueue)
 	tick := time.NewTicker(writeInterval)
 	defer tick.Stop()
@@ -57,13 +57,13 @@
 			}
 		case <-tick.C:
 			s.relist(ctx, events)
-			s.Book.write(s.seen, func(e id.Endpoint) bool { return s.links[e] != nil }, author(s.Host))
+			s.Roster.write(s.seen, func(e id.Endpoint) bool { return s.links[e] != nil }, author(s.Host))
 		}
 	}
 }
 
 // relist opens links to new endpoints and closes those to endpoints that are gone.
-func (s *Scout) relist(ctx context.Context, events chan<- ranklink.Event) {
+func (s *Collector) relist(ctx context.Context, events chan<- ranklink.Event) {
 	listed := make(map[id.Endpoint]bool)
 	for _, e := range s.List() {
 		listed[e.Name] = true
@@ -73,7 +73,7 @@
 			l.Close()
 		}
 		s.links[e.Name] = ranklink.Open(ctx, ranklink.Options{
-			Endpoint: e, Source: s.Source, EngineClient: s.Direct, StateOnly: true, Events: events,
+			Endpoint: e, Source: s.Source, EngineClient: s.EngineClient, StateOnly: true, Events: events,
 			Watch:  relay.Watch{StateMillis: int(lookInterval.Milliseconds())},
 			Report: func(*ranklink.Link, string, error) {}, // The coordinator of the group reports.
 		})
