--- a/entry/groups/config.go
+++ b/entry/groups/config.go
@@ -16,8 +16,8 @@
 type Config struct {
 	// Host is the name of this machine. It is set by the entry.
 	Host id.Host
-	// Tick is the time between two ticks of a coordinator. Default: 100 ms.
-	Tick time.Duration
+	// TickInterval is the time between two ticks of a coordinator. Default: 100 ms.
+	TickInterval time.Duration
 	// PollInterval is the time between two polls of all ranks. A rank that missed
 	// three polls counts as silent. Default: 2.5 s.
 	PollInterval time.Duration
@@ -30,14 +30,14 @@
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		Tick: 100 * time.Millisecond, PollInterval: 2500 * time.Millisecond,
+		TickInterval: 100 * time.Millisecond, PollInterval: 2500 * time.Millisecond,
 		LeaseTTL: 10 * time.Second, PlanInterval: time.Minute,
 	}
 }
 
 // Register registers the settings, with the values of c as defaults.
 func (c *Config) Register(s *settings.Set) {
-	s.Duration(&c.Tick, "group-tick", "Time between two ticks of the coordinator of a group of ranks")
+	s.Duration(&c.TickInterval, "group-tick", "Time between two ticks of the coordinator of a group of ranks")
 	s.Duration(&c.PollInterval, "group-poll-interval", "Time between two polls of the ranks of a group")
 	s.Duration(&c.LeaseTTL, "group-lease", "Time for which the lease of a group's coordinator is renewed")
 	s.Duration(&c.PlanInterval, "group-plan-interval", "Time between two plans of a group's expert map")
@@ -49,7 +49,7 @@
 	for _, d := range []struct {
 		name  string
 		value time.Duration
-	}{{"group-tick", c.Tick}, {"group-poll-interval", c.PollInterval}, {"group-lease", c.LeaseTTL}, {"group-plan-interval", c.PlanInterval}} {
+	}{{"group-tick", c.TickInterval}, {"group-poll-interval", c.PollInterval}, {"group-lease", c.LeaseTTL}, {"group-plan-interval", c.PlanInterval}} {
 		if d.value <= 0 {
 			l.Addf(d.name, "duration %v is not positive", d.value)
 		}
@@ -61,7 +61,7 @@
 const missedPolls = 3
 
 // ticks returns the number of ticks in d, at least one.
-func (c Config) ticks(d time.Duration) int { return max(1, int(d/c.Tick)) }
+func (c Config) ticks(d time.Duration) int { return max(1, int(d/c.TickInterval)) }
 
 func (c Config) lockstep() lockstep.Config {
 	poll := c.ticks(c.PollInterval)
--- a/entry/groups/groups.go
+++ b/entry/groups/groups.go
@@ -27,9 +27,9 @@
 	Store objectapi.Store
 	// Pool connects to agents.
 	Pool *link.Pool
-	// Live returns the live entry hosts of the zone, the own included. It does not block.
-	Live     func() []id.Host
-	Recorder timeline.Recorder
+	// LiveHosts returns the live entry hosts of the zone, the own included. It does not block.
+	LiveHosts func() []id.Host
+	Recorder  timeline.Recorder
 	// Metrics takes the gauges of each group.
 	Metrics *metrics.Set
 	Log     zerolog.Logger
@@ -130,7 +130,7 @@
 	}
 	ctx, cancel := context.WithCancel(m.ctx)
 	g := &group{experts: e, cancel: cancel}
-	source := &leases{lease: lease, ttl: m.config.LeaseTTL, key: key, self: m.config.Host, live: m.deps.Live}
+	source := &leases{lease: lease, ttl: m.config.LeaseTTL, key: key, self: m.config.Host, live: m.deps.LiveHosts}
 	g.links = newLinks(ctx, m.deps.Pool, func(s groupmsg.Status) { g.duty.Receive(s) })
 	g.duty = coordinator.New(coordinator.Config{
 		Group: name, Layers: e.Layers,
@@ -144,7 +144,7 @@
 }
 
 func (m *Manager) tick(ctx context.Context, g *group) {
-	ticker := time.NewTicker(m.config.Tick)
+	ticker := time.NewTicker(m.config.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/entry/server/duties.go
+++ b/entry/server/duties.go
@@ -25,7 +25,7 @@
 	c := s.config.Groups
 	c.Host = s.config.Host
 	return groups.New(c, groups.Deps{
-		Store: s.deps.Store, Pool: s.pool, Live: s.liveHosts,
+		Store: s.deps.Store, Pool: s.pool, LiveHosts: s.liveHosts,
 		Recorder: s.events, Metrics: s.metrics, Log: s.deps.Log,
 	})
 }
