--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -15,19 +15,19 @@
 	"github.com/siskinford/siskinford/core/timeline"
 )
 
-// Leases is the source of fencing numbers.
-type Leases interface {
-	// Hold returns the fencing number of the lease that this process believes to
+// Lease is the source of fencing numbers.
+type Lease interface {
+	// FencingToken returns the fencing number of the lease that this process believes to
 	// hold, and false if it holds none. It does not block; acquiring and renewing
 	// happen elsewhere. Fencing numbers of a group start at one, never repeat and
 	// only grow; a process that starts again gets a new one.
-	Hold() (number uint64, held bool)
-	// Renewed reports whether the lease lasts long enough to complete a change: a
+	FencingToken() (number uint64, held bool)
+	// CoversChange reports whether the lease lasts long enough to complete a change: a
 	// group whose change is left half done stands still. It does not block.
-	Renewed() bool
-	// Fenced tells that the number can no longer be used, mostly because a higher
+	CoversChange() bool
+	// MarkFenced tells that the number can no longer be used, mostly because a higher
 	// one is in use. A new number is needed to go on. It does not block.
-	Fenced(number uint64)
+	MarkFenced(number uint64)
 }
 
 // Transport carries messages to the agents of the group's ranks.
@@ -72,11 +72,11 @@
 	return c
 }
 
-// Duty coordinates one group while its process holds the lease. It is safe for
+// Coordinator coordinates one group while its process holds the lease. It is safe for
 // concurrent use.
-type Duty struct {
+type Coordinator struct {
 	cfg       Config
-	leases    Leases
+	leases    Lease
 	transport Transport
 
 	// mu guards the fields below. Transport and Leases are called with mu held;
@@ -94,8 +94,8 @@
 }
 
 // New returns a duty that is idle until the process holds the lease.
-func New(cfg Config, leases Leases, transport Transport) *Duty {
-	return &Duty{cfg: cfg.withDefaults(), leases: leases, transport: transport}
+func New(cfg Config, leases Lease, transport Transport) *Coordinator {
+	return &Coordinator{cfg: cfg.withDefaults(), leases: leases, transport: transport}
 }
 
 // Status is what operators see of a duty.
@@ -116,7 +116,7 @@
 }
 
 // Status returns the current state.
-func (d *Duty) Status() Status {
+func (d *Coordinator) Status() Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := Status{Group: d.cfg.Group, Active: d.core != nil}
@@ -137,21 +137,21 @@
 }
 
 // Tick advances the duty. It is called at an interval and does not block.
-func (d *Duty) Tick() {
+func (d *Coordinator) Tick() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.checkLease() {
 		return
 	}
 	d.sincePlan++
-	d.core.SetCautious(!d.leases.Renewed())
+	d.core.SetCautious(!d.leases.CoversChange())
 	d.advance()
 	d.send(d.core.Tick())
 	d.noteSilent()
 }
 
 // Receive takes in a status. It is called by the transport and does not block.
-func (d *Duty) Receive(s groupmsg.Status) {
+func (d *Coordinator) Receive(s groupmsg.Status) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.core == nil || s.Group != d.cfg.Group {
@@ -173,8 +173,8 @@
 }
 
 // checkLease follows the lease: a new number starts a new coordinator, a lost one ends it.
-func (d *Duty) checkLease() bool {
-	number, held := d.leases.Hold()
+func (d *Coordinator) checkLease() bool {
+	number, held := d.leases.FencingToken()
 	if !held {
 		d.stop()
 		return false
@@ -185,14 +185,14 @@
 	if number <= d.lease {
 		// Epochs and versions of a used lease would repeat.
 		d.stop()
-		d.leases.Fenced(number)
+		d.leases.MarkFenced(number)
 		return false
 	}
 	d.start(number)
 	return true
 }
 
-func (d *Duty) start(number uint64) {
+func (d *Coordinator) start(number uint64) {
 	d.lease = number
 	d.made = 0
 	d.core = lockstep.NewCoordinator(d.cfg.Lockstep, number)
@@ -204,7 +204,7 @@
 	d.record(EventStarted, "lease %d", number)
 }
 
-func (d *Duty) stop() {
+func (d *Coordinator) stop() {
 	if d.core == nil {
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 // send completes the commands and hands them to the transport.
-func (d *Duty) send(cmds []lockstep.Command) {
+func (d *Coordinator) send(cmds []lockstep.Command) {
 	for _, c := range cmds {
 		o := groupmsg.Order{Group: d.cfg.Group, Command: c}
 		switch c.Kind {
--- a/entry/coordinator/coordinator_test.go
+++ b/entry/coordinator/coordinator_test.go
@@ -18,10 +18,10 @@
 	fenced []uint64
 }
 
-func (l *fakeLease) Hold() (uint64, bool) { return l.number, l.held }
+func (l *fakeLease) FencingToken() (uint64, bool) { return l.number, l.held }
 
-func (l *fakeLease) Renewed() bool        { return !l.late }
-func (l *fakeLease) Fenced(number uint64) { l.fenced = append(l.fenced, number) }
+func (l *fakeLease) CoversChange() bool       { return !l.late }
+func (l *fakeLease) MarkFenced(number uint64) { l.fenced = append(l.fenced, number) }
 
 type sentOrders struct{ orders []groupmsg.Order }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-func newTestDuty() (*Duty, *fakeLease, *sentOrders) {
+func newTestDuty() (*Coordinator, *fakeLease, *sentOrders) {
 	l, s := &fakeLease{number: 1, held: true}, &sentOrders{}
 	return New(testConfig(), l, s), l, s
 }
--- a/entry/coordinator/plan.go
+++ b/entry/coordinator/plan.go
@@ -40,7 +40,7 @@
 )
 
 // advance notes the phase, keeps the atlas up to date and plans if it is time to.
-func (d *Duty) advance() {
+func (d *Coordinator) advance() {
 	d.notePhase()
 	d.noteCommitted()
 	reports, ok := d.reports()
@@ -56,7 +56,7 @@
 	}
 }
 
-func (d *Duty) notePhase() {
+func (d *Coordinator) notePhase() {
 	phase := d.core.Phase()
 	if phase == d.phase {
 		return
@@ -68,13 +68,13 @@
 	d.record(EventPhase, "%s at epoch %d, waits for ranks %v", phase, d.core.Epoch(), d.core.WaitsFor())
 	if phase == lockstep.PhaseFenced {
 		timesFenced.Inc()
-		d.leases.Fenced(d.lease)
+		d.leases.MarkFenced(d.lease)
 	}
 }
 
 // noteCommitted records a decision that every rank has taken. The first one that
 // a coordinator finds may be that of an earlier coordinator.
-func (d *Duty) noteCommitted() {
+func (d *Coordinator) noteCommitted() {
 	t, ok := d.core.Committed()
 	if !ok || t == d.committed {
 		return
@@ -87,7 +87,7 @@
 	d.record(kind, "map %d from step %d of formation %d", t.Map, t.Step, t.Formation)
 }
 
-func (d *Duty) noteSilent() {
+func (d *Coordinator) noteSilent() {
 	silent := d.core.Silent()
 	if slices.Equal(silent, d.silent) {
 		return
@@ -97,7 +97,7 @@
 }
 
 // reports returns the reports of all ranks in the current epoch.
-func (d *Duty) reports() ([]lockstep.Report, bool) {
+func (d *Coordinator) reports() ([]lockstep.Report, bool) {
 	out := make([]lockstep.Report, d.cfg.Shape.Ranks)
 	for i := range out {
 		r, ok := d.core.Report(i)
@@ -111,7 +111,7 @@
 
 // planMissing makes a map if the one to stage is not known to this coordinator,
 // as for a new group, or after a rank was replaced under a new coordinator.
-func (d *Duty) planMissing() {
+func (d *Coordinator) planMissing() {
 	wanted := d.core.Staging()
 	if wanted != 0 && d.atlas.knows(wanted) {
 		return
@@ -127,7 +127,7 @@
 	d.set(d.plan(held, load))
 }
 
-func (d *Duty) uniformLoad() []expertmap.Load {
+func (d *Coordinator) uniformLoad() []expertmap.Load {
 	out := make([]expertmap.Load, d.cfg.Layers)
 	for i := range out {
 		out[i] = make(expertmap.Load, d.cfg.Shape.Experts)
@@ -139,7 +139,7 @@
 }
 
 // planLoad plans a change for the reported load, at an interval.
-func (d *Duty) planLoad() {
+func (d *Coordinator) planLoad() {
 	if d.sincePlan < d.cfg.PlanTicks {
 		return
 	}
@@ -168,7 +168,7 @@
 	gain, cost time.Duration
 }
 
-func (d *Duty) plan(held layers, load []expertmap.Load) proposal {
+func (d *Coordinator) plan(held layers, load []expertmap.Load) proposal {
 	p := proposal{target: make(layers, len(held))}
 	for i := range held {
 		layer := d.cfg.Policy.Plan(held[i], load[i])
@@ -183,10 +183,10 @@
 }
 
 // set makes the proposal the target of the group.
-func (d *Duty) set(p proposal) {
+func (d *Coordinator) set(p proposal) {
 	if d.made == math.MaxUint16 {
 		// The lease has no versions left.
-		d.leases.Fenced(d.lease)
+		d.leases.MarkFenced(d.lease)
 		return
 	}
 	d.made++
@@ -200,7 +200,7 @@
 		v, p.moves, p.rankBytes, p.storeBytes, p.gain, p.cost)
 }
 
-func (d *Duty) record(kind timeline.Kind, format string, args ...any) {
+func (d *Coordinator) record(kind timeline.Kind, format string, args ...any) {
 	d.cfg.Recorder.Record(timeline.Event{
 		Kind: kind, Duty: string(d.cfg.Group), Detail: fmt.Sprintf(format, args...),
 	})
--- a/entry/groups/groups.go
+++ b/entry/groups/groups.go
@@ -52,7 +52,7 @@
 // group is the process's part in one group.
 type group struct {
 	experts config.Experts
-	duty    *coordinator.Duty
+	duty    *coordinator.Coordinator
 	links   *links
 	cancel  context.CancelFunc
 }
--- a/entry/groups/lease.go
+++ b/entry/groups/lease.go
@@ -22,7 +22,7 @@
 )
 
 // leases is the source of a coordinator's fencing numbers. It implements
-// coordinator.Leases.
+// coordinator.Lease.
 type leases struct {
 	lease *duty.Lease
 	ttl   time.Duration
@@ -36,23 +36,23 @@
 	fenced uint64
 }
 
-// Hold implements coordinator.Leases.
-func (l *leases) Hold() (uint64, bool) {
+// FencingToken implements coordinator.Lease.
+func (l *leases) FencingToken() (uint64, bool) {
 	number, held := l.lease.Valid(time.Now())
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return number, held && number > l.fenced
 }
 
-// Renewed implements coordinator.Leases. A lease that is renewed in time lasts for
+// CoversChange implements coordinator.Lease. A lease that is renewed in time lasts for
 // more than half of its time at any moment.
-func (l *leases) Renewed() bool {
+func (l *leases) CoversChange() bool {
 	_, held := l.lease.Valid(time.Now().Add(l.ttl / 2))
 	return held
 }
 
-// Fenced implements coordinator.Leases.
-func (l *leases) Fenced(number uint64) {
+// MarkFenced implements coordinator.Lease.
+func (l *leases) MarkFenced(number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fenced = max(l.fenced, number)
--- a/itest/group/world_test.go
+++ b/itest/group/world_test.go
@@ -36,17 +36,17 @@
 	held   bool
 }
 
-func (l *lease) Hold() (uint64, bool) { return l.number, l.held }
+func (l *lease) FencingToken() (uint64, bool) { return l.number, l.held }
 
-func (l *lease) Renewed() bool { return l.held }
+func (l *lease) CoversChange() bool { return l.held }
 
-// Fenced gives the lease up.
-func (l *lease) Fenced(uint64) { l.held = false }
+// MarkFenced gives the lease up.
+func (l *lease) MarkFenced(uint64) { l.held = false }
 
 // process is one coordinator process.
 type process struct {
 	lease  *lease
-	duty   *coordinator.Duty
+	duty   *coordinator.Coordinator
 	paused bool
 	// inbox holds what arrives while the process is paused.
 	inbox []groupmsg.Status
