--- a/entry/edge/maps.go
+++ b/entry/edge/maps.go
@@ -166,14 +166,14 @@
 	near := m.zonesOf(s)
 	falls := make(map[id.Group]bool)
 	for _, group := range s.book.Groups() {
-		ranked := rankNear(string(expertmaps.DutyOf(s.name, group)), hosts, zones, near[group])
+		ranked := rankNear(string(expertmaps.DutyName(s.name, group)), hosts, zones, near[group])
 		falls[group] = m.falls(ranked, candidates)
 		if s.groups[group] == nil && falls[group] {
 			m.startCoordinator(s, group)
 		}
 	}
 	for group, c := range s.groups {
-		if !falls[group] && c.Claim() == 0 {
+		if !falls[group] && c.FencingToken() == 0 {
 			c.cancel()
 			delete(s.groups, group)
 		}
@@ -194,7 +194,7 @@
 	e := m.edge
 	c, err := expertmaps.New(expertmaps.Options{
 		Service: s.name, Group: group, Holder: holderName(e.self.Host, e.self.Incarnation), Store: e.store, Peers: holders{e},
-		Engine: &s.engine, Source: e.cfg.Source, Direct: e.adapter.Engine,
+		Engine: &s.engine, Source: e.cfg.Source, EngineClient: e.adapter.Engine,
 		// A rank without a seat may be a new one of this group.
 		List: func() []ranklink.Endpoint {
 			return e.ranksOf(s, func(g id.Group) bool { return g == group || g == "" })
@@ -229,8 +229,8 @@
 	out := make(map[duty.Name]uint64)
 	for _, s := range m.of {
 		for group, c := range s.groups {
-			if epoch := c.Claim(); epoch != 0 {
-				out[expertmaps.DutyOf(s.name, group)] = epoch
+			if epoch := c.FencingToken(); epoch != 0 {
+				out[expertmaps.DutyName(s.name, group)] = epoch
 			}
 		}
 	}
--- a/entry/expertmaps/coordinator.go
+++ b/entry/expertmaps/coordinator.go
@@ -26,9 +26,9 @@
 	// change, and always at ranks that are sampled. Default: 15 ms, a quarter of a
 	// short pass.
 	StateInterval time.Duration
-	// IdleInterval is the interval at which relays look at the other ranks while no
+	// IdleStateInterval is the interval at which relays look at the other ranks while no
 	// change is under way. Default: 60 ms.
-	IdleInterval time.Duration
+	IdleStateInterval time.Duration
 	// SampleInterval is the least interval between samples of a rank. Default: 40 ms,
 	// so that each pass is sampled.
 	SampleInterval time.Duration
@@ -36,40 +36,40 @@
 	// the others run requests of the same kind. Default: 192, with which maps of a
 	// group of 16 ranks follow the demand.
 	SampledSlots int
-	// Memory is the time constant of the estimate of demand. Default: 1 s.
-	Memory time.Duration
-	// MaxAge is the age from which on an estimate is not planned with. Default: 1 s.
-	MaxAge time.Duration
+	// DemandTimeConstant is the time constant of the estimate of demand. Default: 1 s.
+	DemandTimeConstant time.Duration
+	// MaxDemandAge is the age from which on an estimate is not planned with. Default: 1 s.
+	MaxDemandAge time.Duration
 	// PlanInterval is the least time between two plans. Default: 40 ms.
 	PlanInterval time.Duration
-	// Rest is the time for which a map that was good enough is kept while demand
+	// ReplanHoldoff is the time for which a map that was good enough is kept while demand
 	// stays much the same. Default: 1 s.
-	Rest time.Duration
-	// Copies bounds the experts that a rank copies for one change. Default: 1.
-	Copies int
-	// RankGain is the least gain of a copy, see expertmap.Round, times the number
+	ReplanHoldoff time.Duration
+	// MaxCopiesPerRank bounds the experts that a rank copies for one change. Default: 1.
+	MaxCopiesPerRank int
+	// MinTotalGain is the least gain of a copy, see expertmap.Round, times the number
 	// of ranks: a copy costs as much in a large group, but all ranks gain by it.
 	// It holds for groups that are busy; idle ones need up to three times as much.
 	// Default: 0.64, where copies cost about what they gain.
-	RankGain float64
-	// MinReduction is the least reduction of the skew that is worth a change. Default: 0.04.
-	MinReduction float64
+	MinTotalGain float64
+	// MinSkewReduction is the least reduction of the skew that is worth a change. Default: 0.04.
+	MinSkewReduction float64
 	// LeaseTTL is the time for which a renewal of the lease lasts. Default: 2.4 s.
 	LeaseTTL time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.StateInterval, 15*time.Millisecond)
-	setDefault(&c.IdleInterval, 60*time.Millisecond)
+	setDefault(&c.IdleStateInterval, 60*time.Millisecond)
 	setDefault(&c.SampleInterval, 40*time.Millisecond)
 	setDefault(&c.SampledSlots, 192)
-	setDefault(&c.Memory, time.Second)
-	setDefault(&c.MaxAge, time.Second)
+	setDefault(&c.DemandTimeConstant, time.Second)
+	setDefault(&c.MaxDemandAge, time.Second)
 	setDefault(&c.PlanInterval, 40*time.Millisecond)
-	setDefault(&c.Rest, time.Second)
-	setDefault(&c.Copies, 1)
-	setDefault(&c.RankGain, 0.64)
-	setDefault(&c.MinReduction, 0.04)
+	setDefault(&c.ReplanHoldoff, time.Second)
+	setDefault(&c.MaxCopiesPerRank, 1)
+	setDefault(&c.MinTotalGain, 0.64)
+	setDefault(&c.MinSkewReduction, 0.04)
 	setDefault(&c.LeaseTTL, 2400*time.Millisecond)
 	return c
 }
@@ -91,8 +91,8 @@
 	Claimed(d duty.Name) uint64
 }
 
-// DutyOf names the duty to decide on the maps of a group of a service.
-func DutyOf(s id.Service, g id.Group) duty.Name {
+// DutyName names the duty to decide on the maps of a group of a service.
+func DutyName(s id.Service, g id.Group) duty.Name {
 	return duty.Name("experts." + string(s) + "." + string(g))
 }
 
@@ -114,9 +114,9 @@
 	List func() []ranklink.Endpoint
 	// Source is the address of this host from which relays are reached.
 	Source netip.Addr
-	// Direct returns a client for a rank that has no relay.
-	Direct func(address string) relay.Engine
-	Log    zerolog.Logger
+	// EngineClient returns a client for a rank that has no relay.
+	EngineClient func(address string) relay.Engine
+	Log          zerolog.Logger
 	// Metrics receives how the maps follow the demand.
 	Metrics *metrics.Set
 }
@@ -132,7 +132,7 @@
 // New returns a coordinator. Run must be called for it to work.
 func New(o Options) (*Coordinator, error) {
 	o.Config = o.Config.withDefaults()
-	name := DutyOf(o.Service, o.Group)
+	name := DutyName(o.Service, o.Group)
 	lease, err := duty.NewLease(duty.LeaseConfig{
 		Store: o.Store, Duty: name, Holder: o.Holder, TTL: o.Config.LeaseTTL,
 		Gone: o.Peers.Gone,
@@ -195,8 +195,8 @@
 	return 0
 }
 
-// Claim returns the fencing number under which the coordinator acts, zero for none.
-func (c *Coordinator) Claim() uint64 { return c.claimed.Load() }
+// FencingToken returns the fencing number under which the coordinator acts, zero for none.
+func (c *Coordinator) FencingToken() uint64 { return c.claimed.Load() }
 
 // step takes, renews or observes the lease. It is renewed with each third step,
 // and observed now and then only while its holder says that it acts.
@@ -222,7 +222,7 @@
 	log.Info().Str("event", "lease.held").Uint64("lease", epoch).Send()
 	ctx, cancel := context.WithCancel(ctx)
 	s := &session{
-		cfg: c.opt.Config, of: c.opt.Group, engine: c.opt.Engine, lease: epoch, log: log, set: c.opt.Metrics, list: c.opt.List, direct: c.opt.Direct, source: c.opt.Source,
+		cfg: c.opt.Config, of: c.opt.Group, engine: c.opt.Engine, lease: epoch, log: log, set: c.opt.Metrics, list: c.opt.List, direct: c.opt.EngineClient, source: c.opt.Source,
 		events: make(chan ranklink.Event, eventQueue),
 		links:  make(map[id.Endpoint]*ranklink.Link), layouts: make(map[*ranklink.Link]relay.Layout),
 		groups: make(map[id.Group]*group), asked: make(map[uint64]asked),
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -68,7 +68,7 @@
 		log:     s.log,
 		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.lease),
 		demand: expertmap.NewDemand(expertmap.DemandConfig{
-			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, Memory: s.cfg.Memory,
+			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, Memory: s.cfg.DemandTimeConstant,
 			Sampled: s.cfg.sampledRanks(size, s.engine.Slots),
 		}),
 		ranks:    make([]member, size),
@@ -204,7 +204,7 @@
 // plan starts a change if the demand asks for one.
 func (g *group) plan(now time.Duration) bool {
 	loads, ok := g.demand.Loads()
-	if !ok || g.demand.Age(now) > g.cfg.MaxAge || g.plannedAt >= now-g.cfg.PlanInterval {
+	if !ok || g.demand.Age(now) > g.cfg.MaxDemandAge || g.plannedAt >= now-g.cfg.PlanInterval {
 		return false
 	}
 	version, content, ok := g.machine.Current()
@@ -215,15 +215,15 @@
 	maps := g.convert(version, content)
 	pace := g.pace()
 	skew := meanSkew(maps, loads, pace)
-	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.Rest && skew < g.rested.skew+g.cfg.MinReduction {
+	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.ReplanHoldoff && skew < g.rested.skew+g.cfg.MinSkewReduction {
 		return false
 	}
 	round := expertmap.Round{
 		Ranks: g.size, Experts: g.experts.PerSet, Places: g.experts.Places,
-		MaxNew: g.experts.MaxNew, Copies: g.cfg.Copies, MinGain: g.minGain(skew), Pace: pace,
+		MaxNew: g.experts.MaxNew, Copies: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), Pace: pace,
 	}
 	p := round.Plan(maps, loads)
-	if p.SkewBefore-p.SkewAfter < g.cfg.MinReduction {
+	if p.SkewBefore-p.SkewAfter < g.cfg.MinSkewReduction {
 		g.rested = rest{at: now, skew: skew, shifts: g.demand.Shifts()}
 		return false
 	}
@@ -260,7 +260,7 @@
 	if skew > evenSkew-evenMargin {
 		factor /= unevenDivisor
 	}
-	return g.cfg.RankGain / float64(g.size) * factor
+	return g.cfg.MinTotalGain / float64(g.size) * factor
 }
 
 // slowPace is the pace from which on a rank counts as slow, above what the ranks'
--- a/entry/expertmaps/sampled.go
+++ b/entry/expertmaps/sampled.go
@@ -36,7 +36,7 @@
 // watch is what a relay is asked to tell of a rank.
 func (c Config) watch(sample bool) relay.Watch {
 	w := relay.Watch{
-		StateMillis: int(c.IdleInterval.Milliseconds()), ChangeMillis: int(c.StateInterval.Milliseconds()),
+		StateMillis: int(c.IdleStateInterval.Milliseconds()), ChangeMillis: int(c.StateInterval.Milliseconds()),
 	}
 	if sample {
 		w.StateMillis, w.SampleMillis = int(c.StateInterval.Milliseconds()), int(c.SampleInterval.Milliseconds())
--- a/itest/maps/coordinator_test.go
+++ b/itest/maps/coordinator_test.go
@@ -107,10 +107,10 @@
 	s.t.Helper()
 	c, err := expertmaps.New(expertmaps.Options{
 		Service: "m", Group: "g", Holder: holder, Store: s.store, Peers: p,
-		Engine: &routes.Engine{Slots: 8, Experts: &routes.Experts{Sets: 2, PerSet: 16, Places: 6, MaxNew: 2, Bytes: 1, LinkBits: 1000}},
-		List:   func() []ranklink.Endpoint { return s.endpoints },
-		Direct: func(string) relay.Engine { return unreachable{} },
-		Log:    zerolog.Nop(), Metrics: metrics.NewSet(),
+		Engine:       &routes.Engine{Slots: 8, Experts: &routes.Experts{Sets: 2, PerSet: 16, Places: 6, MaxNew: 2, Bytes: 1, LinkBits: 1000}},
+		List:         func() []ranklink.Endpoint { return s.endpoints },
+		EngineClient: func(string) relay.Engine { return unreachable{} },
+		Log:          zerolog.Nop(), Metrics: metrics.NewSet(),
 	})
 	assert.NilError(s.t, err)
 	ctx, cancel := context.WithCancel(s.t.Context())
@@ -174,7 +174,7 @@
 	s.group.Shift()
 	s.await("a map for the new demand", 3*time.Second, func() bool { return s.group.Status().Switches > before })
 	s.follows(3 * time.Second)
-	assert.Assert(t, c.Claim() > 0)
+	assert.Assert(t, c.FencingToken() > 0)
 }
 
 // TestOutdatedCoordinatorStops names the pattern "a paused coordinator wakes up":
@@ -186,8 +186,8 @@
 	defer stop()
 	s.follows(10 * time.Second)
 	s.store.SetDown(true)
-	p.claimed.Store(c.Claim() + 1)
-	s.await("the coordinator stops", 4*time.Second, func() bool { return c.Claim() == 0 })
+	p.claimed.Store(c.FencingToken() + 1)
+	s.await("the coordinator stops", 4*time.Second, func() bool { return c.FencingToken() == 0 })
 }
 
 // TestTwoCoordinatorsAtATime: both plan, and no pass begins with two maps.
@@ -200,7 +200,7 @@
 	takesAll.gone.Store(true) // It takes h1 for dead.
 	second, stopSecond := s.coordinator("h2", takesAll)
 	defer stopSecond()
-	s.await("the second one plans too", 5*time.Second, func() bool { return second.Claim() > 0 })
+	s.await("the second one plans too", 5*time.Second, func() bool { return second.FencingToken() > 0 })
 	for range 5 {
 		s.group.ApplyLate(0.3, 100*time.Millisecond)
 		s.group.Shift()
