--- a/entry/direct/answer.go
+++ b/entry/direct/answer.go
@@ -18,21 +18,21 @@
 	status  int
 	header  http.Header
 	body    []byte
-	verdict Verdict
+	verdict ResponseInfo
 	// endpoint gave the answer.
 	endpoint id.Endpoint
 }
 
 // reject answers a request that was not handed to any endpoint, with a status of
 // the client's making or because the entry is not ready.
-func (h *Handler) reject(w http.ResponseWriter, r *http.Request, call Call, status int, text string) {
+func (h *Handler) reject(w http.ResponseWriter, r *http.Request, call RequestInfo, status int, text string) {
 	var version uint64
 	if t := h.table.Load(); t != nil {
 		version = t.Version()
 	}
 	h.journal.rejected(r, call, status, version, text)
 	if status == http.StatusServiceUnavailable {
-		h.opt.Codec.Refuse(w.Header(), Refusal{RetryAfter: notReadyRetry})
+		h.opt.Codec.WriteRefusal(w.Header(), Refusal{RetryAfter: notReadyRetry})
 	}
 	http.Error(w, text, status)
 }
@@ -54,7 +54,7 @@
 	}
 	d.RetryAfter = max(d.RetryAfter, minRetry)
 	h.journal.refused(q, d, http.StatusServiceUnavailable)
-	h.opt.Codec.Refuse(w.Header(), Refusal{RetryAfter: d.RetryAfter})
+	h.opt.Codec.WriteRefusal(w.Header(), Refusal{RetryAfter: d.RetryAfter})
 	http.Error(w, string(d.Reason), http.StatusServiceUnavailable)
 }
 
--- a/entry/direct/codec.go
+++ b/entry/direct/codec.go
@@ -14,39 +14,39 @@
 // Codec translates between the headers of a platform and the types of this
 // package. It neither keeps state nor decides.
 type Codec interface {
-	// Call reads what a client's request says. The error is of the client.
-	Call(h http.Header) (Call, error)
-	// Forward sets what an endpoint is told, on a copy of the client's header.
-	Forward(h http.Header, f Forward)
-	// Verdict reads what an endpoint's answer says of itself.
-	Verdict(status int, h http.Header) Verdict
-	// Refuse sets what a refusal of a request says besides its status.
-	Refuse(h http.Header, r Refusal)
+	// ParseRequest reads what a client's request says. The error is of the client.
+	ParseRequest(h http.Header) (RequestInfo, error)
+	// WriteForward sets what an endpoint is told, on a copy of the client's header.
+	WriteForward(h http.Header, f ForwardInfo)
+	// ParseResponse reads what an endpoint's answer says of itself.
+	ParseResponse(status int, h http.Header) ResponseInfo
+	// WriteRefusal sets what a refusal of a request says besides its status.
+	WriteRefusal(h http.Header, r Refusal)
 }
 
-// Call is what a client's request says of itself.
-type Call struct {
+// RequestInfo is what a client's request says of itself.
+type RequestInfo struct {
 	ID id.Request
 	// Key identifies the team. It is empty if the client gave none.
 	Key string
-	// Patience is the time for which the client waits, zero if it does not say.
-	Patience time.Duration
+	// Timeout is the time for which the client waits, zero if it does not say.
+	Timeout time.Duration
 	// LastEvent is the last event that the client has of a broken stream.
 	LastEvent string
 	// PromptTokens and MaxAnswerTokens are zero if the client does not say.
 	PromptTokens, MaxAnswerTokens int
-	// AnswerHint is the client's estimate of the answer's length in tokens, zero if there is none.
-	AnswerHint int
-	// Subject identifies the last shared part of the prompt, empty if there is none.
-	Subject string
+	// ExpectedAnswerTokens is the client's estimate of the answer's length in tokens, zero if there is none.
+	ExpectedAnswerTokens int
+	// PrefixID identifies the last shared part of the prompt, empty if there is none.
+	PrefixID string
 }
 
-// Forward is what an endpoint is told with a request.
-type Forward struct {
+// ForwardInfo is what an endpoint is told with a request.
+type ForwardInfo struct {
 	// Endpoint is the only one that may run the request.
 	Endpoint id.Endpoint
-	// Left is the time until the request's deadline.
-	Left time.Duration
+	// Remaining is the time until the request's deadline.
+	Remaining time.Duration
 	// Team is empty on public routes.
 	Team id.Team
 	// Priority ranks the request, zero first. Negative means none.
@@ -55,12 +55,12 @@
 	LastEvent string
 }
 
-// Verdict is what an endpoint's answer says of itself.
-type Verdict struct {
+// ResponseInfo is what an endpoint's answer says of itself.
+type ResponseInfo struct {
 	// NotRun promises that the endpoint did not and will not run the request.
 	NotRun bool
-	// Elsewhere reports that another endpoint has the address.
-	Elsewhere bool
+	// WrongInstance reports that another endpoint has the address.
+	WrongInstance bool
 	// Signed reports that the answer carries the endpoint's signature.
 	Signed bool
 	// Request is the request that the answer belongs to.
--- a/entry/direct/endpoints.go
+++ b/entry/direct/endpoints.go
@@ -23,11 +23,11 @@
 	Slots int
 	// Version is the version of the endpoint's software.
 	Version string
-	// Registered orders the registrations of endpoints. Of several with the same
+	// RegistrationRevision orders the registrations of endpoints. Of several with the same
 	// address only the last one lives.
-	Registered uint64
-	// Cold is how much longer the endpoint stays slow after its start.
-	Cold time.Duration
+	RegistrationRevision uint64
+	// WarmupRemaining is how much longer the endpoint stays slow after its start.
+	WarmupRemaining time.Duration
 }
 
 // Backend is an endpoint with its connections.
@@ -86,11 +86,11 @@
 func newestAt(list []Endpoint) []Endpoint {
 	newest := make(map[string]uint64, len(list))
 	for _, e := range list {
-		newest[e.Address] = max(newest[e.Address], e.Registered)
+		newest[e.Address] = max(newest[e.Address], e.RegistrationRevision)
 	}
 	out := make([]Endpoint, 0, len(list))
 	for _, e := range list {
-		if e.Registered >= newest[e.Address] {
+		if e.RegistrationRevision >= newest[e.Address] {
 			out = append(out, e)
 		}
 	}
@@ -115,8 +115,8 @@
 	return d.services[name]
 }
 
-// Sweep closes connections that have been idle for too long.
-func (d *Directory) Sweep(now time.Time) {
+// CloseExpired closes connections that have been idle for too long.
+func (d *Directory) CloseExpired(now time.Time) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, b := range d.backends {
--- a/entry/direct/fixture_test.go
+++ b/entry/direct/fixture_test.go
@@ -23,31 +23,31 @@
 // testCodec uses headers of its own.
 type testCodec struct{}
 
-func (testCodec) Call(h http.Header) (Call, error) {
+func (testCodec) ParseRequest(h http.Header) (RequestInfo, error) {
 	ms, _ := strconv.Atoi(h.Get("Patience"))
 	prompt, _ := strconv.Atoi(h.Get("Prompt"))
-	return Call{
+	return RequestInfo{
 		ID: id.Request(h.Get("Request")), Key: h.Get("Key"), LastEvent: h.Get("Last-Event"),
-		Patience: time.Duration(ms) * time.Millisecond, PromptTokens: prompt,
+		Timeout: time.Duration(ms) * time.Millisecond, PromptTokens: prompt,
 	}, nil
 }
 
-func (testCodec) Forward(h http.Header, f Forward) {
+func (testCodec) WriteForward(h http.Header, f ForwardInfo) {
 	h.Del("Key")
 	h.Set("Only", string(f.Endpoint))
-	h.Set("Patience", strconv.FormatInt(f.Left.Milliseconds(), 10))
+	h.Set("Patience", strconv.FormatInt(f.Remaining.Milliseconds(), 10))
 	h.Set("Team", string(f.Team))
 	h.Set("Last-Event", f.LastEvent)
 }
 
-func (testCodec) Verdict(status int, h http.Header) Verdict {
-	return Verdict{
+func (testCodec) ParseResponse(status int, h http.Header) ResponseInfo {
+	return ResponseInfo{
 		NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest, Signed: h.Get("Signed") != "",
 		Request: id.Request(h.Get("Request")), AtFault: id.Endpoint(h.Get("At-Fault")),
 	}
 }
 
-func (testCodec) Refuse(h http.Header, r Refusal) {
+func (testCodec) WriteRefusal(h http.Header, r Refusal) {
 	h.Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 }
 
--- a/entry/direct/groups.go
+++ b/entry/direct/groups.go
@@ -42,14 +42,14 @@
 	rosterGrace = 1500 * time.Millisecond
 )
 
-// GroupWatch follows the groups of ranks behind a service, so that nothing is
+// GroupMonitor follows the groups of ranks behind a service, so that nothing is
 // sent to a group that is down. It looks at a few ranks of each group.
-type GroupWatch struct {
+type GroupMonitor struct {
 	Service *Service
 	// Host is this entry's; different entries look at different ranks.
 	Host id.Host
-	// Near is the zone of the entry, whose ranks are preferred.
-	Near id.Zone
+	// Zone is the zone of the entry, whose ranks are preferred.
+	Zone id.Zone
 	// List returns the endpoints of the service with their zones.
 	List func() map[ranklink.Endpoint]id.Zone
 	// Roster tells the groups of the endpoints, as far as they are known.
@@ -87,7 +87,7 @@
 }
 
 // Run works until ctx ends.
-func (g *GroupWatch) Run(ctx context.Context) {
+func (g *GroupMonitor) Run(ctx context.Context) {
 	g.links = make(map[ranklink.Endpoint]*watched)
 	g.unknown = make(map[ranklink.Endpoint]time.Time)
 	events := make(chan ranklink.Event, 64)
@@ -111,7 +111,7 @@
 }
 
 // relist opens links to the ranks to look at and closes all others.
-func (g *GroupWatch) relist(ctx context.Context, events chan<- ranklink.Event, now time.Time) {
+func (g *GroupMonitor) relist(ctx context.Context, events chan<- ranklink.Event, now time.Time) {
 	g.listed = g.List()
 	wanted := g.wanted(now)
 	for e, l := range wanted {
@@ -136,7 +136,7 @@
 }
 
 // wanted returns the ranks to look at.
-func (g *GroupWatch) wanted(now time.Time) map[ranklink.Endpoint]look {
+func (g *GroupMonitor) wanted(now time.Time) map[ranklink.Endpoint]look {
 	out := make(map[ranklink.Endpoint]look)
 	groups := make(map[id.Group][]ranklink.Endpoint)
 	unknown := g.unknowns(now)
@@ -163,7 +163,7 @@
 }
 
 // unknowns returns since when endpoints are listed that the roster does not tell of.
-func (g *GroupWatch) unknowns(now time.Time) map[ranklink.Endpoint]time.Time {
+func (g *GroupMonitor) unknowns(now time.Time) map[ranklink.Endpoint]time.Time {
 	seats := g.Roster.Ranks()
 	for e := range g.listed {
 		if _, ok := seats[e.Name]; ok {
@@ -182,7 +182,7 @@
 
 // groupOf returns the group of an endpoint, by an own look or by the roster, empty
 // if it is not known.
-func (g *GroupWatch) groupOf(e ranklink.Endpoint) id.Group {
+func (g *GroupMonitor) groupOf(e ranklink.Endpoint) id.Group {
 	if w := g.links[e]; w != nil && w.state.Group != "" {
 		return w.state.Group
 	}
@@ -191,9 +191,9 @@
 
 // choose returns the ranks to look at often: near ones first, in an order that
 // spreads the work of many entries. One whose relay is silent is replaced.
-func (g *GroupWatch) choose(ranks []ranklink.Endpoint, now time.Time) []ranklink.Endpoint {
+func (g *GroupMonitor) choose(ranks []ranklink.Endpoint, now time.Time) []ranklink.Endpoint {
 	slices.SortFunc(ranks, func(a, b ranklink.Endpoint) int {
-		if near := g.listed[a] == g.Near; near != (g.listed[b] == g.Near) {
+		if near := g.listed[a] == g.Zone; near != (g.listed[b] == g.Zone) {
 			if near {
 				return -1
 			}
@@ -213,11 +213,11 @@
 	return out
 }
 
-func (g *GroupWatch) score(e ranklink.Endpoint) uint64 {
+func (g *GroupMonitor) score(e ranklink.Endpoint) uint64 {
 	return rendezvous.Score(string(e.Name), g.Host)
 }
 
-func (g *GroupWatch) see(e ranklink.Event, now time.Time) {
+func (g *GroupMonitor) see(e ranklink.Event, now time.Time) {
 	w := g.links[e.Link.Endpoint()]
 	if w == nil || e.State == nil {
 		return
@@ -240,7 +240,7 @@
 }
 
 // judge tells the service which groups are down.
-func (g *GroupWatch) judge(now time.Time) {
+func (g *GroupMonitor) judge(now time.Time) {
 	groups := make(map[id.Group]seenGroup)
 	stalledAfter := g.Service.stalledAfter()
 	reason, fresh, down := "", 0, 0
@@ -269,21 +269,21 @@
 		}
 	}
 	seats := g.Roster.Ranks()
-	seen := make(map[id.Endpoint]RankSeen, len(g.listed))
+	seen := make(map[id.Endpoint]RankStatus, len(g.listed))
 	for e := range g.listed {
 		group := g.groupOf(e)
 		if group == "" {
 			// Of the same service as a group that is down, as far as is known.
-			seen[e.Name] = RankSeen{Blocked: down > 0}
+			seen[e.Name] = RankStatus{GroupDown: down > 0}
 			continue
 		}
-		r := RankSeen{Group: group, Blocked: groups[group].down != "", Moved: groups[group].moved, Pace: seats[e.Name].Pace}
+		r := RankStatus{Group: group, GroupDown: groups[group].down != "", ProgressAt: groups[group].moved, Pace: seats[e.Name].Pace}
 		if w := g.links[e]; w != nil && now.Sub(w.seen) <= staleAfter {
 			r.Pace = w.state.Pace
 		}
 		seen[e.Name] = r
 	}
-	if g.Service.SetGroups(seen, down > 0) {
+	if g.Service.SetRanks(seen, down > 0) {
 		g.Log.Info().Str("event", "group.changed").Str("service", string(g.Service.name)).Bool("down", g.Service.Down()).
 			Int("ranks_seen", fresh).Int("endpoints", len(g.listed)).Uint64("roster", g.Roster.Version()).Msg(reason)
 	}
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -18,7 +18,7 @@
 
 // groupWatch returns a watch of one rank of a group whose engine is given. Nothing
 // is connected.
-func groupWatch(t *testing.T, e routes.Engine) (*GroupWatch, *watched) {
+func groupWatch(t *testing.T, e routes.Engine) (*GroupMonitor, *watched) {
 	t.Helper()
 	h := NewHandler(Options{
 		Codec: testCodec{}, Entries: func() int { return 1 }, Log: zerolog.Nop(), Retries: retry.WindowConfig{Length: time.Second},
@@ -29,7 +29,7 @@
 	h.SetEndpoints([]Endpoint{{Name: "a", Service: "s", Address: "127.0.0.1:1"}})
 	rank := ranklink.Endpoint{Name: "a", Address: "127.0.0.1:1"}
 	w := &watched{look: look{every: fastLook, decides: true}}
-	return &GroupWatch{
+	return &GroupMonitor{
 		Service: h.Service("s"), Roster: roster.New(func() {}), Log: zerolog.Nop(),
 		links: map[ranklink.Endpoint]*watched{rank: w}, listed: map[ranklink.Endpoint]id.Zone{rank: "z"},
 	}, w
@@ -82,6 +82,6 @@
 		slot, d := s.Acquire(t.Context(), intake.Request{Target: time.Hour, Deadline: time.Hour}, nil)
 		assert.Assert(t, slot != nil, "%v", d)
 		assert.Equal(t, slot.Decision.Places, slots)
-		slot.End(Good)
+		slot.Release(Succeeded)
 	}
 }
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -115,7 +115,7 @@
 
 // request is one request on its way.
 type request struct {
-	call    Call
+	call    RequestInfo
 	route   *routes.Route
 	service *Service
 	team    *routes.Team
@@ -149,7 +149,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
-	q.service.Request()
+	q.service.CountRequest()
 	if q.route.Kind == routes.Streaming {
 		h.serveStream(ctx, w, q)
 		return
@@ -161,7 +161,7 @@
 // if the request was answered.
 func (h *Handler) accept(w http.ResponseWriter, r *http.Request) (*request, bool) {
 	began := time.Now()
-	call, err := h.opt.Codec.Call(r.Header)
+	call, err := h.opt.Codec.ParseRequest(r.Header)
 	if err != nil {
 		h.reject(w, r, call, http.StatusBadRequest, err.Error())
 		return nil, false
@@ -199,13 +199,13 @@
 	return q, true
 }
 
-func patience(c Call, r *routes.Route) time.Duration {
+func patience(c RequestInfo, r *routes.Route) time.Duration {
 	p := defaultPatience
 	if r.Timeout > 0 {
 		p = r.Timeout
 	}
-	if c.Patience > 0 {
-		p = min(p, c.Patience)
+	if c.Timeout > 0 {
+		p = min(p, c.Timeout)
 	}
 	return p
 }
@@ -229,7 +229,7 @@
 	return b, rc.SetReadDeadline(time.Time{})
 }
 
-func (h *Handler) bodyError(w http.ResponseWriter, r *http.Request, call Call, err error) {
+func (h *Handler) bodyError(w http.ResponseWriter, r *http.Request, call RequestInfo, err error) {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		h.reject(w, r, call, http.StatusRequestEntityTooLarge, "the body is too large")
--- a/entry/direct/journal.go
+++ b/entry/direct/journal.go
@@ -48,7 +48,7 @@
 }
 
 // rejected tells of a request that was not handed to a service.
-func (j *journal) rejected(r *http.Request, call Call, status int, version uint64, text string) {
+func (j *journal) rejected(r *http.Request, call RequestInfo, status int, version uint64, text string) {
 	j.count(endRejected, "")
 	j.log.Info().Str("event", "request.rejected").Str("request", string(call.ID)).Int("status", status).
 		Uint64("config", version).Str("site", r.Host).Str("path", r.URL.Path).Msg(text)
--- a/entry/direct/loads.go
+++ b/entry/direct/loads.go
@@ -45,9 +45,9 @@
 // maxCount is the greatest number in a byte.
 const maxCount = 255
 
-// Loads shares the loads of the endpoints between entries. It is safe for
+// LoadExchange shares the loads of the endpoints between entries. It is safe for
 // concurrent use.
-type Loads struct {
+type LoadExchange struct {
 	handler *Handler
 
 	mu      sync.Mutex // taken before Service.mu
@@ -67,14 +67,18 @@
 	services map[id.Service]serviceLoads
 }
 
-// NewLoads returns the loads of a handler's services.
-func NewLoads(h *Handler) *Loads { return &Loads{handler: h, sources: make(map[source]sourceLoads)} }
+// NewLoadExchange returns the loads of a handler's services.
+func NewLoadExchange(h *Handler) *LoadExchange {
+	return &LoadExchange{handler: h, sources: make(map[source]sourceLoads)}
+}
 
 // Encode returns what this entry runs at the endpoints.
-func (l *Loads) Encode() ([]byte, error) { return l.Sum(func(id.Host) bool { return false }) }
+func (l *LoadExchange) Encode() ([]byte, error) {
+	return l.EncodeSum(func(id.Host) bool { return false })
+}
 
-// Sum returns what this entry and some others run at the endpoints.
-func (l *Loads) Sum(of func(id.Host) bool) ([]byte, error) {
+// EncodeSum returns what this entry and some others run at the endpoints.
+func (l *LoadExchange) EncodeSum(of func(id.Host) bool) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[id.Service]serviceLoads)
@@ -111,13 +115,17 @@
 	return sl, busy
 }
 
-// Take takes in what another entry encoded.
-func (l *Loads) Take(from id.Host, state []byte) error { return l.take(source{host: from}, state) }
+// SetHostLoads takes in what another entry encoded.
+func (l *LoadExchange) SetHostLoads(from id.Host, state []byte) error {
+	return l.take(source{host: from}, state)
+}
 
-// TakeSum takes in the sum of another cell.
-func (l *Loads) TakeSum(cell string, state []byte) error { return l.take(source{cell: cell}, state) }
+// SetCellLoads takes in the sum of another cell.
+func (l *LoadExchange) SetCellLoads(cell string, state []byte) error {
+	return l.take(source{cell: cell}, state)
+}
 
-func (l *Loads) take(from source, state []byte) error {
+func (l *LoadExchange) take(from source, state []byte) error {
 	var services map[id.Service]serviceLoads
 	if err := cbor.Unmarshal(state, &services); err != nil {
 		return err
@@ -129,9 +137,9 @@
 	return nil
 }
 
-// Apply hands what arrived to the services and drops what is too old. A timer
+// ApplyPending hands what arrived to the services and drops what is too old. A timer
 // calls it.
-func (l *Loads) Apply() {
+func (l *LoadExchange) ApplyPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for from, x := range l.sources {
@@ -147,7 +155,7 @@
 }
 
 // apply hands the sums to the services. The caller holds mu.
-func (l *Loads) apply() {
+func (l *LoadExchange) apply() {
 	for name, s := range l.handler.Services() {
 		names, hash := s.endpointNames()
 		sums := make([]intake.Load, len(names))
@@ -165,7 +173,7 @@
 				sums[i].Prompt += int(sl.Prompts[i]) * promptUnit
 			}
 		}
-		s.SetOthers(names, sums, heard)
+		s.SetRemoteLoads(names, sums, heard)
 	}
 }
 
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -153,7 +153,7 @@
 	select {
 	case d := <-decided:
 		if slot, _ := s.slot(t, d); slot != nil {
-			slot.End(Neutral)
+			slot.Release(Neutral)
 		}
 	default:
 	}
@@ -197,16 +197,16 @@
 const (
 	// Neutral tries say nothing.
 	Neutral Outcome = iota
-	// Good tries were answered.
-	Good
-	// Bad tries failed by the endpoint's fault.
-	Bad
+	// Succeeded tries were answered.
+	Succeeded
+	// Failed tries failed by the endpoint's fault.
+	Failed
 	// Hung tries got no word for too long while other endpoints answered.
 	Hung
 )
 
-// First records the first event of a stream, or the answer.
-func (x *Slot) First() {
+// RecordFirstEvent records the first event of a stream, or the answer.
+func (x *Slot) RecordFirstEvent() {
 	s := x.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,11 +220,11 @@
 	})
 }
 
-// Event records an event of a stream.
-func (x *Slot) Event() { x.service.lastEvent.Store(int64(x.service.now())) }
+// RecordEvent records an event of a stream.
+func (x *Slot) RecordEvent() { x.service.lastEvent.Store(int64(x.service.now())) }
 
-// End frees the slot. It must be called once.
-func (x *Slot) End(o Outcome) {
+// Release frees the slot. It must be called once.
+func (x *Slot) Release(o Outcome) {
 	s := x.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,24 +240,24 @@
 // caller holds mu.
 func (s *Service) judge(name id.Endpoint, o Outcome, now time.Duration) time.Duration {
 	switch o {
-	case Good, Bad:
-		return s.detector.Record(name, o == Good, now)
+	case Succeeded, Failed:
+		return s.detector.Record(name, o == Succeeded, now)
 	case Hung:
 		return s.detector.Hung(name, now)
 	}
 	return 0
 }
 
-// Replaced takes an endpoint out of use whose address another instance has.
-func (s *Service) Replaced(name id.Endpoint) {
+// MarkReplaced takes an endpoint out of use whose address another instance has.
+func (s *Service) MarkReplaced(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replaced[name] = true
 	s.intake.SetUsable(name, false)
 }
 
-// Unreachable makes an endpoint the last choice for a moment.
-func (s *Service) Unreachable(name id.Endpoint) {
+// MarkUnreachable makes an endpoint the last choice for a moment.
+func (s *Service) MarkUnreachable(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.intake.Suspect(name, s.now()+unreachableFor)
@@ -267,22 +267,22 @@
 // connection could be opened.
 const unreachableFor = time.Second
 
-// Request counts a request of a client.
-func (s *Service) Request() {
+// CountRequest counts a request of a client.
+func (s *Service) CountRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.window.Request(s.now())
 }
 
-// Repeat takes a further try from the budget of all entries.
-func (s *Service) Repeat() bool {
+// AcquireRetry takes a further try from the budget of all entries.
+func (s *Service) AcquireRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.window.Repeat(s.now(), s.entries())
 }
 
-// Doubt records that an endpoint refused a request because its group is down.
-func (s *Service) Doubt(name id.Endpoint) {
+// ReportGroupDown records that an endpoint refused a request because its group is down.
+func (s *Service) ReportGroupDown(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tellDoubt(name, "it refused a request because its group is down", func() { s.intake.Doubt(name, s.now()) })
@@ -308,38 +308,38 @@
 	}
 }
 
-// RankSeen is what was seen of the rank behind an endpoint.
-type RankSeen struct {
+// RankStatus is what was seen of the rank behind an endpoint.
+type RankStatus struct {
 	// Group is empty if it is not known.
 	Group id.Group
-	// Blocked is true if the group is down.
-	Blocked bool
+	// GroupDown is true if the group is down.
+	GroupDown bool
 	// Pace is above one while the rank is slow, zero if it is not known.
 	Pace float64
-	// Moved is when the rank was last seen to have begun a pass or to belong to a
+	// ProgressAt is when the rank was last seen to have begun a pass or to belong to a
 	// group formed anew.
-	Moved time.Time
+	ProgressAt time.Time
 }
 
-// SetGroups tells what was seen of the ranks behind the endpoints. Endpoints that
+// SetRanks tells what was seen of the ranks behind the endpoints. Endpoints that
 // were not seen yet are taken to be blocked if others is true. It reports whether
 // the service went down or came back.
-func (s *Service) SetGroups(seen map[id.Endpoint]RankSeen, others bool) (changed bool) {
+func (s *Service) SetRanks(seen map[id.Endpoint]RankStatus, others bool) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	down := len(s.backends) > 0
 	for name := range s.backends {
 		r, ok := seen[name]
 		if !ok {
-			r.Blocked = others
+			r.GroupDown = others
 		}
-		s.intake.SetBlocked(name, r.Blocked)
+		s.intake.SetBlocked(name, r.GroupDown)
 		s.intake.SetPace(name, r.Pace)
 		if r.Group != "" {
 			s.intake.SetGroup(name, r.Group)
-			s.tellDoubt(name, "its group was seen to go on", func() { s.intake.Moved(r.Group, r.Moved.Sub(s.began)) })
+			s.tellDoubt(name, "its group was seen to go on", func() { s.intake.Moved(r.Group, r.ProgressAt.Sub(s.began)) })
 		}
-		down = down && r.Blocked
+		down = down && r.GroupDown
 	}
 	was, _ := s.intake.Down()
 	s.setDown(down)
@@ -354,8 +354,8 @@
 	return down
 }
 
-// SetOthers replaces what other entries run at endpoints, as last heard.
-func (s *Service) SetOthers(names []id.Endpoint, loads []intake.Load, heard time.Time) {
+// SetRemoteLoads replaces what other entries run at endpoints, as last heard.
+func (s *Service) SetRemoteLoads(names []id.Endpoint, loads []intake.Load, heard time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if heard.After(s.othersAt) {
@@ -367,7 +367,7 @@
 	s.pump()
 }
 
-// Silence returns the time since any stream of the service had an event.
-func (s *Service) Silence() time.Duration {
+// SinceLastEvent returns the time since any stream of the service had an event.
+func (s *Service) SinceLastEvent() time.Duration {
 	return s.now() - time.Duration(s.lastEvent.Load())
 }
--- a/entry/direct/stream.go
+++ b/entry/direct/stream.go
@@ -97,7 +97,7 @@
 // not a stream without passing it on.
 func (h *Handler) tryStream(ctx context.Context, q *request, slot *Slot, s *streamWriter) (a *answer, err error) {
 	outcome := Neutral
-	defer func() { slot.End(outcome) }()
+	defer func() { slot.Release(outcome) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watch := newWatch(q.service, silencesOf(q.route), cancel)
@@ -110,17 +110,17 @@
 	defer x.Close()
 	v, err := h.check(q, x)
 	if err != nil {
-		outcome = Bad
+		outcome = Failed
 		return nil, err
 	}
 	if x.Response.StatusCode != http.StatusOK {
 		body, err := io.ReadAll(io.LimitReader(x.Body(), maxWholeAnswer))
 		if err != nil {
-			outcome = Bad
+			outcome = Failed
 			return nil, errors.Wrap(err, "answer broke off")
 		}
 		if !v.NotRun {
-			outcome = Bad
+			outcome = Failed
 		}
 		return &answer{
 			status: x.Response.StatusCode, header: x.Response.Header, body: body, verdict: v, endpoint: slot.Backend.Name,
@@ -129,14 +129,14 @@
 	err = h.pass(q, s, x, slot, watch)
 	switch {
 	case err == nil:
-		outcome = Good
+		outcome = Succeeded
 	case ctx.Err() != nil:
 		err = context.Cause(ctx)
 		if errors.Is(err, errSilent) {
 			outcome = Hung
 		}
 	default:
-		outcome = Bad
+		outcome = Failed
 	}
 	return nil, err
 }
@@ -153,8 +153,8 @@
 		if err != nil {
 			return err
 		}
-		slot.First()
-		slot.Event()
+		slot.RecordFirstEvent()
+		slot.RecordEvent()
 		watch.event()
 		switch follows(s.last, eventID) {
 		case repeated:
@@ -220,7 +220,7 @@
 }
 
 func (w *watch) expire() {
-	if w.service.Silence() <= w.silences.others {
+	if w.service.SinceLastEvent() <= w.silences.others {
 		w.cancel(errSilent)
 		return
 	}
--- a/entry/direct/stream_test.go
+++ b/entry/direct/stream_test.go
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			a, b := newBackend(t, "a", c.a), newBackend(t, "b", c.b)
 			e := newEntry(t, c.route, a, b)
-			e.handler.Service("s").Unreachable("b") // So that a is tried first.
+			e.handler.Service("s").MarkUnreachable("b") // So that a is tried first.
 			header := []string{}
 			if c.last != "" {
 				header = append(header, "Last-Event: "+c.last)
@@ -85,11 +85,11 @@
 // choice.
 func startAt(e *entry, this, other id.Endpoint) <-chan reply {
 	s := e.handler.Service("s")
-	s.Unreachable(other)
+	s.MarkUnreachable(other)
 	out := make(chan reply, 1)
 	go func() { out <- e.send(http.MethodPost) }()
 	time.Sleep(100 * time.Millisecond)
-	s.Unreachable(this)
+	s.MarkUnreachable(this)
 	s.mu.Lock()
 	s.intake.Suspect(other, 0)
 	s.mu.Unlock()
@@ -197,7 +197,7 @@
 		t.Run(name, func(t *testing.T) {
 			a, b := newBackend(t, "a", events(6, 3, 0)), newBackend(t, "b", c.second)
 			e := newEntry(t, stream, a, b)
-			e.handler.Service("s").Unreachable("b")
+			e.handler.Service("s").MarkUnreachable("b")
 			got := e.send(http.MethodPost)
 			assert.Equal(t, got.body, c.want)
 			assert.Equal(t, got.err != nil, c.broken)
--- a/entry/direct/whole.go
+++ b/entry/direct/whole.go
@@ -57,7 +57,7 @@
 // tryWhole sends the request once and reads the answer whole.
 func (h *Handler) tryWhole(ctx context.Context, q *request, slot *Slot) (a *answer, err error) {
 	outcome := Neutral
-	defer func() { slot.End(outcome) }()
+	defer func() { slot.Release(outcome) }()
 	if limit, ok := q.tryLimit(); ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadlineCause(ctx, time.Now().Add(limit), errSlowTry)
@@ -71,27 +71,27 @@
 	defer x.Close()
 	v, err := h.check(q, x)
 	if err != nil {
-		outcome = Bad
+		outcome = Failed
 		return nil, err
 	}
 	body, err := io.ReadAll(io.LimitReader(x.Body(), maxWholeAnswer+1))
 	if err != nil {
-		outcome = Bad
+		outcome = Failed
 		return nil, errors.Wrap(err, "answer broke off")
 	}
 	if len(body) > maxWholeAnswer {
 		return nil, errors.Newf("answer exceeds %d bytes", maxWholeAnswer)
 	}
 	if !v.NotRun {
-		slot.First()
+		slot.RecordFirstEvent()
 	}
 	status := x.Response.StatusCode
 	switch {
 	case v.NotRun:
 	case status >= http.StatusInternalServerError:
-		outcome = Bad
+		outcome = Failed
 	default:
-		outcome = Good
+		outcome = Succeeded
 	}
 	return &answer{
 		status: status, header: x.Response.Header, body: body, verdict: v, endpoint: slot.Backend.Name,
@@ -116,7 +116,7 @@
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		return Neutral
 	}
-	return Bad
+	return Failed
 }
 
 // send hands the request to the slot's endpoint. It is counted unless no byte of
@@ -124,13 +124,13 @@
 func (h *Handler) send(ctx context.Context, q *request, slot *Slot, lastEvent string) (*upstream.Exchange, error) {
 	h.journal.chosen(q, slot)
 	header := q.header.Clone()
-	f := Forward{
-		Endpoint: slot.Backend.Name, Left: time.Until(q.deadline), Priority: q.priority(), LastEvent: lastEvent,
+	f := ForwardInfo{
+		Endpoint: slot.Backend.Name, Remaining: time.Until(q.deadline), Priority: q.priority(), LastEvent: lastEvent,
 	}
 	if q.team != nil {
 		f.Team = q.team.Name
 	}
-	h.opt.Codec.Forward(header, f)
+	h.opt.Codec.WriteForward(header, f)
 	out := &upstream.Request{Method: q.method, Target: q.target, Host: q.host, Header: header, Body: q.body}
 	// A kept connection may be dead without a sign. What may not be repeated, and
 	// what failed already, goes over a fresh one.
@@ -139,7 +139,7 @@
 	var notSent *upstream.NotSentError
 	if errors.As(err, &notSent) {
 		if ctx.Err() == nil {
-			q.service.Unreachable(slot.Backend.Name)
+			q.service.MarkUnreachable(slot.Backend.Name)
 		}
 		return nil, err
 	}
@@ -152,9 +152,9 @@
 }
 
 // check reports whether the head of an answer can be passed on.
-func (h *Handler) check(q *request, x *upstream.Exchange) (Verdict, error) {
+func (h *Handler) check(q *request, x *upstream.Exchange) (ResponseInfo, error) {
 	r := x.Response
-	v := h.opt.Codec.Verdict(r.StatusCode, r.Header)
+	v := h.opt.Codec.ParseResponse(r.StatusCode, r.Header)
 	if !v.NotRun {
 		q.mayHaveRun = true
 	}
@@ -181,7 +181,7 @@
 	h.learn(q, slot, a)
 	why := q.reasonToRepeat(a, err)
 	var notSent *upstream.NotSentError
-	if why == "" || (!errors.As(err, &notSent) && !q.service.Repeat()) {
+	if why == "" || (!errors.As(err, &notSent) && !q.service.AcquireRetry()) {
 		return false
 	}
 	if !a.groupDown() {
@@ -197,12 +197,12 @@
 		return
 	}
 	q.refused++
-	if a.verdict.Elsewhere {
-		q.service.Replaced(slot.Backend.Name)
+	if a.verdict.WrongInstance {
+		q.service.MarkReplaced(slot.Backend.Name)
 	}
 	if a.groupDown() {
 		q.groupDown++
-		q.service.Doubt(slot.Backend.Name)
+		q.service.ReportGroupDown(slot.Backend.Name)
 	}
 }
 
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -116,7 +116,7 @@
 	store   *objectapi.Client
 	values  values
 	handler *direct.Handler
-	loads   *direct.Loads
+	loads   *direct.LoadExchange
 	maps    maps
 	// followers keep up with the platform's objects while the entry is a reader.
 	followers []*follower
@@ -188,7 +188,7 @@
 	e.handler = direct.NewHandler(direct.Options{
 		Codec: a.Codec, Entries: e.mesh.Known, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.Retries,
 	})
-	e.loads = direct.NewLoads(e.handler)
+	e.loads = direct.NewLoadExchange(e.handler)
 	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.Changed}
 	e.followers = e.newFollowers()
 	e.maps = maps{edge: e, of: make(map[id.Service]*service)}
@@ -310,7 +310,7 @@
 		case <-e.ctx.Done():
 			return
 		case <-t.C:
-			e.loads.Apply()
+			e.loads.ApplyPending()
 		}
 	}
 }
@@ -329,7 +329,7 @@
 		case <-e.ctx.Done():
 			return
 		case now := <-t.C:
-			e.handler.Directory().Sweep(now)
+			e.handler.Directory().CloseExpired(now)
 			e.clients.sweep(now)
 		}
 	}
--- a/entry/edge/maps.go
+++ b/entry/edge/maps.go
@@ -93,8 +93,8 @@
 	s.ctx, s.cancel = context.WithCancel(e.ctx)
 	m.of[name] = s
 	if state := e.handler.Service(name); state != nil {
-		w := direct.GroupWatch{
-			Service: state, Host: e.cfg.Host, Near: e.cfg.Zone, Source: e.cfg.Source, Log: e.log, Roster: s.book,
+		w := direct.GroupMonitor{
+			Service: state, Host: e.cfg.Host, Zone: e.cfg.Zone, Source: e.cfg.Source, Log: e.log, Roster: s.book,
 			List: func() map[ranklink.Endpoint]id.Zone { return e.ranks(name) },
 		}
 		m.wg.Go(func() { w.Run(s.ctx) })
--- a/entry/edge/states.go
+++ b/entry/edge/states.go
@@ -14,7 +14,7 @@
 
 // state is what entries tell each other at each greeting.
 type state struct {
-	// Loads is what the entry runs at the endpoints, as direct.Loads encodes it.
+	// Loads is what the entry runs at the endpoints, as direct.LoadExchange encodes it.
 	Loads []byte `cbor:"1,keyasint,omitempty"`
 	// Claims are the fencing numbers under which the entry performs duties.
 	Claims map[duty.Name]uint64 `cbor:"2,keyasint,omitempty"`
@@ -142,7 +142,7 @@
 
 // encodeSummary returns what this entry tells other cells of some of its own.
 func (e *Edge) encodeSummary(of func(id.Host) bool) []byte {
-	loads, err := e.loads.Sum(of)
+	loads, err := e.loads.EncodeSum(of)
 	if err == nil {
 		claims := e.states.of(of)
 		if own := e.maps.claimed(); len(own) > 0 {
@@ -163,7 +163,7 @@
 	err := cbor.Unmarshal(data, &s)
 	if err == nil {
 		e.states.note(holderName(m.Host, m.Incarnation), s.Claims)
-		err = e.loads.Take(m.Host, s.Loads)
+		err = e.loads.SetHostLoads(m.Host, s.Loads)
 	}
 	if err != nil {
 		e.log.Error().Err(err).Str("event", "state.rejected").Str("member", string(m.Host)).Send()
@@ -178,7 +178,7 @@
 		for holder, of := range s.Claims {
 			e.states.note(holder, of)
 		}
-		err = e.loads.TakeSum(cell, s.Loads)
+		err = e.loads.SetCellLoads(cell, s.Loads)
 	}
 	if err != nil {
 		e.log.Error().Err(err).Str("event", "state.rejected").Str("cell", cell).Send()
--- a/entry/edge/values.go
+++ b/entry/edge/values.go
@@ -149,7 +149,7 @@
 		if e.Draining {
 			draining++
 		}
-		e.Registered = r.Created
+		e.RegistrationRevision = r.Created
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(a, b direct.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
--- a/entry/edge/values_test.go
+++ b/entry/edge/values_test.go
@@ -89,7 +89,7 @@
 	assert.Equal(t, len(a.endpoints), 2, "a registration that cannot be read is left out")
 	a.changeEndpoints([]objectapi.Object{object("b", `{"address":"2","draining":true}`, 6), object("d", `{"address":"4"}`, 7)}, 7)
 	assert.Assert(t, a.endpoints["b"].Draining)
-	assert.Equal(t, a.endpoints["d"].Registered, uint64(7))
+	assert.Equal(t, a.endpoints["d"].RegistrationRevision, uint64(7))
 	gone := object("a", ``, 8)
 	gone.Deleted = true
 	a.changeEndpoints([]objectapi.Object{gone}, 8)
