--- a/entry/ranklink/link.go
+++ b/entry/ranklink/link.go
@@ -1,5 +1,5 @@
-// Package ranklink reaches the ranks of groups: through the relay beside each,
-// or directly while that does not answer.
+// Package ranklink connects an entry to the ranks of a group: through the relay process
+// beside each rank, or by direct polling while the relay is unreachable.
 package ranklink
 
 import (
@@ -18,16 +18,16 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// Endpoint is a rank's endpoint as the entry knows it.
+// Endpoint is the endpoint of one rank.
 type Endpoint struct {
 	Name id.Endpoint
-	// Address is the "ip:port" of the endpoint.
+	// Address is the rank's "ip:port".
 	Address string
-	// Relay is the "ip:port" of the relay beside it.
+	// Relay is the "ip:port" of the relay on the same host.
 	Relay string
 }
 
-// Event is what a link tells its owner. One of the pointers is set.
+// Event is a message from a rank: any of State, Layout and Sample, or a Result.
 type Event struct {
 	Link   *Link
 	State  *relay.State
@@ -37,44 +37,43 @@
 }
 
 const (
-	// dialTimeout bounds the time to connect to a relay, several ways there and back.
+	// dialTimeout bounds connecting to a relay, several round trips.
 	dialTimeout = 250 * time.Millisecond
-	// directFor is the time for which a rank is asked directly before its relay is tried again.
-	directFor = time.Second
-	// directInterval is the time between questions to a rank without a relay,
-	// about as old as its answers are.
-	directInterval = 200 * time.Millisecond
-	// directTimeout bounds a call to a rank without a relay.
-	directTimeout = 500 * time.Millisecond
-	// orderQueue bounds the orders that wait for a link.
+	// relayRetryInterval is the time between attempts to connect to an unreachable relay.
+	relayRetryInterval = time.Second
+	// directPollInterval is the poll interval of a rank without a relay, about the age of the
+	// answers.
+	directPollInterval = 200 * time.Millisecond
+	// directCallTimeout bounds a call to a rank without a relay.
+	directCallTimeout = 500 * time.Millisecond
+	// orderQueue is the capacity of a link's queue of orders.
 	orderQueue = 64
-	// orderPatience is the time without any word of the relay after an order from
-	// which on another connection is tried. Relays repeat the state of a standing
-	// group each 200 ms.
-	orderPatience = 250 * time.Millisecond
-	// linkSilence ends a connection whose relay sent nothing; it repeats its state each second.
-	linkSilence = 2500 * time.Millisecond
-	maxLine     = 1 << 20
+	// orderReplyTimeout is the time without any message after an order before reconnecting.
+	// Relays repeat the state of a stalled group every 200 ms.
+	orderReplyTimeout = 250 * time.Millisecond
+	// relaySilenceTimeout closes a silent connection; relays repeat their state every second.
+	relaySilenceTimeout = 2500 * time.Millisecond
+	maxLineBytes        = 1 << 20
 )
 
-// Options are what a link is made of.
+// Options configures a Link.
 type Options struct {
 	Endpoint Endpoint
 	Watch    relay.Watch
-	// Source is the address of this host from which relays are reached. Default:
-	// the operating system's choice.
+	// Source is the local address for connections to relays. Default: chosen by the operating
+	// system.
 	Source netip.Addr
-	// EngineClient returns a client for a rank that has no relay. Nil keeps the link
-	// from asking the rank itself.
+	// EngineClient returns a client for a rank without a relay. Nil disables direct access.
 	EngineClient func(address string) relay.Engine
-	// StateOnly keeps the link from asking a rank without a relay for its experts.
+	// StateOnly skips the layout when polling a rank directly.
 	StateOnly bool
 	Events    chan<- Event
-	// Report is told when the relay is reached or lost. It must not block.
-	Report func(l *Link, what string, err error)
+	// Report is called with an event name when the relay is connected, lost or unreachable,
+	// or the relay cannot reach its rank. It must not block.
+	Report func(l *Link, event string, err error)
 }
 
-// Link reaches one rank.
+// Link exchanges messages with one rank.
 type Link struct {
 	opt     Options
 	orders  chan relay.Order
@@ -82,46 +81,45 @@
 	cancel  context.CancelFunc
 
 	mu sync.Mutex // leaf lock
-	// waiting is when the first order was sent since the relay was last heard,
-	// zero if there was none.
-	waiting time.Time
-	// replaced is true if the connection took the place of a silent one and the
-	// relay was not heard since.
-	replaced bool
+	// unansweredSince is when the first order was sent after the relay's last message, zero
+	// if there was none.
+	unansweredSince time.Time
+	// reconnected is true from reconnecting because of silence until the next message.
+	reconnected bool
 }
 
-// Open starts a link that lasts until ctx ends or Close.
+// Open starts a link that runs until ctx ends or Close is called.
 func Open(ctx context.Context, o Options) *Link {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &Link{opt: o, orders: make(chan relay.Order, orderQueue), watches: make(chan relay.Watch, 1), cancel: cancel}
-	go l.run(ctx)
+	go l.maintain(ctx)
 	return l
 }
 
 // Endpoint returns the endpoint that the link reaches.
 func (l *Link) Endpoint() Endpoint { return l.opt.Endpoint }
 
-// SetWatch replaces what the link asks to be told. It must not be called by two
-// goroutines at once.
+// SetWatch replaces the subscription sent to the relay. It must not be called
+// concurrently.
 func (l *Link) SetWatch(w relay.Watch) {
 	select {
-	case <-l.watches: // An earlier one that was not sent yet is replaced.
+	case <-l.watches: // Replaces a subscription that was not sent yet.
 	default:
 	}
 	l.watches <- w
 }
 
-// Close ends the link. It does not wait.
+// Close stops the link without waiting for it.
 func (l *Link) Close() { l.cancel() }
 
-// Send queues an order for the rank. An order that finds no place is dropped and
-// sent again by its owner.
+// Send queues an order for the rank. If the queue is full the order is dropped; the caller
+// resends it.
 func (l *Link) Send(o relay.Order) {
 	o.Endpoint = l.opt.Endpoint.Name
 	l.queue(o)
 }
 
-// SendTo queues an order for another rank, which the relay of this one passes on.
+// SendTo queues an order for another rank, forwarded by this rank's relay.
 func (l *Link) SendTo(rank Endpoint, o relay.Order) {
 	o.Endpoint, o.Address = rank.Name, rank.Address
 	l.queue(o)
@@ -142,8 +140,8 @@
 	}
 }
 
-// run keeps the link until ctx ends.
-func (l *Link) run(ctx context.Context) {
+// maintain connects and reconnects until ctx ends.
+func (l *Link) maintain(ctx context.Context) {
 	d := dial.Config{Source: l.opt.Source, Timeout: dialTimeout}.Dialer()
 	for ctx.Err() == nil {
 		c, err := d.DialContext(ctx, "tcp", l.opt.Endpoint.Relay)
@@ -160,7 +158,7 @@
 	}
 }
 
-// runRelay exchanges messages with the relay until the connection ends.
+// runRelay exchanges messages over the connection until it fails.
 func (l *Link) runRelay(ctx context.Context, c net.Conn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -174,9 +172,9 @@
 	}()
 	defer func() { cancel(nil); <-written }()
 	lines := bufio.NewScanner(c)
-	lines.Buffer(make([]byte, 0, 4096), maxLine)
+	lines.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	for {
-		if err := c.SetReadDeadline(time.Now().Add(linkSilence)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(relaySilenceTimeout)); err != nil {
 			return err
 		}
 		if !lines.Scan() {
@@ -186,7 +184,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
 			return err
 		}
-		l.hear()
+		l.markHeard()
 		if m.Unreachable != "" {
 			l.opt.Report(l, "rank.unreachable", nil)
 			continue
@@ -209,8 +207,8 @@
 				return err
 			}
 		case o := <-l.orders:
-			if l.silent(time.Now()) {
-				return errSilent
+			if l.shouldReconnect(time.Now()) {
+				return errRelaySilent
 			}
 			if err := enc.Encode(relay.ToRelay{Order: &o}); err != nil {
 				return err
@@ -219,44 +217,44 @@
 	}
 }
 
-var errSilent = errors.New("the relay is silent since it got an order")
+var errRelaySilent = errors.New("no message from the relay since the last order")
 
-// hear notes that the relay sent something.
-func (l *Link) hear() {
+// markHeard records that the relay sent a message.
+func (l *Link) markHeard() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting, l.replaced = time.Time{}, false
+	l.unansweredSince, l.reconnected = time.Time{}, false
 }
 
-// silent reports whether the connection is to be replaced, since nothing was
-// heard for too long after an order. A connection may go silent for good while
-// new ones work. It is replaced once; if the relay is silent on the next one too,
-// its host is frozen, and the rank with it.
-func (l *Link) silent(now time.Time) bool {
+// shouldReconnect reports whether to replace the connection because nothing arrived for
+// too long after an order: established connections can go silent for good while new ones
+// work. It does so once; if the next one is silent too, the relay's host is frozen, and
+// the rank with it.
+func (l *Link) shouldReconnect(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.waiting.IsZero() {
-		l.waiting = now
+	if l.unansweredSince.IsZero() {
+		l.unansweredSince = now
 	}
-	if l.replaced || now.Sub(l.waiting) < orderPatience {
+	if l.reconnected || now.Sub(l.unansweredSince) < orderReplyTimeout {
 		return false
 	}
-	l.replaced = true
+	l.reconnected = true
 	return true
 }
 
-// runDirect asks the rank itself for some time.
+// runDirect polls the rank until it is time to try the relay again.
 func (l *Link) runDirect(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, directFor)
+	ctx, cancel := context.WithTimeout(ctx, relayRetryInterval)
 	defer cancel()
 	if l.opt.EngineClient == nil {
 		<-ctx.Done()
 		return
 	}
 	engine := l.opt.EngineClient(l.opt.Endpoint.Address)
-	interval := directInterval
+	interval := directPollInterval
 	if watched := time.Duration(l.opt.Watch.StateMillis) * time.Millisecond; l.opt.StateOnly {
-		interval = min(max(watched, directInterval), directFor/2)
+		interval = min(max(watched, directPollInterval), relayRetryInterval/2)
 	}
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -266,20 +264,20 @@
 		case <-ctx.Done():
 			return
 		case o := <-l.orders:
-			go l.orderDirect(ctx, engine, o)
+			go l.sendDirect(ctx, engine, o)
 		case <-tick.C:
-			l.lookDirect(ctx, engine, &layout)
+			l.pollDirect(ctx, engine, &layout)
 		}
 	}
 }
 
-func (l *Link) orderDirect(ctx context.Context, engine relay.Engine, o relay.Order) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), directTimeout)
+func (l *Link) sendDirect(ctx context.Context, engine relay.Engine, o relay.Order) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), directCallTimeout)
 	defer cancel()
 	var r relay.Result
 	switch {
 	case o.Op == relay.Ping:
-		r = reach(ctx, engine)
+		r = pingEngine(ctx, engine)
 	case o.Address != "":
 		r = l.opt.EngineClient(o.Address).Order(ctx, o)
 	default:
@@ -289,16 +287,16 @@
 	l.emit(ctx, Event{Result: &r})
 }
 
-// reach answers a ping in the place of a relay: the rank itself has to answer.
-func reach(ctx context.Context, engine relay.Engine) relay.Result {
+// pingEngine answers a ping in place of the relay; the rank itself has to respond.
+func pingEngine(ctx context.Context, engine relay.Engine) relay.Result {
 	if _, err := engine.State(ctx); err != nil {
 		return relay.Result{Outcome: relay.Unknown, Detail: err.Error()}
 	}
 	return relay.Result{Outcome: relay.Done}
 }
 
-func (l *Link) lookDirect(ctx context.Context, engine relay.Engine, layout *relay.Layout) {
-	ctx, cancel := context.WithTimeout(ctx, directTimeout)
+func (l *Link) pollDirect(ctx context.Context, engine relay.Engine, layout *relay.Layout) {
+	ctx, cancel := context.WithTimeout(ctx, directCallTimeout)
 	defer cancel()
 	state, err := engine.State(ctx)
 	if err != nil {
--- a/entry/ranklink/link_test.go
+++ b/entry/ranklink/link_test.go
@@ -14,27 +14,27 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// rank counts the orders that reach it.
-type rank struct{ orders atomic.Int64 }
+// fakeRank counts the orders it receives.
+type fakeRank struct{ orders atomic.Int64 }
 
-func (r *rank) State(context.Context) (relay.State, error)   { return relay.State{Group: "g"}, nil }
-func (r *rank) Counts(context.Context) (relay.Counts, error) { return relay.Counts{}, nil }
-func (r *rank) Layout(context.Context) (relay.Layout, error) { return relay.Layout{}, nil }
-func (r *rank) Order(context.Context, relay.Order) relay.Result {
+func (r *fakeRank) State(context.Context) (relay.State, error)   { return relay.State{Group: "g"}, nil }
+func (r *fakeRank) Counts(context.Context) (relay.Counts, error) { return relay.Counts{}, nil }
+func (r *fakeRank) Layout(context.Context) (relay.Layout, error) { return relay.Layout{}, nil }
+func (r *fakeRank) Order(context.Context, relay.Order) relay.Result {
 	r.orders.Add(1)
 	return relay.Result{Outcome: relay.Done}
 }
 
-// fixture is a link with its relay, which a test plays.
+// fixture is a link whose relay is played by the test.
 type fixture struct {
 	t      *testing.T
-	rank   rank
+	rank   fakeRank
 	relay  net.Listener
 	events chan Event
 	link   *Link
 }
 
-func open(t *testing.T) *fixture {
+func newFixture(t *testing.T) *fixture {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	f := &fixture{t: t, relay: l, events: make(chan Event, 64)}
@@ -42,12 +42,12 @@
 	f.link = Open(t.Context(), Options{
 		Endpoint: Endpoint{Name: "e", Address: "127.0.0.1:1", Relay: l.Addr().String()}, Watch: relay.Watch{StateMillis: 20},
 		EngineClient: func(string) relay.Engine { return &f.rank }, Events: f.events,
-		Report: func(_ *Link, what string, err error) { t.Log(what, err) },
+		Report: func(_ *Link, event string, err error) { t.Log(event, err) },
 	})
 	return f
 }
 
-// accept accepts a connection whose messages go to got.
+// accept accepts a connection and passes its messages to got.
 func (f *fixture) accept(got func(enc *json.Encoder, m relay.ToRelay)) {
 	f.t.Helper()
 	c, err := f.relay.Accept()
@@ -63,13 +63,14 @@
 	}()
 }
 
-// order sends an order each 40 ms until one has a result, and returns how long that took.
-func (f *fixture) order(first uint64) time.Duration {
+// sendUntilResult sends an order every 40 ms until one has a result. It returns the time
+// taken.
+func (f *fixture) sendUntilResult(firstID uint64) time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	tick := time.NewTicker(40 * time.Millisecond)
 	defer tick.Stop()
-	for n := first; time.Since(began) < 3*time.Second; n++ {
+	for n := firstID; time.Since(began) < 3*time.Second; n++ {
 		f.link.Send(relay.Order{ID: n, Op: relay.Hold})
 		select {
 		case e := <-f.events:
@@ -84,8 +85,8 @@
 	return 0
 }
 
-// answer answers the orders that a relay gets while on is true.
-func answer(on *atomic.Bool) func(*json.Encoder, relay.ToRelay) {
+// answerOrders returns a handler that completes orders while on is true.
+func answerOrders(on *atomic.Bool) func(*json.Encoder, relay.ToRelay) {
 	return func(enc *json.Encoder, m relay.ToRelay) {
 		if m.Order != nil && on.Load() {
 			_ = enc.Encode(relay.FromRelay{Result: &relay.Result{ID: m.Order.ID, Outcome: relay.Done}})
@@ -93,27 +94,27 @@
 	}
 }
 
-// TestOrdersLeaveASilentConnection names the pattern "open channels go silent
-// for good while new ones work".
+// TestOrdersLeaveASilentConnection checks that a link replaces an established connection
+// that went silent for good while new connections work.
 func TestOrdersLeaveASilentConnection(t *testing.T) {
-	f := open(t)
+	f := newFixture(t)
 	var first, second atomic.Bool
 	first.Store(true)
 	second.Store(true)
-	f.accept(answer(&first))
+	f.accept(answerOrders(&first))
 	for n := range uint64(10) {
-		f.order(n)
-		time.Sleep(40 * time.Millisecond) // A quiet relay is not a silent one.
+		f.sendUntilResult(n)
+		time.Sleep(40 * time.Millisecond) // A relay without news is not silent.
 	}
 	first.Store(false)
-	go f.accept(answer(&second))
-	assert.Assert(t, f.order(100) < 500*time.Millisecond)
+	go f.accept(answerOrders(&second))
+	assert.Assert(t, f.sendUntilResult(100) < 500*time.Millisecond)
 }
 
-// TestFrozenHostIsNotDialedAgainAndAgain: its kernel accepts connections, so
-// that each of them looks like a new one.
-func TestFrozenHostIsNotDialedAgainAndAgain(t *testing.T) {
-	f := open(t)
+// TestSilentRelayIsRedialedOnce guards against endless redials of a frozen host, whose
+// kernel still accepts connections.
+func TestSilentRelayIsRedialedOnce(t *testing.T) {
+	f := newFixture(t)
 	var dials atomic.Int64
 	go func() {
 		for {
@@ -130,9 +131,9 @@
 	assert.Equal(t, dials.Load(), int64(2))
 }
 
-func TestRankWithoutRelay(t *testing.T) {
-	f := open(t)
+func TestOrdersReachRankWithoutRelay(t *testing.T) {
+	f := newFixture(t)
 	assert.NilError(t, f.relay.Close())
-	assert.Assert(t, f.order(1) < 2*time.Second)
+	assert.Assert(t, f.sendUntilResult(1) < 2*time.Second)
 	assert.Assert(t, f.rank.orders.Load() > 0)
 }
