--- a/entry/groups/config.go
+++ b/entry/groups/config.go
@@ -1,6 +1,6 @@
-// Package groups performs the coordinators' duty for the groups of ranks in the
-// configuration: it takes part in the lease of each group, drives its coordinator
-// while the lease is held, and carries its messages over the links to the agents.
+// Package groups runs a coordinator for each group of ranks in the configuration: it
+// competes for the group's lease, ticks the coordinator while the lease is held, and
+// carries its messages to and from the agents.
 package groups
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/siskinford/siskinford/core/settings"
 )
 
-// Config sets up a Manager.
+// Config configures a Manager.
 type Config struct {
-	// Host is the name of this machine. It is set by the entry.
+	// Host is the name of this machine, set by the entry.
 	Host id.Host
-	// TickInterval is the time between two ticks of a coordinator. Default: 100 ms.
+	// TickInterval is the time between coordinator ticks. Default: 100 ms.
 	TickInterval time.Duration
-	// PollInterval is the time between two polls of all ranks. A rank that missed
-	// three polls counts as silent. Default: 2.5 s.
+	// PollInterval is the time between polls of all ranks. A rank that misses three polls
+	// counts as silent. Default: 2.5 s.
 	PollInterval time.Duration
-	// LeaseTTL is the time for which the lease of a group is renewed. Default: 10 s.
+	// LeaseTTL is the validity of a renewed lease. Default: 10 s.
 	LeaseTTL time.Duration
-	// PlanInterval is the time between two plans of a group's map. Default: 1 min.
+	// PlanInterval is the time between plans of a group's map. Default: 1 min.
 	PlanInterval time.Duration
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// Register registers the settings, with the values of c as defaults.
+// Register registers the settings with the values of c as defaults.
 func (c *Config) Register(s *settings.Set) {
 	s.Duration(&c.TickInterval, "group-tick", "Time between two ticks of the coordinator of a group of ranks")
 	s.Duration(&c.PollInterval, "group-poll-interval", "Time between two polls of the ranks of a group")
@@ -43,7 +43,7 @@
 	s.Duration(&c.PlanInterval, "group-plan-interval", "Time between two plans of a group's expert map")
 }
 
-// Validate reports all values out of range.
+// Validate reports all durations that are not positive.
 func (c Config) Validate() finding.List {
 	var l finding.List
 	for _, d := range []struct {
@@ -57,13 +57,13 @@
 	return l
 }
 
-// missedPolls is the number of missed polls after which a rank counts as silent.
-const missedPolls = 3
+// silentAfterPolls is the number of missed polls after which a rank counts as silent.
+const silentAfterPolls = 3
 
 // ticks returns the number of ticks in d, at least one.
 func (c Config) ticks(d time.Duration) int { return max(1, int(d/c.TickInterval)) }
 
 func (c Config) lockstep() lockstep.Config {
 	poll := c.ticks(c.PollInterval)
-	return lockstep.Config{PollTicks: poll, FreshTicks: missedPolls * poll}
+	return lockstep.Config{PollTicks: poll, FreshTicks: silentAfterPolls * poll}
 }
--- a/entry/groups/groups.go
+++ b/entry/groups/groups.go
@@ -22,20 +22,21 @@
 	"github.com/siskinford/siskinford/wire/link"
 )
 
-// Deps are the parts that a Manager works with.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	Store objectapi.Store
 	// Pool connects to agents.
 	Pool *link.Pool
-	// LiveHosts returns the live entry hosts of the zone, the own included. It does not block.
+	// LiveHosts returns the live entry hosts of the zone, this one included, without
+	// blocking.
 	LiveHosts func() []id.Host
 	Recorder  timeline.Recorder
-	// Metrics takes the gauges of each group.
+	// Metrics receives the gauges of each group.
 	Metrics *metrics.Set
 	Log     zerolog.Logger
 }
 
-// Manager performs the duty for all configured groups. It is safe for concurrent use.
+// Manager runs the coordinators of all configured groups. It is safe for concurrent use.
 type Manager struct {
 	config Config
 	deps   Deps
@@ -43,18 +44,18 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	// mu is taken before the locks of a group's links and coordinator.
+	// mu is locked before the locks of a group's transport and coordinator.
 	mu     sync.Mutex
 	groups map[id.Group]*group
 	closed bool
 }
 
-// group is the process's part in one group.
+// group is this process's coordinator of one group.
 type group struct {
-	experts config.Experts
-	duty    *coordinator.Coordinator
-	links   *links
-	cancel  context.CancelFunc
+	experts     config.Experts
+	coordinator *coordinator.Coordinator
+	transport   *transport
+	cancel      context.CancelFunc
 }
 
 // New returns a Manager without groups.
@@ -63,7 +64,7 @@
 	return &Manager{config: c, deps: d, ctx: ctx, cancel: cancel, groups: map[id.Group]*group{}}
 }
 
-// Close ends the duties and gives up their leases. It blocks for up to a second.
+// Close stops the coordinators and releases their leases. It blocks for up to a second.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -72,7 +73,7 @@
 	m.wg.Wait()
 }
 
-// Update follows the configuration. It does not block.
+// Update starts, updates and stops groups to match the configuration. It does not block.
 func (m *Manager) Update(s *config.Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,8 +86,8 @@
 			continue
 		}
 		wanted[service.Group] = true
-		if g := m.ensure(service.Group, *service.Experts); g != nil {
-			g.links.update(s.EndpointsOf(service.Name))
+		if g := m.ensureStarted(service.Group, *service.Experts); g != nil {
+			g.transport.setEndpoints(s.EndpointsOf(service.Name))
 		}
 	}
 	for name, g := range m.groups {
@@ -97,9 +98,9 @@
 	}
 }
 
-// ensure returns the group, started anew if its experts have changed. The caller
+// ensureStarted returns the running group, restarted if its experts changed. The caller
 // holds m.mu.
-func (m *Manager) ensure(name id.Group, e config.Experts) *group {
+func (m *Manager) ensureStarted(name id.Group, e config.Experts) *group {
 	g := m.groups[name]
 	if g != nil && g.experts == e {
 		return g
@@ -117,8 +118,8 @@
 	return g
 }
 
-// start begins to take part in a group. The holder of its lease is new each time,
-// so that no fencing number is used by two coordinators.
+// start starts a group. Each start uses a new lease holder name, so that no two
+// coordinators share a fencing token.
 func (m *Manager) start(name id.Group, e config.Experts) (*group, error) {
 	key := "group/" + string(name)
 	lease, err := duty.NewLease(duty.LeaseConfig{
@@ -130,48 +131,48 @@
 	}
 	ctx, cancel := context.WithCancel(m.ctx)
 	g := &group{experts: e, cancel: cancel}
-	source := &leases{lease: lease, ttl: m.config.LeaseTTL, key: key, self: m.config.Host, live: m.deps.LiveHosts}
-	g.links = newLinks(ctx, m.deps.Pool, func(s groupmsg.Status) { g.duty.Receive(s) })
-	g.duty = coordinator.New(coordinator.Config{
+	source := &groupLease{lease: lease, ttl: m.config.LeaseTTL, dutyName: key, self: m.config.Host, liveHosts: m.deps.LiveHosts}
+	g.transport = newTransport(ctx, m.deps.Pool, func(s groupmsg.Status) { g.coordinator.Receive(s) })
+	g.coordinator = coordinator.New(coordinator.Config{
 		Group: name, Layers: e.Layers,
 		PlanTicks: m.config.ticks(m.config.PlanInterval), Lockstep: m.config.lockstep(), Recorder: m.deps.Recorder,
 		Shape: expertmap.Config{Ranks: e.Ranks, Experts: e.PerLayer, SlotsPerRank: e.SlotsPerRank},
-	}, source, g.links)
+	}, source, g.transport)
 	m.wg.Go(func() { source.run(ctx) })
-	m.wg.Go(func() { m.tick(ctx, g) })
-	m.register(name)
+	m.wg.Go(func() { m.runTicks(ctx, g) })
+	m.registerGauges(name)
 	return g, nil
 }
 
-func (m *Manager) tick(ctx context.Context, g *group) {
+func (m *Manager) runTicks(ctx context.Context, g *group) {
 	ticker := time.NewTicker(m.config.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			g.links.wg.Wait()
+			g.transport.wg.Wait()
 			return
 		case <-ticker.C:
-			g.duty.Tick()
+			g.coordinator.Tick()
 		}
 	}
 }
 
-// Status returns what is known of each group, in order of name.
+// Status returns the status of each group, sorted by name.
 func (m *Manager) Status() []coordinator.Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []coordinator.Status
 	for _, g := range m.groups {
-		out = append(out, g.duty.Status())
+		out = append(out, g.coordinator.Status())
 	}
 	slices.SortFunc(out, func(a, b coordinator.Status) int { return cmp.Compare(a.Group, b.Group) })
 	return out
 }
 
-// register adds the gauges of a group, which are zero while another process
+// registerGauges adds the gauges of a group. They are zero while another process
 // coordinates it.
-func (m *Manager) register(name id.Group) {
+func (m *Manager) registerGauges(name id.Group) {
 	for _, gauge := range []struct {
 		name string
 		read func(coordinator.Status) float64
@@ -179,7 +180,7 @@
 		{"siskinford_group_step", func(s coordinator.Status) float64 { return float64(s.Step) }},
 		{"siskinford_group_map_version", func(s coordinator.Status) float64 { return float64(s.Committed.Map) }},
 		{"siskinford_group_silent_ranks", func(s coordinator.Status) float64 { return float64(len(s.Silent)) }},
-		{"siskinford_group_coordinator", func(s coordinator.Status) float64 { return active(s) }},
+		{"siskinford_group_coordinator", func(s coordinator.Status) float64 { return activeGauge(s) }},
 	} {
 		m.deps.Metrics.GetOrCreateGauge(fmt.Sprintf("%s{group=%q}", gauge.name, string(name)), func() float64 {
 			return gauge.read(m.status(name))
@@ -187,7 +188,7 @@
 	}
 }
 
-func active(s coordinator.Status) float64 {
+func activeGauge(s coordinator.Status) float64 {
 	if s.Active {
 		return 1
 	}
@@ -201,5 +202,5 @@
 	if g == nil {
 		return coordinator.Status{Group: name}
 	}
-	return g.duty.Status()
+	return g.coordinator.Status()
 }
--- a/entry/groups/lease_test.go
+++ b/entry/groups/lease_test.go
@@ -14,39 +14,39 @@
 	"github.com/siskinford/siskinford/fleet/rendezvous"
 )
 
-func newTestLeases(t *testing.T, store objectapi.Store, self id.Host, live []id.Host) *leases {
+func newTestLease(t *testing.T, store objectapi.Store, self id.Host, live []id.Host) *groupLease {
 	t.Helper()
 	l, err := duty.NewLease(duty.LeaseConfig{Store: store, Duty: "group/g", Holder: string(self), TTL: time.Minute})
 	assert.NilError(t, err)
-	return &leases{lease: l, ttl: time.Minute, key: "group/g", self: self, live: func() []id.Host { return live }}
+	return &groupLease{lease: l, ttl: time.Minute, dutyName: "group/g", self: self, liveHosts: func() []id.Host { return live }}
 }
 
-// TestCandidates verifies that of many hosts two look at a lease, the second one
-// less often, and that the holder keeps renewing whatever the ranking says.
-func TestCandidates(t *testing.T) {
+// TestOnlyCandidatesStepTheLease checks that two of many hosts try a lease, the backup
+// less often, and that the holder keeps renewing whatever its rank.
+func TestOnlyCandidatesStepTheLease(t *testing.T) {
 	hosts := []id.Host{"a", "b", "c", "d", "e"}
 	ranked := rendezvous.Rank("group/g", hosts)
 	store := memstore.New(memstore.Config{})
-	for place, host := range ranked {
-		l := newTestLeases(t, store, host, hosts)
+	for position, host := range ranked {
+		l := newTestLease(t, store, host, hosts)
 		var passes int
-		for pass := range renewals {
-			if l.due(pass) {
+		for pass := range renewalsPerTTL {
+			if l.shouldStep(pass) {
 				passes++
 			}
 		}
-		want := map[int]int{0: renewals, 1: 1}[place]
-		assert.Equal(t, passes, want, "place %d", place)
+		want := map[int]int{0: renewalsPerTTL, 1: 1}[position]
+		assert.Equal(t, passes, want, "place %d", position)
 	}
-	last := newTestLeases(t, store, ranked[4], hosts)
+	last := newTestLease(t, store, ranked[4], hosts)
 	last.step(context.Background(), time.Minute)
-	assert.Assert(t, last.due(0))
+	assert.Assert(t, last.shouldStep(0))
 }
 
-// TestFencedNumberIsReplaced verifies that a number that was fenced is not held
-// again, and that the next one is greater.
-func TestFencedNumberIsReplaced(t *testing.T) {
-	l := newTestLeases(t, memstore.New(memstore.Config{}), "a", []id.Host{"a"})
+// TestFencedTokenIsReplaced checks that a fenced token is not returned again and that the
+// next one is greater.
+func TestFencedTokenIsReplaced(t *testing.T) {
+	l := newTestLease(t, memstore.New(memstore.Config{}), "a", []id.Host{"a"})
 	l.step(context.Background(), time.Minute)
 	first, held := l.FencingToken()
 	assert.Assert(t, held && l.CoversChange())
--- a/entry/groups/link.go
+++ b/entry/groups/transport.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxPending bounds the orders that wait for a connection to one agent.
-	maxPending = 256
-	// dialTimeout bounds the wait for a connection.
+	// maxPendingOrders bounds the orders queued for one agent.
+	maxPendingOrders = 256
+	// dialTimeout bounds connecting to an agent.
 	dialTimeout = time.Second
 )
 
@@ -28,9 +28,9 @@
 	bytesSent        = metrics.GetOrCreateCounter(`siskinford_group_bytes_total{direction="sent"}`)
 )
 
-// links carries the orders of one group to the agents of its ranks, and their
-// status back. It implements coordinator.Transport.
-type links struct {
+// transport sends the orders of one group to the agents of its ranks and receives their
+// status. It implements coordinator.Transport.
+type transport struct {
 	ctx     context.Context
 	pool    *link.Pool
 	receive func(groupmsg.Status)
@@ -38,30 +38,30 @@
 
 	// mu is a leaf lock.
 	mu sync.Mutex
-	// agents are the connections by address, ranks those by rank.
+	// agents holds the connections by address, ranks by rank number.
 	agents map[string]*agentLink
 	ranks  map[int]*agentLink
 }
 
 // agentLink sends orders to one agent.
 type agentLink struct {
-	links   *links
-	address string
-	cancel  context.CancelFunc
-	pending chan groupmsg.Order
-	// conn is the connection on which the agent sends status. It belongs to run.
+	transport *transport
+	address   string
+	cancel    context.CancelFunc
+	pending   chan groupmsg.Order
+	// conn is the connection on which the agent sends status. Only run uses it.
 	conn *link.Conn
 }
 
-func newLinks(ctx context.Context, p *link.Pool, receive func(groupmsg.Status)) *links {
-	return &links{ctx: ctx, pool: p, receive: receive, agents: map[string]*agentLink{}, ranks: map[int]*agentLink{}}
+func newTransport(ctx context.Context, p *link.Pool, receive func(groupmsg.Status)) *transport {
+	return &transport{ctx: ctx, pool: p, receive: receive, agents: map[string]*agentLink{}, ranks: map[int]*agentLink{}}
 }
 
-// update follows the configured endpoints of the group.
-func (l *links) update(endpoints []config.Endpoint) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	clear(l.ranks)
+// setEndpoints replaces the endpoints of the group.
+func (t *transport) setEndpoints(endpoints []config.Endpoint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	clear(t.ranks)
 	used := map[string]bool{}
 	for _, e := range endpoints {
 		if len(e.Ranks) == 0 {
@@ -69,35 +69,35 @@
 		}
 		used[e.Address] = true
 		for _, rank := range e.Ranks {
-			l.ranks[rank] = l.agent(e.Address)
+			t.ranks[rank] = t.ensureAgent(e.Address)
 		}
 	}
-	for address, a := range l.agents {
+	for address, a := range t.agents {
 		if !used[address] {
 			a.cancel()
-			delete(l.agents, address)
+			delete(t.agents, address)
 		}
 	}
 }
 
-// agent returns the link to an address. The caller holds l.mu.
-func (l *links) agent(address string) *agentLink {
-	if a := l.agents[address]; a != nil {
+// ensureAgent returns the link to an address, started if needed. The caller holds t.mu.
+func (t *transport) ensureAgent(address string) *agentLink {
+	if a := t.agents[address]; a != nil {
 		return a
 	}
-	ctx, cancel := context.WithCancel(l.ctx)
-	a := &agentLink{links: l, address: address, cancel: cancel, pending: make(chan groupmsg.Order, maxPending)}
-	l.agents[address] = a
-	l.wg.Go(func() { a.run(ctx) })
+	ctx, cancel := context.WithCancel(t.ctx)
+	a := &agentLink{transport: t, address: address, cancel: cancel, pending: make(chan groupmsg.Order, maxPendingOrders)}
+	t.agents[address] = a
+	t.wg.Go(func() { a.run(ctx) })
 	return a
 }
 
-// Send implements coordinator.Transport. Orders that find no room are dropped;
-// the coordinator repeats them.
-func (l *links) Send(o groupmsg.Order) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.ranks[o.Command.Rank]
+// Send implements coordinator.Transport. It drops the order if the queue is full; the
+// coordinator resends it.
+func (t *transport) Send(o groupmsg.Order) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	a := t.ranks[o.Command.Rank]
 	if a == nil {
 		return
 	}
@@ -118,7 +118,8 @@
 	}
 }
 
-// send sends an order. The first one on a connection stays open for the agent's status.
+// send sends an order. The first call on a connection stays open to receive the agent's
+// status.
 func (a *agentLink) send(ctx context.Context, o groupmsg.Order) {
 	payload, err := codec.Marshal(o)
 	if err != nil {
@@ -126,14 +127,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := a.links.pool.Conn(ctx, a.address)
+	conn, err := a.transport.pool.Conn(ctx, a.address)
 	if err != nil {
-		a.drop()
+		a.dropPending()
 		return
 	}
-	call, err := conn.Send(&msg.Order{Group: &msg.Group{Payload: payload}}, receiver{a.links})
+	call, err := conn.Send(&msg.Order{Group: &msg.Group{Payload: payload}}, statusReceiver{a.transport})
 	if err != nil {
-		a.drop()
+		a.dropPending()
 		return
 	}
 	messagesSent.Inc()
@@ -144,9 +145,9 @@
 	a.conn = conn
 }
 
-// drop empties the queue of an agent that cannot be reached, so that it gets no
-// old orders later.
-func (a *agentLink) drop() {
+// dropPending empties the queue of an unreachable agent, so that it receives no stale
+// orders later.
+func (a *agentLink) dropPending() {
 	for {
 		select {
 		case <-a.pending:
@@ -156,11 +157,11 @@
 	}
 }
 
-// receiver is the link.Waiter for the status of an agent.
-type receiver struct{ links *links }
+// statusReceiver is the link.Waiter for the status of an agent.
+type statusReceiver struct{ transport *transport }
 
 // Reply implements link.Waiter.
-func (r receiver) Reply(reply *msg.Reply) {
+func (r statusReceiver) Reply(reply *msg.Reply) {
 	if reply.Group == nil {
 		return
 	}
@@ -168,9 +169,9 @@
 	bytesReceived.Add(len(reply.Group.Payload))
 	var s groupmsg.Status
 	if codec.Unmarshal(reply.Group.Payload, &s) == nil {
-		r.links.receive(s)
+		r.transport.receive(s)
 	}
 }
 
 // Lost implements link.Waiter.
-func (receiver) Lost(bool, error) {}
+func (statusReceiver) Lost(bool, error) {}
