--- a/entry/edge/values.go
+++ b/entry/edge/values.go
@@ -149,7 +149,7 @@
 		if e.Draining {
 			draining++
 		}
-		e.Registered = r.Created
+		e.RegistrationRevision = r.Created
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(a, b direct.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
@@ -186,7 +186,7 @@
 		e.values.put(t, v)
 		return
 	}
-	if err := book.Take(v.Version, v.Data); err != nil {
+	if err := book.Update(v.Version, v.Data); err != nil {
 		e.log.Error().Err(err).Str("event", "roster.rejected").Str("topic", string(t)).Send()
 	}
 }
