--- a/balance/intake/intake_test.go
+++ b/balance/intake/intake_test.go
@@ -54,8 +54,11 @@
 		prepare func(*Scheduler)
 		want    id.Endpoint
 	}{
-		"others' requests count":                   {func(n *Scheduler) { n.SetPeerLoad("a", Load{Running: 2}) }, "b"},
-		"prompts being read count":                 {func(n *Scheduler) { n.SetPeerLoad("b", Load{Running: 1, PromptTokens: 2000}); n.SetPeerLoad("a", Load{Running: 2}) }, "a"},
+		"others' requests count": {func(n *Scheduler) { n.SetPeerLoad("a", Load{Running: 2}) }, "b"},
+		"prompts being read count": {func(n *Scheduler) {
+			n.SetPeerLoad("b", Load{Running: 1, PromptTokens: 2000})
+			n.SetPeerLoad("a", Load{Running: 2})
+		}, "a"},
 		"a slow endpoint costs more":               {func(n *Scheduler) { n.SetSlowdown("a", 3); n.SetPeerLoad("b", Load{Running: 1}) }, "b"},
 		"a suspect endpoint is last":               {func(n *Scheduler) { n.Suspect("a", time.Second); n.SetPeerLoad("b", Load{Running: 3}) }, "b"},
 		"a suspect endpoint is used if it must be": {func(n *Scheduler) { n.Suspect("a", time.Second); n.SetPeerLoad("b", Load{Running: 4}) }, "a"},
--- a/balance/route/status.go
+++ b/balance/route/status.go
@@ -39,13 +39,13 @@
 
 func (t *Table) status(m *member, now time.Duration) Status {
 	out := Status{
-		Endpoint:     m.Name,
-		Zone:         m.Zone,
-		Reason:       t.reason(m, now),
-		Wait:         t.wait(m, now),
-		PredictionError:        t.missed(m.state, now),
-		OpenRequests: int(m.state.openCount.Load()),
-		OpenTokens:   m.state.openTokens.Load(),
+		Endpoint:        m.Name,
+		Zone:            m.Zone,
+		Reason:          t.reason(m, now),
+		Wait:            t.wait(m, now),
+		PredictionError: t.missed(m.state, now),
+		OpenRequests:    int(m.state.openCount.Load()),
+		OpenTokens:      m.state.openTokens.Load(),
 	}
 	if l := m.state.load.Load(); l != nil {
 		out.Incarnation = l.incarnation
