--- a/entry/direct/fixture_test.go
+++ b/entry/direct/fixture_test.go
@@ -151,12 +151,12 @@
 func newEntry(t *testing.T, route routes.Route, backends ...*backend) *entry {
 	t.Helper()
 	route.Host, route.Prefix = "h.example", testPrefix
-	route.Split = []routes.Share{{Service: "s", Weight: 1}}
+	route.Split = []routes.WeightedService{{Service: "s", Weight: 1}}
 	if route.Timeout == 0 {
 		route.Timeout = 5 * time.Second
 	}
-	if route.Target == 0 {
-		route.Target = 500 * time.Millisecond
+	if route.TargetLatency == 0 {
+		route.TargetLatency = 500 * time.Millisecond
 	}
 	route.MaxAttempts = max(route.MaxAttempts, 1)
 	table, err := routes.NewTable(routes.Config{
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -38,9 +38,9 @@
 // TestLongPassesAreNoOutage names the pattern "a pass of a slow engine lasts as long
 // as an outage of a fast one".
 func TestLongPassesAreNoOutage(t *testing.T) {
-	fast := routes.Engine{Slots: 12, Step: 4550 * time.Microsecond, PerSequence: 905 * time.Microsecond, Stride: 4, Experts: &routes.Experts{Sets: 1, PerSet: 1, Places: 1}}
+	fast := routes.Engine{Slots: 12, StepTime: 4550 * time.Microsecond, StepTimePerSequence: 905 * time.Microsecond, StepsPerPass: 4, Experts: &routes.Experts{LayerSets: 1, ExpertsPerSet: 1, SlotsPerRank: 1}}
 	slow := fast
-	slow.Step, slow.PerSequence = 22*time.Millisecond, 3600*time.Microsecond
+	slow.StepTime, slow.StepTimePerSequence = 22*time.Millisecond, 3600*time.Microsecond
 	cases := map[string]struct {
 		engine routes.Engine
 		since  time.Duration // the begin of the last pass
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -177,7 +177,7 @@
 		return nil, false
 	}
 	var team *routes.Team
-	if table.Keyed() && !route.Public {
+	if table.RequiresKey() && !route.Public {
 		if team = table.Team(call.Key); team == nil {
 			h.reject(w, r, call, http.StatusUnauthorized, "the key is unknown")
 			return nil, false
@@ -253,7 +253,7 @@
 
 // ask describes the request to the intake.
 func (q *request) ask() intake.Request {
-	target := q.route.Target
+	target := q.route.TargetLatency
 	if target <= 0 {
 		target = defaultTarget
 	}
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -66,10 +66,10 @@
 		return intake.Config{Overcommit: plainOvercommit, FirstAnswer: 50 * time.Millisecond, Outage: time.Second}
 	}
 	e := s.Engine
-	whole := e.MeanAnswer * float64(e.FullStep())
+	whole := e.MeanAnswerTokens * float64(e.FullLoadStepTime())
 	c := intake.Config{FirstAnswer: 150 * time.Millisecond, WholeAnswer: time.Duration(whole)}
-	if e.PerSequence > 0 {
-		c.Fixed = float64(e.Step) / float64(e.PerSequence)
+	if e.StepTimePerSequence > 0 {
+		c.Fixed = float64(e.StepTime) / float64(e.StepTimePerSequence)
 	}
 	return c
 }
@@ -89,7 +89,7 @@
 	if s.config.Engine == nil {
 		return minStalled
 	}
-	return max(minStalled, stalledPasses*s.config.Engine.FullPass())
+	return max(minStalled, stalledPasses*s.config.Engine.FullLoadPassTime())
 }
 
 func (s *Service) now() time.Duration { return time.Since(s.began) }
--- a/entry/direct/silence.go
+++ b/entry/direct/silence.go
@@ -18,7 +18,7 @@
 
 // clientSilence returns the silence after which a client abandons a stream.
 func clientSilence(r *routes.Route) time.Duration {
-	return max(minClientSilence, silenceTargets*r.Target, silenceGaps*r.MaxGap)
+	return max(minClientSilence, silenceTargets*r.TargetLatency, silenceGaps*r.MaxEventGap)
 }
 
 // silenceLimit returns the silence before which a stream must go on.
--- a/entry/direct/stream_test.go
+++ b/entry/direct/stream_test.go
@@ -112,7 +112,7 @@
 // speed": a first event or a pause that would be an outage elsewhere is usual.
 func TestSlowStreamIsNotSilent(t *testing.T) {
 	slow := stream
-	slow.Target, slow.MaxGap = 1200*time.Millisecond, 700*time.Millisecond
+	slow.TargetLatency, slow.MaxEventGap = 1200*time.Millisecond, 700*time.Millisecond
 	late := func(n int, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(1500 * time.Millisecond)
 		events(3, 0, 900*time.Millisecond)(n, w, r)
--- a/entry/direct/whole.go
+++ b/entry/direct/whole.go
@@ -101,10 +101,10 @@
 // tryLimit returns the time for which a try is waited for, and false if it may
 // take all the time that is left.
 func (q *request) tryLimit() (time.Duration, bool) {
-	if !q.route.Repeatable() || q.sent+1 >= q.route.MaxAttempts || q.route.Target <= 0 {
+	if !q.route.Retryable() || q.sent+1 >= q.route.MaxAttempts || q.route.TargetLatency <= 0 {
 		return 0, false
 	}
-	limit := tryTargets * q.route.Target
+	limit := tryTargets * q.route.TargetLatency
 	return limit, limit < time.Until(q.deadline)*3/4
 }
 
@@ -222,13 +222,13 @@
 		return "the group is down"
 	case q.sent-q.groupDown >= q.route.MaxAttempts:
 		return ""
-	case err != nil && q.route.Repeatable():
+	case err != nil && q.route.Retryable():
 		return err.Error()
 	case err != nil:
 		return ""
 	case a.verdict.NotRun:
 		return "refused"
-	case a.status >= http.StatusInternalServerError && q.route.Repeatable():
+	case a.status >= http.StatusInternalServerError && q.route.Retryable():
 		return "the endpoint failed"
 	}
 	return ""
--- a/entry/direct/whole_test.go
+++ b/entry/direct/whole_test.go
@@ -127,7 +127,7 @@
 	})
 	t.Run("a silent endpoint leaves time for another", func(t *testing.T) {
 		a, b := newBackend(t, "a", hang), newBackend(t, "b", ok("b"))
-		e := newEntry(t, routes.Route{Kind: routes.Idempotent, MaxAttempts: 2, Target: 50 * time.Millisecond}, a, b)
+		e := newEntry(t, routes.Route{Kind: routes.Idempotent, MaxAttempts: 2, TargetLatency: 50 * time.Millisecond}, a, b)
 		e.handler.Service("s").Unreachable("b") // So that a is tried first.
 		got := e.send(http.MethodPost, "Patience: 2000")
 		assert.Equal(t, got.status, 200)
--- a/entry/expertmaps/bench_test.go
+++ b/entry/expertmaps/bench_test.go
@@ -59,7 +59,7 @@
 	b.Cleanup(cancel)
 	s := &session{
 		cfg: Config{}.withDefaults(), of: "g", lease: 7, log: zerolog.Nop(), set: metrics.NewSet(),
-		engine: &routes.Engine{Slots: 10, Experts: &routes.Experts{Sets: sets, PerSet: experts, Places: places, MaxNew: 2}},
+		engine: &routes.Engine{Slots: 10, Experts: &routes.Experts{LayerSets: sets, ExpertsPerSet: experts, SlotsPerRank: places, MaxNewPerMap: 2}},
 		links:  make(map[id.Endpoint]*ranklink.Link), layouts: make(map[*ranklink.Link]relay.Layout),
 		groups: make(map[id.Group]*group), asked: make(map[uint64]asked),
 	}
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -68,14 +68,14 @@
 		log:     s.log,
 		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.lease),
 		demand: expertmap.NewDemand(expertmap.DemandConfig{
-			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, Memory: s.cfg.Memory,
+			Sets: s.engine.Experts.LayerSets, Experts: s.engine.Experts.ExpertsPerSet, Ranks: size, Memory: s.cfg.Memory,
 			Sampled: s.cfg.sampledRanks(size, s.engine.Slots),
 		}),
 		ranks:    make([]member, size),
 		followed: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
 	}
 	if !g.fits() {
-		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.Places).Int("experts", g.experts.PerSet).
+		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.SlotsPerRank).Int("experts", g.experts.ExpertsPerSet).
 			Msg("the ranks have fewer places than experts; the initial map stays")
 	}
 	return g
@@ -114,7 +114,7 @@
 	if first.Experts == nil || first.Epoch != g.machine.Epoch() {
 		return
 	}
-	content := make(mapswitch.Map, g.experts.Sets)
+	content := make(mapswitch.Map, g.experts.LayerSets)
 	for s := range content {
 		content[s] = make([][]int, g.size)
 	}
@@ -123,7 +123,7 @@
 			return
 		}
 		lay := layouts[g.ranks[r].link]
-		if lay.Epoch != first.Epoch || lay.Version != first.Version || len(lay.Experts) != g.experts.Sets {
+		if lay.Epoch != first.Epoch || lay.Version != first.Version || len(lay.Experts) != g.experts.LayerSets {
 			return
 		}
 		for s := range content {
@@ -180,7 +180,7 @@
 
 // fits reports whether the places of all ranks can hold every expert. If not, the
 // ranks hold more experts from the start than an order may name, and accept none.
-func (g *group) fits() bool { return g.size*g.experts.Places >= g.experts.PerSet }
+func (g *group) fits() bool { return g.size*g.experts.SlotsPerRank >= g.experts.ExpertsPerSet }
 
 // busy reports whether the machine waits for answers or for a step.
 func (g *group) busy() bool { return g.fits() && g.machine.Phase() != mapswitch.Idle }
@@ -219,8 +219,8 @@
 		return false
 	}
 	round := expertmap.Round{
-		Ranks: g.size, Experts: g.experts.PerSet, Places: g.experts.Places,
-		MaxNew: g.experts.MaxNew, Copies: g.cfg.Copies, MinGain: g.minGain(skew), Pace: pace,
+		Ranks: g.size, Experts: g.experts.ExpertsPerSet, Places: g.experts.SlotsPerRank,
+		MaxNew: g.experts.MaxNewPerMap, Copies: g.cfg.Copies, MinGain: g.minGain(skew), Pace: pace,
 	}
 	p := round.Plan(maps, loads)
 	if p.SkewBefore-p.SkewAfter < g.cfg.MinReduction {
@@ -285,7 +285,7 @@
 // convert returns the map in use in the planner's form.
 func (g *group) convert(version uint64, content mapswitch.Map) []expertmap.Map {
 	if g.maps == nil || version != g.mapsVersion || g.machine.Epoch() != g.mapsEpoch {
-		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.Places), version, g.machine.Epoch()
+		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.SlotsPerRank), version, g.machine.Epoch()
 	}
 	return g.maps
 }
--- a/entry/expertmaps/group_test.go
+++ b/entry/expertmaps/group_test.go
@@ -19,7 +19,7 @@
 func openGroup(t *testing.T, ranks, places, experts int) *group {
 	t.Helper()
 	s := &session{
-		cfg: Config{}.withDefaults(), engine: &routes.Engine{Slots: 4, Experts: &routes.Experts{Sets: 1, PerSet: experts, Places: places, MaxNew: 1}},
+		cfg: Config{}.withDefaults(), engine: &routes.Engine{Slots: 4, Experts: &routes.Experts{LayerSets: 1, ExpertsPerSet: experts, SlotsPerRank: places, MaxNewPerMap: 1}},
 		lease: 7, log: zerolog.Nop(), set: metrics.NewSet(), layouts: make(map[*ranklink.Link]relay.Layout),
 	}
 	g := newGroup(s, "g", ranks)
--- a/entry/routes/config.go
+++ b/entry/routes/config.go
@@ -42,14 +42,14 @@
 	Kind   Kind
 	// Timeout is the longest time for which a request is kept.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event of a stream, that callers expect.
-	Target time.Duration
-	// MaxGap is the longest pause between events with which a stream is on time.
-	MaxGap time.Duration
+	// TargetLatency is the time to the answer, or to the first event of a stream, that callers expect.
+	TargetLatency time.Duration
+	// MaxEventGap is the longest pause between events with which a stream is on time.
+	MaxEventGap time.Duration
 	// Priority ranks routes, zero first.
 	Priority int
 	// Split holds the services of the route with their parts of the requests.
-	Split []Share
+	Split []WeightedService
 	// MaxAttempts is the number of endpoints to which a request may be sent.
 	MaxAttempts int
 	// Public routes ask for no key.
@@ -58,13 +58,13 @@
 	Resumable bool
 }
 
-// Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Share is a service's part of a route.
-type Share struct {
+// WeightedService is a service's part of a route.
+type WeightedService struct {
 	Service id.Service
 	// Weight is relative to the other weights of the route.
 	Weight int
@@ -84,67 +84,67 @@
 type Engine struct {
 	// Slots is the number of requests that an engine runs at the same time.
 	Slots int
-	// KVTokens is the size of the engine's KV cache in tokens.
-	KVTokens int
-	// Step is the time of a step without requests.
-	Step time.Duration
-	// PerSequence is added to a step for each request that generates.
-	PerSequence time.Duration
-	// PerContext is added to a step for each 1,000 tokens of context of a request that generates.
-	PerContext time.Duration
+	// KVCacheTokens is the size of the engine's KV cache in tokens.
+	KVCacheTokens int
+	// StepTime is the time of a step without requests.
+	StepTime time.Duration
+	// StepTimePerSequence is added to a step for each request that generates.
+	StepTimePerSequence time.Duration
+	// StepTimePerKContext is added to a step for each 1,000 tokens of context of a request that generates.
+	StepTimePerKContext time.Duration
 	// PrefillRate is the speed of reading prompts in tokens per second.
 	PrefillRate float64
-	// PerMillionPairs is added for each million pairs of a prompt token and an earlier token.
-	PerMillionPairs time.Duration
-	// Chunk bounds the prompt tokens that are read in a step.
-	Chunk int
-	// Stride is the number of steps in a pass that generates.
-	Stride int
-	// MeanPrompt and MeanAnswer are the usual numbers of tokens of a request.
-	MeanPrompt, MeanAnswer float64
+	// PrefillTimePerMillionPairs is added for each million pairs of a prompt token and an earlier token.
+	PrefillTimePerMillionPairs time.Duration
+	// PrefillChunkTokens bounds the prompt tokens that are read in a step.
+	PrefillChunkTokens int
+	// StepsPerPass is the number of steps in a pass that generates.
+	StepsPerPass int
+	// MeanPromptTokens and MeanAnswerTokens are the usual numbers of tokens of a request.
+	MeanPromptTokens, MeanAnswerTokens float64
 	// ReportLag is the age of a load report that is read from another host.
 	ReportLag time.Duration
 	// Experts is set if the engines are ranks of groups.
 	Experts *Experts
 }
 
-// FullStep returns the time of a step while all slots generate.
-func (e *Engine) FullStep() time.Duration {
-	return e.Step + time.Duration(e.Slots)*e.PerSequence
+// FullLoadStepTime returns the time of a step while all slots generate.
+func (e *Engine) FullLoadStepTime() time.Duration {
+	return e.StepTime + time.Duration(e.Slots)*e.StepTimePerSequence
 }
 
-// FullPass returns the time of a pass while all slots generate, without the
+// FullLoadPassTime returns the time of a pass while all slots generate, without the
 // prompts that are read in it.
-func (e *Engine) FullPass() time.Duration {
-	return time.Duration(max(e.Stride, 1)) * e.FullStep()
+func (e *Engine) FullLoadPassTime() time.Duration {
+	return time.Duration(max(e.StepsPerPass, 1)) * e.FullLoadStepTime()
 }
 
 // Experts describes the experts of a group of ranks.
 type Experts struct {
-	// Sets is the number of sets of layers, each with experts of its own.
-	Sets int
-	// PerSet is the number of experts of a set.
-	PerSet int
-	// Places is the number of experts of a set that a rank can hold.
-	Places int
-	// MaxNew is the number of experts of a set that a rank can copy for one map.
-	MaxNew int
-	// Bytes is the size of the weights of an expert.
-	Bytes float64
-	// LinkBits is the speed at which a rank copies weights in bits per second.
-	LinkBits float64
-	// Share is the part of the work for tokens that the experts do. Range: 0 to 1.
-	Share float64
-	// Form is the time in which a group opens after its last rank is back.
-	Form time.Duration
+	// LayerSets is the number of sets of layers, each with experts of its own.
+	LayerSets int
+	// ExpertsPerSet is the number of experts of a set.
+	ExpertsPerSet int
+	// SlotsPerRank is the number of experts of a set that a rank can hold.
+	SlotsPerRank int
+	// MaxNewPerMap is the number of experts of a set that a rank can copy for one map.
+	MaxNewPerMap int
+	// ExpertBytes is the size of the weights of an expert.
+	ExpertBytes float64
+	// LinkBitsPerSecond is the speed at which a rank copies weights in bits per second.
+	LinkBitsPerSecond float64
+	// ComputeFraction is the part of the work for tokens that the experts do. Range: 0 to 1.
+	ComputeFraction float64
+	// FormationTime is the time in which a group opens after its last rank is back.
+	FormationTime time.Duration
 }
 
 // CopyTime returns the time in which a rank copies one expert.
 func (e *Experts) CopyTime() time.Duration {
-	if e.LinkBits <= 0 {
+	if e.LinkBitsPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(e.Bytes * 8 / e.LinkBits * float64(time.Second))
+	return time.Duration(e.ExpertBytes * 8 / e.LinkBitsPerSecond * float64(time.Second))
 }
 
 // Team is one customer.
--- a/entry/routes/table.go
+++ b/entry/routes/table.go
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Keyed reports whether routes that are not public ask for a key.
-func (t *Table) Keyed() bool { return len(t.config.Teams) > 0 }
+// RequiresKey reports whether routes that are not public ask for a key.
+func (t *Table) RequiresKey() bool { return len(t.config.Teams) > 0 }
 
 // Team returns the team that holds a key, or nil.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
--- a/entry/routes/table_test.go
+++ b/entry/routes/table_test.go
@@ -9,7 +9,7 @@
 )
 
 func config() Config {
-	to := func(s id.Service) []Share { return []Share{{Service: s, Weight: 1}} }
+	to := func(s id.Service) []WeightedService { return []WeightedService{{Service: s, Weight: 1}} }
 	return Config{
 		Version:  3,
 		Services: []Service{{Name: "s"}, {Name: "t", Engine: &Engine{Slots: 4}}},
@@ -39,13 +39,13 @@
 		}
 		assert.Equal(t, got, c.want, "%s%s", c.host, c.path)
 	}
-	assert.Assert(t, table.Keyed())
+	assert.Assert(t, table.RequiresKey())
 	assert.Equal(t, table.Team("k2").Name, id.Team("u"))
 	assert.Assert(t, table.Team("k4") == nil)
 }
 
 func TestPickFollowsWeights(t *testing.T) {
-	r := Route{Split: []Share{{Service: "s", Weight: 900}, {Service: "t", Weight: 100}, {Service: "u", Weight: 0}}}
+	r := Route{Split: []WeightedService{{Service: "s", Weight: 900}, {Service: "t", Weight: 100}, {Service: "u", Weight: 0}}}
 	counts := make(map[id.Service]int)
 	const picks = 10_000
 	for range picks {
@@ -62,9 +62,9 @@
 	c := config()
 	c.Services = append(c.Services, Service{Name: "s"}, Service{}, Service{Name: "e", Engine: &Engine{}})
 	c.Routes[0].Kind = "odd"
-	c.Routes[1].Split = []Share{{Service: "nowhere", Weight: 1}}
+	c.Routes[1].Split = []WeightedService{{Service: "nowhere", Weight: 1}}
 	c.Routes[2].Prefix, c.Routes[2].MaxAttempts = "a", 0
-	c.Routes = append(c.Routes, Route{Name: "n", Prefix: "/", Kind: Idempotent, MaxAttempts: 1, Split: []Share{{Service: "s", Weight: -1}}})
+	c.Routes = append(c.Routes, Route{Name: "n", Prefix: "/", Kind: Idempotent, MaxAttempts: 1, Split: []WeightedService{{Service: "s", Weight: -1}}})
 	c.Teams[1].Keys = []string{"k1"}
 	_, err := NewTable(c)
 	for _, want := range []string{
--- a/itest/maps/coordinator_test.go
+++ b/itest/maps/coordinator_test.go
@@ -107,7 +107,7 @@
 	s.t.Helper()
 	c, err := expertmaps.New(expertmaps.Options{
 		Service: "m", Group: "g", Holder: holder, Store: s.store, Peers: p,
-		Engine: &routes.Engine{Slots: 8, Experts: &routes.Experts{Sets: 2, PerSet: 16, Places: 6, MaxNew: 2, Bytes: 1, LinkBits: 1000}},
+		Engine: &routes.Engine{Slots: 8, Experts: &routes.Experts{LayerSets: 2, ExpertsPerSet: 16, SlotsPerRank: 6, MaxNewPerMap: 2, ExpertBytes: 1, LinkBitsPerSecond: 1000}},
 		List:   func() []ranklink.Endpoint { return s.endpoints },
 		Direct: func(string) relay.Engine { return unreachable{} },
 		Log:    zerolog.Nop(), Metrics: metrics.NewSet(),
