--- a/entry/edge/control.go
+++ b/entry/edge/control.go
@@ -20,7 +20,7 @@
 	ops.Routes(r, e.set, e.notReady)
 	e.control = &http.Server{Handler: r, ReadHeaderTimeout: controlTimeout}
 	e.gauges()
-	for _, address := range []string{e.cfg.Control, e.cfg.Metrics} {
+	for _, address := range []string{e.cfg.ControlListen, e.cfg.MetricsListen} {
 		if address == "" {
 			continue
 		}
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -41,44 +41,44 @@
 	// ConfigKind and ConfigName name the object that holds the configuration, and
 	// EndpointKind the kind of objects that register endpoints.
 	ConfigKind, ConfigName, EndpointKind string
-	// Config decodes a configuration without checking it.
-	Config func(data []byte) (routes.Config, error)
-	// Endpoint decodes the registration of an endpoint under its name. The error
+	// DecodeConfig decodes a configuration without checking it.
+	DecodeConfig func(data []byte) (routes.Config, error)
+	// DecodeEndpoint decodes the registration of an endpoint under its name. The error
 	// tells why it names no endpoint to use.
-	Endpoint func(name string, data []byte) (direct.Endpoint, error)
-	// Engine returns a client for the engine at an address.
-	Engine func(address string) relay.Engine
+	DecodeEndpoint func(name string, data []byte) (direct.Endpoint, error)
+	// NewEngine returns a client for the engine at an address.
+	NewEngine func(address string) relay.Engine
 }
 
 // Config holds the settings of an Edge.
 type Config struct {
 	Host id.Host
 	Zone id.Zone
-	// Clients and Readiness are the TCP addresses at which clients and the
+	// ClientListen and ReadinessListen are the TCP addresses at which clients and the
 	// platform's readiness checks arrive, as "ip:port". Required.
-	Clients, Readiness string
-	// Peers is the UDP address for other entries, as "ip:port". Required.
-	Peers netip.AddrPort
-	// Advertised is the UDP address at which other entries reach this one. Default: Peers.
-	Advertised netip.AddrPort
+	ClientListen, ReadinessListen string
+	// PeerListen is the UDP address for other entries, as "ip:port". Required.
+	PeerListen netip.AddrPort
+	// AdvertiseAddress is the UDP address at which other entries reach this one. Default: PeerListen.
+	AdvertiseAddress netip.AddrPort
 	// Source is the address of this host from which connections are opened.
 	// Default: the operating system's choice.
 	Source netip.Addr
-	// Control is the TCP address for operators and metrics, as "ip:port". Empty for none.
-	Control string
-	// Metrics is a further TCP address for metrics, as "ip:port". Empty for none.
-	Metrics string
+	// ControlListen is the TCP address for operators and metrics, as "ip:port". Empty for none.
+	ControlListen string
+	// MetricsListen is a further TCP address for metrics, as "ip:port". Empty for none.
+	MetricsListen string
 	// Seeds are the addresses of other entries that may run, for a start while
 	// the platform is down.
 	Seeds []string
 	// RelayPort is the TCP port of the relays beside endpoints.
 	RelayPort uint16
-	// Store is the "ip:port" of the platform's object API. Required.
-	Store string
-	// ConfigBound is the time in which a configuration must be in force. Default: 2 s.
-	ConfigBound time.Duration
-	// Retries is the budget of all entries for each service. Its length is required.
-	Retries retry.WindowConfig
+	// StoreAddress is the "ip:port" of the platform's object API. Required.
+	StoreAddress string
+	// MaxConfigDelay is the time in which a configuration must be in force. Default: 2 s.
+	MaxConfigDelay time.Duration
+	// RetryBudget is the budget of all entries for each service. Its length is required.
+	RetryBudget retry.WindowConfig
 }
 
 const defaultConfigBound = 2 * time.Second
@@ -90,18 +90,18 @@
 		l.Addf("host", "is not set")
 	}
 	for place, address := range map[string]string{
-		"clients": c.Clients, "readiness": c.Readiness, "store": c.Store, "control": c.Control, "metrics": c.Metrics,
+		"clients": c.ClientListen, "readiness": c.ReadinessListen, "store": c.StoreAddress, "control": c.ControlListen, "metrics": c.MetricsListen,
 	} {
 		optional := place == "control" || place == "metrics"
 		if _, err := netip.ParseAddrPort(address); err != nil && (address != "" || !optional) {
 			l.Addf(place, "%q is not ip:port", address)
 		}
 	}
-	if !c.Peers.IsValid() {
+	if !c.PeerListen.IsValid() {
 		l.Addf("peers", "is not set")
 	}
-	if c.Retries.Length <= 0 || c.Retries.Ratio < 0 || c.Retries.Extra < 0 {
-		l.Addf("retries", "%+v is not a budget", c.Retries)
+	if c.RetryBudget.Length <= 0 || c.RetryBudget.Ratio < 0 || c.RetryBudget.Extra < 0 {
+		l.Addf("retries", "%+v is not a budget", c.RetryBudget)
 	}
 	return l
 }
@@ -159,16 +159,16 @@
 	if err := cfg.Validate().Err(); err != nil {
 		return nil, errors.Wrap(err, "entry")
 	}
-	if cfg.ConfigBound <= 0 {
-		cfg.ConfigBound = defaultConfigBound
+	if cfg.MaxConfigDelay <= 0 {
+		cfg.MaxConfigDelay = defaultConfigBound
 	}
-	if !cfg.Advertised.IsValid() {
-		cfg.Advertised = cfg.Peers
+	if !cfg.AdvertiseAddress.IsValid() {
+		cfg.AdvertiseAddress = cfg.PeerListen
 	}
 	e := &Edge{cfg: cfg, adapter: a, log: log, set: set}
 	var err error
 	e.store, err = objectapi.NewClient(objectapi.ClientConfig{
-		BaseURL: "http://" + cfg.Store, Caller: string(cfg.Host), Protocol: a.Protocol,
+		BaseURL: "http://" + cfg.StoreAddress, Caller: string(cfg.Host), Protocol: a.Protocol,
 		CallTimeout: storeCall, KeepAlive: storeKeepAlive, Source: cfg.Source,
 		Backoff: objectapi.Backoff{Min: storeBackoffMin, Max: storeBackoffMax},
 	})
@@ -180,13 +180,13 @@
 	}
 	e.self = mesh.Member{
 		Host: cfg.Host, Zone: cfg.Zone, Incarnation: id.NewIncarnation(), Fingerprint: e.pinned.Fingerprint(),
-		Address: cfg.Advertised.String(), Started: time.Now().UnixMilli(),
+		Address: cfg.AdvertiseAddress.String(), Started: time.Now().UnixMilli(),
 	}
 	if err := e.newMesh(); err != nil {
 		return nil, err
 	}
 	e.handler = direct.NewHandler(direct.Options{
-		Codec: a.Codec, Entries: e.mesh.Known, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.Retries,
+		Codec: a.Codec, Entries: e.mesh.Known, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.RetryBudget,
 	})
 	e.loads = direct.NewLoads(e.handler)
 	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.Changed}
@@ -214,7 +214,7 @@
 		part = fleetPoll
 	}
 	part *= 1 - pollJitter*rand.Float64()
-	return time.Duration(part * float64(e.cfg.ConfigBound))
+	return time.Duration(part * float64(e.cfg.MaxConfigDelay))
 }
 
 func (e *Edge) newMesh() error {
@@ -241,14 +241,14 @@
 // from the host's own address, by which entries know each other.
 func (e *Edge) peerConfig() link.Config {
 	c := link.PeerConfig()
-	c.LocalIP = e.cfg.Peers.Addr().String()
+	c.LocalIP = e.cfg.PeerListen.Addr().String()
 	return c
 }
 
 // listenPeers accepts the calls of other entries.
 func (e *Edge) listenPeers() (err error) {
 	events := func(*msg.EventsOrder) *msg.Events { return &msg.Events{Process: string(e.self.Host)} }
-	e.peers, err = link.Listen(e.cfg.Peers.String(), e.pinned.Server(keys.RoleEntry, e.mesh.Trust), e.peerConfig(),
+	e.peers, err = link.Listen(e.cfg.PeerListen.String(), e.pinned.Server(keys.RoleEntry, e.mesh.Trust), e.peerConfig(),
 		peer.NewServer(e.mux.Handle, events))
 	return err
 }
@@ -270,11 +270,11 @@
 // Start implements process.Daemon.
 func (e *Edge) Start() error {
 	e.ctx, e.cancel = context.WithCancel(context.Background())
-	clients, err := net.Listen("tcp", e.cfg.Clients)
+	clients, err := net.Listen("tcp", e.cfg.ClientListen)
 	if err != nil {
 		return errors.Wrap(err, "listen for clients")
 	}
-	ready, err := net.Listen("tcp", e.cfg.Readiness)
+	ready, err := net.Listen("tcp", e.cfg.ReadinessListen)
 	if err != nil {
 		return errors.Wrap(err, "listen for readiness checks")
 	}
@@ -282,7 +282,7 @@
 		return err
 	}
 	e.log.Info().Str("event", "process.started").Str("incarnation", string(e.self.Incarnation)).
-		Str("clients", e.cfg.Clients).Str("peers", e.self.Address).Send()
+		Str("clients", e.cfg.ClientListen).Str("peers", e.self.Address).Send()
 	go e.serve(e.clients.server, clients)
 	go e.serve(e.ready, ready)
 	if err := e.startControl(); err != nil {
--- a/entry/edge/maps.go
+++ b/entry/edge/maps.go
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.scout = cancel
 	x := roster.Scout{
-		Book: s.book, Host: m.edge.cfg.Host, Source: m.edge.cfg.Source, Direct: m.edge.adapter.Engine,
+		Book: s.book, Host: m.edge.cfg.Host, Source: m.edge.cfg.Source, Direct: m.edge.adapter.NewEngine,
 		List: func() []ranklink.Endpoint { return m.edge.ranksOf(s, func(id.Group) bool { return true }) },
 	}
 	m.wg.Go(func() { x.Run(ctx) })
@@ -194,7 +194,7 @@
 	e := m.edge
 	c, err := expertmaps.New(expertmaps.Options{
 		Service: s.name, Group: group, Holder: holderName(e.self.Host, e.self.Incarnation), Store: e.store, Peers: holders{e},
-		Engine: &s.engine, Source: e.cfg.Source, Direct: e.adapter.Engine,
+		Engine: &s.engine, Source: e.cfg.Source, Direct: e.adapter.NewEngine,
 		// A rank without a seat may be a new one of this group.
 		List: func() []ranklink.Endpoint {
 			return e.ranksOf(s, func(g id.Group) bool { return g == group || g == "" })
--- a/entry/edge/values.go
+++ b/entry/edge/values.go
@@ -81,7 +81,7 @@
 func (v *values) setConfig(data []byte, source string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	c, err := v.adapter.Config(data)
+	c, err := v.adapter.DecodeConfig(data)
 	var table *routes.Table
 	if err == nil {
 		table, err = routes.NewTable(c)
@@ -141,7 +141,7 @@
 	var out []direct.Endpoint
 	draining := 0
 	for name, r := range v.endpoints.listed {
-		e, err := v.adapter.Endpoint(name, r.Value)
+		e, err := v.adapter.DecodeEndpoint(name, r.Value)
 		if err != nil {
 			v.log.Warn().Err(err).Str("event", "endpoint.rejected").Str("object", v.adapter.EndpointKind+"/"+name).Send()
 			continue
--- a/entry/edge/values_test.go
+++ b/entry/edge/values_test.go
@@ -30,12 +30,12 @@
 		log: zerolog.Nop(),
 		adapter: Adapter{
 			ConfigName: "main",
-			Config: func(data []byte) (routes.Config, error) {
+			DecodeConfig: func(data []byte) (routes.Config, error) {
 				var c struct{ Version uint64 }
 				err := json.Unmarshal(data, &c)
 				return routes.Config{Version: c.Version}, err
 			},
-			Endpoint: func(name string, data []byte) (direct.Endpoint, error) {
+			DecodeEndpoint: func(name string, data []byte) (direct.Endpoint, error) {
 				var e struct {
 					Address  string
 					Draining bool
