--- a/entry/limits/config.go
+++ b/entry/limits/config.go
@@ -26,8 +26,8 @@
 	// LeaseTTL is the time for which the authority to divide outlasts an outage of
 	// the platform, and the longest time without it after its holder failed. Default: 30 s.
 	LeaseTTL time.Duration
-	// FloorPart is the part of each limit that is reserved for floors. Range: 0 to 1. Default: 0.2.
-	FloorPart float64
+	// FloorFraction is the part of each limit that is reserved for floors. Range: 0 to 1. Default: 0.2.
+	FloorFraction float64
 	// Zones is the greatest number of zones that run at a time. Default: 3.
 	Zones int
 	// EntriesPerZone is the greatest number of entries of a zone that run at a time. Default: 2.
@@ -42,7 +42,7 @@
 		Interval:       time.Second,
 		CallTimeout:    500 * time.Millisecond,
 		LeaseTTL:       30 * time.Second,
-		FloorPart:      0.2,
+		FloorFraction:  0.2,
 		Zones:          3,
 		EntriesPerZone: 2,
 		Now:            time.Now,
@@ -52,8 +52,8 @@
 // Validate reports all values out of range.
 func (c Config) Validate() finding.List {
 	var l finding.List
-	if c.FloorPart < 0 || c.FloorPart > 1 {
-		l.Addf("floor-part", "%g is not between 0 and 1", c.FloorPart)
+	if c.FloorFraction < 0 || c.FloorFraction > 1 {
+		l.Addf("floor-part", "%g is not between 0 and 1", c.FloorFraction)
 	}
 	if c.Zones <= 0 {
 		l.Addf("zones", "%d is not positive", c.Zones)
--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -17,7 +17,7 @@
 	"github.com/siskinford/siskinford/wire/codec"
 )
 
-// Members is the part of the membership that Limits works with. It is
+// Members is the part of the membership that Limiter works with. It is
 // implemented by *member.Runner.
 type Members interface {
 	Self() member.Peer
@@ -26,7 +26,7 @@
 	Elsewhere() []member.Peer
 }
 
-// Deps are the parts that Limits works with.
+// Deps are the parts that Limiter works with.
 type Deps struct {
 	Store   objectapi.Store
 	Members Members
@@ -39,9 +39,9 @@
 	fleetFailures = `siskinford_limit_exchange_failures_total{level="fleet"}`
 )
 
-// Connect sets the parts that exchanges need. It must be called once, before
+// SetDeps sets the parts that exchanges need. It must be called once, before
 // Handle and Run.
-func (l *Limits) Connect(d Deps) error {
+func (l *Limiter) SetDeps(d Deps) error {
 	l.deps = d
 	address := d.Members.Self().Address
 	for i := range l.shards {
@@ -61,7 +61,7 @@
 }
 
 // leases returns the number of shards for which this entry has the authority.
-func (l *Limits) leases() int {
+func (l *Limiter) leases() int {
 	n := 0
 	for i := range l.shards {
 		if _, ok := l.shards[i].lease.Valid(l.config.Now()); ok {
@@ -78,7 +78,7 @@
 const leaseSteps = 3
 
 // Run exchanges demands and grants until ctx ends, then releases its leases.
-func (l *Limits) Run(ctx context.Context) {
+func (l *Limiter) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { l.runLeases(ctx) })
@@ -89,12 +89,12 @@
 }
 
 // pause waits with jitter, so that entries do not exchange in step.
-func (l *Limits) pause(ctx context.Context, d time.Duration) {
+func (l *Limiter) pause(ctx context.Context, d time.Duration) {
 	_ = timer.Sleep(ctx, d-d/10+rand.N(d/5+1))
 }
 
 // runLeases steps the leases of the duties that this entry has.
-func (l *Limits) runLeases(ctx context.Context) {
+func (l *Limiter) runLeases(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.stepLeases(ctx) {
 			l.pause(ctx, l.config.LeaseTTL/leaseSteps)
@@ -113,7 +113,7 @@
 
 // stepLeases acquires, renews or observes the leases of shards with limited
 // teams. It reports whether there was any.
-func (l *Limits) stepLeases(ctx context.Context) bool {
+func (l *Limiter) stepLeases(ctx context.Context) bool {
 	stepped := false
 	teams := l.teams.Load()
 	self := l.deps.Members.Self().Address
@@ -131,7 +131,7 @@
 }
 
 // step steps one lease. A failure leaves the lease as it is; the next step tries again.
-func (l *Limits) step(ctx context.Context, lease *duty.Lease) {
+func (l *Limiter) step(ctx context.Context, lease *duty.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, l.config.CallTimeout)
 	defer cancel()
 	_ = lease.Step(ctx)
@@ -139,7 +139,7 @@
 
 // exchange makes one exchange of this entry with the zone's holders and then one
 // of each shard that it holds with the holder of the shard's lease.
-func (l *Limits) exchange(ctx context.Context) {
+func (l *Limiter) exchange(ctx context.Context) {
 	l.resize(len(l.deps.Members.Zones())+1, len(l.deps.Members.Live()))
 	holders := l.holders()
 	l.eachShard(func(i int) { l.exchangeZone(ctx, i, holders[i]) })
@@ -147,7 +147,7 @@
 }
 
 // eachShard calls f for all shards with limited teams at once and waits.
-func (l *Limits) eachShard(f func(shard int)) {
+func (l *Limiter) eachShard(f func(shard int)) {
 	var wg sync.WaitGroup
 	for i, list := range l.teams.Load().byShard {
 		if len(list) > 0 {
@@ -158,7 +158,7 @@
 }
 
 // exchangeZone asks the zone's holder of a shard for grants to this entry.
-func (l *Limits) exchangeZone(ctx context.Context, shard int, holder string) {
+func (l *Limiter) exchangeZone(ctx context.Context, shard int, holder string) {
 	now := l.config.Now()
 	r := &request{Level: zoneLevel, Shard: uint8(shard), Node: l.node}
 	var asked []*team
@@ -185,7 +185,7 @@
 }
 
 // exchangeFleet asks the holder of a shard's lease for grants to this zone.
-func (l *Limits) exchangeFleet(ctx context.Context, shard int) {
+func (l *Limiter) exchangeFleet(ctx context.Context, shard int) {
 	now := l.config.Now()
 	r := &request{Level: fleetLevel, Shard: uint8(shard), Node: l.node}
 	var asked []*team
@@ -218,7 +218,7 @@
 // authority returns the address to ask for grants to the zone: this entry if it
 // holds the lease, the entry named by an answer, the one named in the lease, or
 // entries of other zones in turn, which name another.
-func (l *Limits) authority(s *shard) string {
+func (l *Limiter) authority(s *shard) string {
 	if _, ok := s.lease.Valid(l.config.Now()); ok {
 		return l.deps.Members.Self().Address
 	}
@@ -261,7 +261,7 @@
 }
 
 // call sends a request. Demands to this entry itself take no call.
-func (l *Limits) call(ctx context.Context, address string, r *request) (*answer, error) {
+func (l *Limiter) call(ctx context.Context, address string, r *request) (*answer, error) {
 	if address == "" {
 		return nil, fmt.Errorf("no entry is known that divides shard %d", r.Shard)
 	}
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -62,7 +62,7 @@
 
 // Handle answers the demands of an entry of the zone or of another zone's
 // holder. It is a transport.Handler and does not block.
-func (l *Limits) Handle(_ context.Context, payload []byte) ([]byte, error) {
+func (l *Limiter) Handle(_ context.Context, payload []byte) ([]byte, error) {
 	var r request
 	if err := codec.Unmarshal(payload, &r); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	return codec.Marshal(l.answer(&r))
 }
 
-func (l *Limits) answer(r *request) *answer {
+func (l *Limiter) answer(r *request) *answer {
 	switch r.Level {
 	case zoneLevel:
 		return l.divideZone(r)
@@ -85,7 +85,7 @@
 
 // divideZone divides the zone's grants between its entries. Two entries that do
 // so at the same time are safe, as each divides its own grants only.
-func (l *Limits) divideZone(r *request) *answer {
+func (l *Limiter) divideZone(r *request) *answer {
 	now := l.config.Now()
 	teams := l.teams.Load()
 	a := &answer{}
@@ -102,7 +102,7 @@
 
 // divideFleet divides the limits between zones if this entry has the authority,
 // and otherwise names the entry that may have it.
-func (l *Limits) divideFleet(r *request) *answer {
+func (l *Limiter) divideFleet(r *request) *answer {
 	s := &l.shards[r.Shard]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 			a.add(limit.Grant{}, false)
 			continue
 		}
-		rate := t.limit * (1 - l.config.FloorPart)
+		rate := t.limit * (1 - l.config.FloorFraction)
 		t.fleet.SetPool(limit.Pool{Generation: epoch, Rate: rate, Until: until})
 		a.add(t.fleet.Grant(r.Node, r.demand(i), now))
 	}
@@ -129,7 +129,7 @@
 
 // redirect returns the address of an entry that may have the authority: the one
 // named in the lease, or the zone's holder of the duty, which reads the lease.
-func (l *Limits) redirect(shard int) string {
+func (l *Limiter) redirect(shard int) string {
 	if address := l.shards[shard].leaseAddress(); address != "" {
 		return address
 	}
@@ -139,7 +139,7 @@
 // holders returns the addresses of the zone's holders of the duties for all
 // shards, empty if no entry is live. They are ranked by rendezvous hashing, and
 // no entry has more shards than an even division gives.
-func (l *Limits) holders() [shards]string {
+func (l *Limiter) holders() [shards]string {
 	live := l.deps.Members.Live()
 	addresses := make(map[id.Host]string, len(live))
 	hosts := make([]id.Host, len(live))
@@ -162,6 +162,6 @@
 }
 
 // dutyKey is the key of the zone's duty for a shard.
-func (l *Limits) dutyKey(shard int) string {
+func (l *Limiter) dutyKey(shard int) string {
 	return fmt.Sprintf("limits/%s/%d", l.config.Zone, shard)
 }
--- a/entry/limits/limits.go
+++ b/entry/limits/limits.go
@@ -43,9 +43,9 @@
 	byShard [shards][]*team
 }
 
-// Limits is the part of one entry in the enforcement of limits. It is safe for
+// Limiter is the part of one entry in the enforcement of limits. It is safe for
 // concurrent use.
-type Limits struct {
+type Limiter struct {
 	config Config
 	deps   Deps
 	node   uint64
@@ -58,24 +58,24 @@
 	entries int // of a zone, likewise
 }
 
-// New returns Limits without teams.
-func New(c Config) (*Limits, error) {
+// New returns a Limiter without teams.
+func New(c Config) (*Limiter, error) {
 	if err := c.Validate().Err(); err != nil {
 		return nil, err
 	}
-	l := &Limits{config: c, node: rand.Uint64(), zones: c.Zones, entries: c.EntriesPerZone}
+	l := &Limiter{config: c, node: rand.Uint64(), zones: c.Zones, entries: c.EntriesPerZone}
 	l.teams.Store(&teams{})
 	return l, nil
 }
 
 // floors splits a limit at the observed size. The caller holds mu.
-func (l *Limits) floors(rate float64) limit.Floors {
-	return limit.Floors{Limit: rate, Part: l.config.FloorPart, Zones: l.zones, EntriesPerZone: l.entries}
+func (l *Limiter) floors(rate float64) limit.Floors {
+	return limit.Floors{Limit: rate, Part: l.config.FloorFraction, Zones: l.zones, EntriesPerZone: l.entries}
 }
 
 // SetTeams replaces the teams. Teams that remain limited keep their state. It
 // is called on changes of the configuration and does not block.
-func (l *Limits) SetTeams(list []config.Team) {
+func (l *Limiter) SetTeams(list []config.Team) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.config.Now()
@@ -90,7 +90,7 @@
 }
 
 // team returns the state of a team, taking over what is known of it.
-func (l *Limits) team(old *team, c config.Team, now time.Time) *team {
+func (l *Limiter) team(old *team, c config.Team, now time.Time) *team {
 	t := &team{name: c.Name, key: keyOf(c.Name), limit: c.TokensPerSecond}
 	floor := l.floors(t.limit).Entry()
 	if old == nil {
@@ -125,7 +125,7 @@
 }
 
 // resize lowers the floors if more zones or entries run than configured.
-func (l *Limits) resize(zones, entries int) {
+func (l *Limiter) resize(zones, entries int) {
 	zones, entries = max(zones, l.config.Zones), max(entries, l.config.EntriesPerZone)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,7 +142,7 @@
 // Take takes tokens from a team's share, or returns the time after which that
 // may succeed. A team without a limit always gets them. It is called for each
 // request, before dispatch, and does not block.
-func (l *Limits) Take(name id.Team, tokens float64, now time.Time) (retryAfter time.Duration, ok bool) {
+func (l *Limiter) Take(name id.Team, tokens float64, now time.Time) (retryAfter time.Duration, ok bool) {
 	t := l.teams.Load().byName[name]
 	if t == nil {
 		return 0, true
@@ -151,7 +151,7 @@
 }
 
 // Return gives back tokens that a request did not use.
-func (l *Limits) Return(name id.Team, tokens float64, now time.Time) {
+func (l *Limiter) Return(name id.Team, tokens float64, now time.Time) {
 	if t := l.teams.Load().byName[name]; t != nil {
 		t.share.Return(tokens, now)
 	}
--- a/entry/limits/limits_test.go
+++ b/entry/limits/limits_test.go
@@ -72,7 +72,7 @@
 	for _, zone := range []id.Zone{holder.zone, w.other(holder.zone)} {
 		w.cut = func(from, to *node) bool { return (from.zone == zone) != (to.zone == zone) }
 		w.rounds(2*settle, everywhere)
-		floor := testLimit * w.size.FloorPart / 3
+		floor := testLimit * w.size.FloorFraction / 3
 		if zone == holder.zone {
 			assert.Assert(t, w.zoneRate(zone, testTeam) > 0.8*testLimit, "the zone with the authority uses the rest")
 			assert.Assert(t, math.Abs(w.zoneRate(w.other(zone), testTeam)-floor) < 1)
@@ -162,7 +162,7 @@
 	assert.Assert(t, w.zoneRate(w.other(holder.zone), testTeam) > 0.2*testLimit)
 	w.rounds(2*settle, everywhere)
 	sum = w.zoneRate("zone-0", testTeam) + w.zoneRate("zone-1", testTeam) + w.zoneRate("zone-2", testTeam)
-	assert.Assert(t, math.Abs(sum-w.size.FloorPart*testLimit) < 1, "after the lease: %.0f", sum)
+	assert.Assert(t, math.Abs(sum-w.size.FloorFraction*testLimit) < 1, "after the lease: %.0f", sum)
 	w.down = false
 	w.rounds(2*settle, everywhere)
 	sum = w.zoneRate("zone-0", testTeam) + w.zoneRate("zone-1", testTeam) + w.zoneRate("zone-2", testTeam)
@@ -196,7 +196,7 @@
 		n.limits.exchange(context.Background())
 	}
 	w.check()
-	assert.Assert(t, math.Abs(w.zoneRate("zone-0", testTeam)-testLimit*w.size.FloorPart/2) < 1)
+	assert.Assert(t, math.Abs(w.zoneRate("zone-0", testTeam)-testLimit*w.size.FloorFraction/2) < 1)
 }
 
 func TestHandleRefusesIncompleteRequests(t *testing.T) {
@@ -217,6 +217,6 @@
 }
 
 func TestConfigReportsAllFindings(t *testing.T) {
-	assert.Equal(t, len(Config{FloorPart: 2}.Validate()), 6)
+	assert.Equal(t, len(Config{FloorFraction: 2}.Validate()), 6)
 	assert.Equal(t, len(DefaultConfig().Validate()), 0)
 }
--- a/entry/limits/world_test.go
+++ b/entry/limits/world_test.go
@@ -61,7 +61,7 @@
 	w      *world
 	zone   id.Zone
 	peer   member.Peer
-	limits *Limits
+	limits *Limiter
 	paused bool
 	// blind holds the peers that this node wrongly takes for dead.
 	blind map[id.Host]bool
@@ -119,7 +119,7 @@
 	var err error
 	n.limits, err = New(c)
 	assert.NilError(n.w.t, err)
-	assert.NilError(n.w.t, n.limits.Connect(Deps{Store: n, Members: n, Caller: n, Metrics: metrics.NewSet()}))
+	assert.NilError(n.w.t, n.limits.SetDeps(Deps{Store: n, Members: n, Caller: n, Metrics: metrics.NewSet()}))
 	n.limits.SetTeams(n.w.teams)
 	n.waiting, n.paused = nil, false
 }
--- a/entry/server/limits.go
+++ b/entry/server/limits.go
@@ -7,7 +7,7 @@
 
 // connectLimits lets this entry exchange demands and grants with others.
 func (s *Server) connectLimits(mux *transport.Mux) error {
-	err := s.limits.Connect(limits.Deps{
+	err := s.limits.SetDeps(limits.Deps{
 		Store: s.deps.Store, Members: s.node.members, Caller: mux.Caller(transport.Limits), Metrics: s.metrics,
 	})
 	if err != nil {
@@ -18,7 +18,7 @@
 }
 
 // newLimits returns the enforcement of the teams' limits, without teams.
-func (s *Server) newLimits() (*limits.Limits, error) {
+func (s *Server) newLimits() (*limits.Limiter, error) {
 	c := s.config.Limits
 	c.Zone = s.config.Zone
 	return limits.New(c)
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -57,7 +57,7 @@
 	requests  *operator.Requests
 	operator  *operator.Service
 	admission *admission.Admitter
-	limits    *limits.Limits
+	limits    *limits.Limiter
 	groups    *groups.Manager
 	callers   *http.Server
 	operators *http.Server
