--- a/entry/direct/endpoints.go
+++ b/entry/direct/endpoints.go
@@ -100,7 +100,7 @@
 func (d *Directory) keepOrAdd(e Endpoint) *Backend {
 	b := d.backends[e.Name]
 	if b == nil || b.Endpoint().Address != e.Address || b.Endpoint().Service != e.Service {
-		return &Backend{Name: e.Name, endpoint: e, Pool: upstream.NewPool(upstream.Config{Address: e.Address, Dial: upstream.TCP(d.source)})}
+		return &Backend{Name: e.Name, endpoint: e, Pool: upstream.NewPool(upstream.Config{Address: e.Address, Dial: upstream.TCPDialer(d.source)})}
 	}
 	b.mu.Lock()
 	b.endpoint = e
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -60,14 +60,14 @@
 		cfg.DialTimeout = defaultDialTimeout
 	}
 	if cfg.Dial == nil {
-		cfg.Dial = TCP(netip.Addr{})
+		cfg.Dial = TCPDialer(netip.Addr{})
 	}
 	return &Pool{cfg: cfg}
 }
 
-// TCP returns a Dial for Config that opens connections from an address of this
+// TCPDialer returns a Dial for Config that opens connections from an address of this
 // host, or from the operating system's choice.
-func TCP(source netip.Addr) func(ctx context.Context, address string) (net.Conn, error) {
+func TCPDialer(source netip.Addr) func(ctx context.Context, address string) (net.Conn, error) {
 	d := dial.Config{Source: source, ProbeInterval: probeInterval, ProbeCount: probeCount}.Dialer()
 	return func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 }
