--- a/entry/hosts/hosts.go
+++ b/entry/hosts/hosts.go
@@ -41,8 +41,8 @@
 	SetHints(list []objectapi.Host)
 }
 
-// Duty is the key of the duty to read the list for the zone.
-const Duty = "hosts"
+// DutyKey is the key of the duty to read the list for the zone.
+const DutyKey = "hosts"
 
 // Deps are the parts that a Watcher works with.
 type Deps struct {
@@ -50,9 +50,9 @@
 	Members  Members
 	Caller   transport.Caller
 	Recorder timeline.Recorder
-	// Leaving is called with the hosts that are leaving whenever they change. It
+	// OnLeaving is called with the hosts that are leaving whenever they change. It
 	// must not block.
-	Leaving func(map[id.Host]bool)
+	OnLeaving func(map[id.Host]bool)
 }
 
 // Watcher is safe for concurrent use.
@@ -78,7 +78,7 @@
 // Run reads the list until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		hasDuty := w.deps.Members.Duty(Duty)
+		hasDuty := w.deps.Members.Duty(DutyKey)
 		if hasDuty || len(w.deps.Members.Live()) <= 1 {
 			w.read(ctx, hasDuty)
 		}
@@ -133,7 +133,7 @@
 	}
 	before := w.leaving
 	w.leaving = next
-	w.deps.Leaving(next)
+	w.deps.OnLeaving(next)
 	for h := range next {
 		if !before[h] {
 			w.deps.Recorder.Record(timeline.Event{Kind: "host.leaving", Detail: string(h)})
--- a/entry/server/ask.go
+++ b/entry/server/ask.go
@@ -22,7 +22,7 @@
 		Status:   s.table.Status,
 		Report:   func(e id.Endpoint) (endpoints.Seen, bool) { return s.endpoints.Last(e) },
 		Requests: s.requests,
-		Duties:   []string{hosts.Duty, "reader/" + string(s.config.Zone)},
+		Duties:   []string{hosts.DutyKey, "reader/" + string(s.config.Zone)},
 	})
 }
 
--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -55,7 +55,7 @@
 	}
 	n.hosts = hosts.New(hosts.DefaultConfig(), hosts.Deps{
 		Store: s.deps.Store, Members: n.members, Caller: mux.Caller(transport.Duties),
-		Recorder: s.events, Leaving: s.setLeaving,
+		Recorder: s.events, OnLeaving: s.setLeaving,
 	})
 	mux.Register(transport.Membership, n.members.Handle)
 	mux.Register(transport.Configuration, n.spreader.Handle)
