--- a/entry/actions/actions.go
+++ b/entry/actions/actions.go
@@ -104,7 +104,7 @@
 	c.Ticket = text
 	c.Bound = &dispatch.Binding{Endpoint: claims.Endpoint, Incarnation: claims.Incarnation}
 	if _, ok := a.deps.Directory.Address(claims.Endpoint); !ok {
-		return problem.Unknownf(problem.OutcomeUnknown, "endpoint %q of the ticket is no longer configured", claims.Endpoint)
+		return problem.UnknownOutcomef(problem.OutcomeUnknown, "endpoint %q of the ticket is no longer configured", claims.Endpoint)
 	}
 	return nil
 }
--- a/entry/actions/claimer.go
+++ b/entry/actions/claimer.go
@@ -73,13 +73,13 @@
 	p.ActionOutcome = outcome.Unknown
 	switch {
 	case errors.As(err, &expired):
-		p = problem.Unknownf(problem.KeyExpired, "%v", err)
+		p = problem.UnknownOutcomef(problem.KeyExpired, "%v", err)
 	case errors.As(err, &future):
 		p = problem.Newf(problem.KeyInvalid, "%v", err)
 	case errors.As(err, &mismatch):
 		p = problem.Newf(problem.PayloadMismatch, "%v", err)
 	case errors.As(err, &missing):
-		p = problem.Unknownf(problem.NotFound, "%v", err)
+		p = problem.UnknownOutcomef(problem.NotFound, "%v", err)
 	}
 	return p
 }
--- a/entry/caller/caller.go
+++ b/entry/caller/caller.go
@@ -109,7 +109,7 @@
 func identify(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		request := id.NewRequest()
-		w.Header().Set(problem.HeaderRequest, string(request))
+		w.Header().Set(problem.HeaderRequestID, string(request))
 		ctx := context.WithValue(r.Context(), requestKey{}, request)
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
--- a/entry/caller/plain.go
+++ b/entry/caller/plain.go
@@ -149,7 +149,7 @@
 		a.deps.Metrics.failed(result.Problem)
 		return true
 	case result.Problem == nil:
-		a.fail(w, r, problem.Unknownf(problem.AnswerIncomplete, "endpoint %q sent no status", result.Endpoint))
+		a.fail(w, r, problem.UnknownOutcomef(problem.AnswerIncomplete, "endpoint %q sent no status", result.Endpoint))
 	default:
 		a.fail(w, r, keyed(r, result.Problem))
 	}
--- a/entry/dispatch/recover.go
+++ b/entry/dispatch/recover.go
@@ -36,7 +36,7 @@
 		}
 	}
 	t.record(t.call, "request.unknown", t.attempt, t.choice.Endpoint, detail)
-	return Result{Outcome: outcome.Unknown, Problem: problem.Unknownf(problem.OutcomeUnknown,
+	return Result{Outcome: outcome.Unknown, Problem: problem.UnknownOutcomef(problem.OutcomeUnknown,
 		"connection to endpoint %q was lost: %s", t.choice.Endpoint, detail)}, true
 }
 
--- a/entry/dispatch/try.go
+++ b/entry/dispatch/try.go
@@ -177,14 +177,14 @@
 		return Result{Outcome: end.Outcome, End: end}
 	}
 	t.record(t.call, "request.broken", t.assembler.attempt, t.choice.Endpoint, end.Error)
-	p := problem.Unknownf(problem.AnswerIncomplete, "endpoint %q did not complete the answer: %s", t.choice.Endpoint, end.Error)
+	p := problem.UnknownOutcomef(problem.AnswerIncomplete, "endpoint %q did not complete the answer: %s", t.choice.Endpoint, end.Error)
 	p.Outcome = end.Outcome
 	return Result{Outcome: end.Outcome, End: end, Problem: p}
 }
 
 func (t *try) corrupted(cause *ChecksumError) Result {
 	t.record(t.call, "request.broken", t.assembler.attempt, t.choice.Endpoint, cause.Error())
-	p := problem.Unknownf(problem.AnswerIncomplete, "endpoint %q: %v", t.choice.Endpoint, cause)
+	p := problem.UnknownOutcomef(problem.AnswerIncomplete, "endpoint %q: %v", t.choice.Endpoint, cause)
 	return Result{Outcome: p.Outcome, Problem: p}
 }
 
@@ -250,7 +250,7 @@
 	if !t.delivered {
 		t.observe()
 	}
-	unknown := problem.Unknownf(problem.OutcomeUnknown, "endpoint %q: %s", t.choice.Endpoint, detail)
+	unknown := problem.UnknownOutcomef(problem.OutcomeUnknown, "endpoint %q: %s", t.choice.Endpoint, detail)
 	ctx, cancel := context.WithTimeout(context.Background(), t.config.WithdrawTimeout)
 	defer cancel()
 	verdict, err := t.askVerdict(ctx)
--- a/entry/problem/problem.go
+++ b/entry/problem/problem.go
@@ -16,8 +16,8 @@
 // ContentType is the media type of errors.
 const ContentType = "application/problem+json"
 
-// HeaderRequest is the HTTP response header that carries the request ID.
-const HeaderRequest = "Siskinford-Request"
+// HeaderRequestID is the HTTP response header that carries the request ID.
+const HeaderRequestID = "Siskinford-Request"
 
 // Code is a stable identifier of an error. Callers may rely on it.
 type Code string
@@ -95,8 +95,8 @@
 	return &Problem{Code: code, Detail: fmt.Sprintf(format, args...), Outcome: outcome.NotRun}
 }
 
-// Unknownf returns a problem of a request that may have run.
-func Unknownf(code Code, format string, args ...any) *Problem {
+// UnknownOutcomef returns a problem of a request that may have run.
+func UnknownOutcomef(code Code, format string, args ...any) *Problem {
 	return &Problem{Code: code, Detail: fmt.Sprintf(format, args...), Outcome: outcome.Unknown}
 }
 
--- a/itest/client_test.go
+++ b/itest/client_test.go
@@ -59,7 +59,7 @@
 		return answer{Err: err}
 	}
 	defer response.Body.Close()
-	a := answer{Status: response.StatusCode, Request: response.Header.Get(problem.HeaderRequest)}
+	a := answer{Status: response.StatusCode, Request: response.Header.Get(problem.HeaderRequestID)}
 	a.Body, a.Err = io.ReadAll(response.Body)
 	a.Outcome = outcome.Outcome(response.Header.Get(outcome.Header))
 	if a.Outcome == "" {
--- a/lab/demo/tour.go
+++ b/lab/demo/tour.go
@@ -100,7 +100,7 @@
 		result = response.Trailer.Get(outcome.Header)
 	}
 	fmt.Fprintf(out, "%s\n  %s %s at %s: status %d, outcome %q\n", s.title, s.method, s.path, e.Host, response.StatusCode, result)
-	printRoute(f, e, response.Header.Get(problem.HeaderRequest), out)
+	printRoute(f, e, response.Header.Get(problem.HeaderRequestID), out)
 	fmt.Fprintf(out, "  answer: %s\n\n", shorten(string(body)))
 	return nil
 }
--- a/lab/measure/path.go
+++ b/lab/measure/path.go
@@ -250,7 +250,7 @@
 		w.broken.Add(1)
 		return n, nil
 	}
-	return n, errors.Wrapf(err, "answer of %s, request %s", w.url, response.Header.Get(problem.HeaderRequest))
+	return n, errors.Wrapf(err, "answer of %s, request %s", w.url, response.Header.Get(problem.HeaderRequestID))
 }
 
 func countEvents(r io.Reader) (int64, error) {
