--- a/balance/mapswitch/change.go
+++ b/balance/mapswitch/change.go
@@ -2,375 +2,375 @@
 
 import "time"
 
-// learn waits for a report of every rank of an open group.
-func (m *Coordinator) learn(now time.Duration) {
-	for i := range m.ranks {
-		if k := &m.ranks[i]; !k.known || !k.report.Open {
+// learn waits until every rank of an open group has reported.
+func (c *Coordinator) learn(now time.Duration) {
+	for i := range c.ranks {
+		if k := &c.ranks[i]; !k.reported || !k.report.Open {
 			return
 		}
 	}
-	if _, _, ok := m.Current(); !ok {
+	if _, _, ok := c.Current(); !ok {
 		return
 	}
-	m.beginRecovery(now, "an earlier coordinator may have left a change")
+	c.beginRecovery(now, "checking for an unfinished change of an earlier coordinator")
 }
 
-// idle watches for the traces of another coordinator.
-func (m *Coordinator) idle(now time.Duration) {
-	if m.foreign() {
-		m.beginRecovery(now, "another coordinator is at work")
+// idle starts a recovery if another coordinator has given orders.
+func (c *Coordinator) idle(now time.Duration) {
+	if c.otherCoordinatorSeen() {
+		c.beginRecovery(now, "another coordinator armed a rank or held a step")
 	}
 }
 
-// foreign reports whether a rank is armed or holds a step by another's order.
-func (m *Coordinator) foreign() bool {
-	for i := range m.ranks {
-		r := &m.ranks[i].report
-		if r.Armed != 0 && r.Armed != m.version {
+// otherCoordinatorSeen reports whether a rank is armed or holds a step by another
+// coordinator's order.
+func (c *Coordinator) otherCoordinatorSeen() bool {
+	for i := range c.ranks {
+		r := &c.ranks[i].report
+		if r.Armed != 0 && r.Armed != c.version {
 			return true
 		}
-		if r.Held != 0 && !m.decided[hold{i, r.Held}] && (i != m.holder || r.Held != m.step) {
+		if r.Held != 0 && !c.releasable[heldStep{i, r.Held}] && (i != c.holder || r.Held != c.step) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Coordinator) prepare(now time.Duration) []Order {
-	if now-m.since > m.cfg.PrepareTimeout {
-		m.abandon(now, "the weights were not copied in time")
+func (c *Coordinator) prepare(now time.Duration) []Order {
+	if now-c.phaseStart > c.cfg.PrepareTimeout {
+		c.abandon(now, "copying the weights timed out")
 		return nil
 	}
-	if m.foreign() {
-		m.abandon(now, "another coordinator is at work")
+	if c.otherCoordinatorSeen() {
+		c.abandon(now, "another coordinator armed a rank or held a step")
 		return nil
 	}
 	var out []Order
 	ready := true
-	for i := range m.ranks {
-		k := &m.ranks[i]
-		if k.report.Prepared == m.version {
+	for i := range c.ranks {
+		k := &c.ranks[i]
+		if k.report.Prepared == c.version {
 			continue
 		}
 		ready = false
 		if !k.prepared {
-			out = append(out, m.ask(Order{Rank: i, Op: Prepare, Version: m.version, Map: m.target}, now)...)
+			out = append(out, c.issue(Order{Rank: i, Op: Prepare, Version: c.version, Map: c.target}, now)...)
 		}
 	}
 	if ready {
-		m.step = m.stepAfter(m.lastStep() + m.lead())
-		m.enter(Holding, now, "all ranks hold the weights")
+		c.step = c.nextHoldStep(c.lastStep() + c.leadSteps())
+		c.enter(Holding, now, "every rank has the weights")
 	}
 	return out
 }
 
-func (m *Coordinator) onPrepare(k *rank, o Order, got Outcome, now time.Duration) {
-	switch m.phase {
+func (c *Coordinator) onPrepare(k *rank, o Order, got Outcome, now time.Duration) {
+	switch c.phase {
 	case Preparing:
-		if o.Version != m.version {
+		if o.Version != c.version {
 			return
 		}
-		if got == Conflict && k.report.Prepared != m.version {
-			m.abandon(now, "a rank refused the map")
+		if got == Conflict && k.report.Prepared != c.version {
+			c.abandon(now, "a rank refused to prepare the map")
 			return
 		}
 		k.prepared = true
 	case Recovering, Deciding, Undoing:
-		if o.Version <= m.version {
-			return // The map of the change, not a fence.
+		if o.Version <= c.version {
+			return // The answer to the change's own map, not to a fence.
 		}
 		if got == Done {
 			k.fence = max(k.fence, o.Version)
 			return
 		}
-		k.conflict, k.conflictAt, k.disarmed = true, k.reports, false
+		k.fenceRefused, k.refusedAtReport, k.disarmed = true, k.reports, false
 	default:
 	}
 }
 
-// abandon gives up a change of which no rank was armed.
-func (m *Coordinator) abandon(now time.Duration, reason string) {
-	m.version, m.target = 0, nil
-	m.enter(Idle, now, reason)
+// abandon ends a change for which no rank was armed.
+func (c *Coordinator) abandon(now time.Duration, reason string) {
+	c.version, c.target = 0, nil
+	c.enter(Idle, now, reason)
 }
 
-func (m *Coordinator) hold(now time.Duration) []Order {
-	if m.holdTries > maxHoldTries || now-m.since > m.cfg.PrepareTimeout {
-		m.permit() // No rank was armed for it.
-		m.abandon(now, "no step could be held")
+func (c *Coordinator) hold(now time.Duration) []Order {
+	if c.holdTries > maxHoldTries || now-c.phaseStart > c.cfg.PrepareTimeout {
+		c.allowRelease() // No rank was armed for the step.
+		c.abandon(now, "no step could be held")
 		return nil
 	}
-	via := (m.via + 1) % len(m.ranks)
-	if via == m.holder {
-		via = (via + 1) % len(m.ranks)
+	via := (c.holdVia + 1) % len(c.ranks)
+	if via == c.holder {
+		via = (via + 1) % len(c.ranks)
 	}
-	out := m.askVia(Order{Rank: m.holder, Via: via, Op: Hold, Step: m.step}, now)
+	out := c.issueVia(Order{Rank: c.holder, Via: via, Op: Hold, Step: c.step}, now)
 	if len(out) > 0 {
-		m.via = via
-		m.ranks[via].doubted = true
+		c.holdVia = via
+		c.ranks[via].relaySuspect = true
 	}
 	return out
 }
 
-func (m *Coordinator) onHold(o Order, got Outcome, now time.Duration) {
-	if m.phase != Holding || o.Step != m.step {
+func (c *Coordinator) onHold(o Order, got Outcome, now time.Duration) {
+	if c.phase != Holding || o.Step != c.step {
 		return
 	}
 	if got == Conflict {
-		m.permit() // An earlier try may still be carried out.
-		m.holdTries++
-		m.step = m.stepAfter(m.lastStep() + m.lead())
+		c.allowRelease() // A resent hold may still be carried out.
+		c.holdTries++
+		c.step = c.nextHoldStep(c.lastStep() + c.leadSteps())
 		return
 	}
-	m.heldAt = now
-	m.enter(Arming, now, "the step is held")
+	c.heldAt = now
+	c.enter(Arming, now, "the step is held")
 }
 
-func (m *Coordinator) arm(now time.Duration) []Order {
-	if m.allArmed() {
-		m.permit()
-		m.enter(Releasing, now, "every rank is armed")
+func (c *Coordinator) arm(now time.Duration) []Order {
+	if c.allArmed() {
+		c.allowRelease()
+		c.enter(Releasing, now, "every rank is armed")
 		return nil
 	}
-	if now-m.heldAt > max(m.cfg.HoldTimeout, m.cfg.PingDelay+holdTrips*m.longestTrip()) {
-		m.enter(Deciding, now, "the step was held for too long")
+	if now-c.heldAt > max(c.cfg.HoldTimeout, c.cfg.PingDelay+holdRTTs*c.longestRTT()) {
+		c.enter(Deciding, now, "arming all ranks timed out")
 		return nil
 	}
 	var out []Order
-	for i := range m.ranks {
-		k := &m.ranks[i]
+	for i := range c.ranks {
+		k := &c.ranks[i]
 		switch {
 		case k.armed:
-		case k.doubted && now-m.heldAt > max(m.cfg.PingTimeout, m.cfg.PingDelay+resendTrips*k.trip):
-			m.enter(Deciding, now, "the relay that passed the hold on is silent")
+		case k.relaySuspect && now-c.heldAt > max(c.cfg.PingTimeout, c.cfg.PingDelay+resendRTTs*k.rtt):
+			c.enter(Deciding, now, "the relay that forwarded the hold did not answer a ping")
 			return out
-		case k.doubted && now-m.heldAt < m.cfg.PingDelay:
-		case k.doubted:
-			out = append(out, m.ask(Order{Rank: i, Op: Ping}, now)...)
+		case k.relaySuspect && now-c.heldAt < c.cfg.PingDelay:
+		case k.relaySuspect:
+			out = append(out, c.issue(Order{Rank: i, Op: Ping}, now)...)
 		default:
-			k.asked = true
-			out = append(out, m.ask(Order{Rank: i, Op: Arm, Version: m.version, Step: m.step}, now)...)
+			k.armSent = true
+			out = append(out, c.issue(Order{Rank: i, Op: Arm, Version: c.version, Step: c.step}, now)...)
 		}
 	}
 	return out
 }
 
-func (m *Coordinator) onArm(k *rank, o Order, got Outcome, now time.Duration) {
-	if o.Version != m.version {
+func (c *Coordinator) onArm(k *rank, o Order, got Outcome, now time.Duration) {
+	if o.Version != c.version {
 		return
 	}
 	if got == Done {
 		k.armed = true
 		return
 	}
-	if m.phase == Arming {
-		m.enter(Deciding, now, "a rank refused to be armed")
+	if c.phase == Arming {
+		c.enter(Deciding, now, "a rank refused to arm the map")
 	}
 }
 
-func (m *Coordinator) allArmed() bool {
-	for i := range m.ranks {
-		if !m.ranks[i].armed {
+func (c *Coordinator) allArmed() bool {
+	for i := range c.ranks {
+		if !c.ranks[i].armed {
 			return false
 		}
 	}
 	return true
 }
 
-// decide fences the ranks that were not seen armed. The first fence that takes, or a
-// rank that was not asked, means that the change can be undone; a rank that refuses
-// the fence and reports that it is armed counts as armed.
-func (m *Coordinator) decide(now time.Duration) []Order {
-	if m.allArmed() {
-		m.permit()
-		m.enter(Releasing, now, "every rank is armed")
+// decide fences the ranks that did not confirm that they are armed. The first accepted
+// fence, or a rank that was never sent an arm order, means that the change can be undone; a rank
+// that refuses the fence and reports that it is armed counts as armed.
+func (c *Coordinator) decide(now time.Duration) []Order {
+	if c.allArmed() {
+		c.allowRelease()
+		c.enter(Releasing, now, "every rank is armed")
 		return nil
 	}
-	against := m.mostArmed()
-	for i := range m.ranks {
-		if m.unarmed(i, against) {
-			m.enter(Undoing, now, "a rank was never armed")
+	highestArmed := c.highestArmed()
+	for i := range c.ranks {
+		if c.cannotArm(i, highestArmed) {
+			c.enter(Undoing, now, "a rank can no longer be armed")
 			return nil
 		}
 	}
 	var out []Order
-	for i := range m.ranks {
-		if !m.ranks[i].armed {
-			out = append(out, m.fence(i, now)...)
+	for i := range c.ranks {
+		if !c.ranks[i].armed {
+			out = append(out, c.issueFence(i, now)...)
 		}
 	}
 	return out
 }
 
-// unarmed reports whether the version of the change cannot be armed at a rank, now or
-// later. Only this lease's orders name the version. Against is that of mostArmed.
-func (m *Coordinator) unarmed(i int, against uint64) bool {
-	return m.ranks[i].fenced(against) || m.version != 0 && m.target != nil && !m.ranks[i].asked && m.ranks[i].report.Armed == 0
+// cannotArm reports whether the version of the change cannot be armed at a rank, now or
+// later. Only orders of this lease name the version.
+func (c *Coordinator) cannotArm(i int, highestArmed uint64) bool {
+	return c.ranks[i].fenced(highestArmed) || c.version != 0 && c.target != nil && !c.ranks[i].armSent && c.ranks[i].report.Armed == 0
 }
 
-// mostArmed returns the highest version that is or may be armed.
-func (m *Coordinator) mostArmed() uint64 {
-	v := m.version
-	for i := range m.ranks {
-		v = max(v, m.ranks[i].report.Armed)
+// highestArmed returns the highest version that is or may be armed.
+func (c *Coordinator) highestArmed() uint64 {
+	v := c.version
+	for i := range c.ranks {
+		v = max(v, c.ranks[i].report.Armed)
 	}
 	return v
 }
 
-// fenced reports whether a rank took a fence that counts against the versions
-// which are or may be armed. A fence of a lower version tells nothing: the rank
-// may have been armed after it, or a later coordinator has prepared a map there and may
-// arm it at any time.
-func (k *rank) fenced(against uint64) bool {
-	return k.fence > against && k.fence >= k.report.Prepared
+// fenced reports whether a rank accepted a fence above highestArmed and not below the
+// prepared version. A lower fence proves nothing: the rank may have been armed after it,
+// or a later coordinator has prepared a map there and may arm it at any time.
+func (k *rank) fenced(highestArmed uint64) bool {
+	return k.fence > highestArmed && k.fence >= k.report.Prepared
 }
 
-// fence asks a rank to prepare the map in use under a new version.
-func (m *Coordinator) fence(i int, now time.Duration) []Order {
-	k := &m.ranks[i]
-	content, ok := m.current[k.report.Version]
-	if !ok || m.waits(i, Prepare, now) {
+// issueFence orders a rank to prepare the map in use under a new version.
+func (c *Coordinator) issueFence(i int, now time.Duration) []Order {
+	k := &c.ranks[i]
+	content, ok := c.contents[k.report.Version]
+	if !ok || c.awaitsAnswer(i, Prepare, now) {
 		return nil
 	}
-	if k.conflict && k.reports == k.conflictAt {
-		return nil // The next report tells why the last one was refused.
+	if k.fenceRefused && k.reports == k.refusedAtReport {
+		return nil // Wait for a report that shows why the last one was refused.
 	}
-	return m.ask(Order{Rank: i, Op: Prepare, Version: m.newVersion(), Map: content}, now)
+	return c.issue(Order{Rank: i, Op: Prepare, Version: c.newVersion(), Map: content}, now)
 }
 
 // undo disarms and fences all ranks.
-func (m *Coordinator) undo(now time.Duration) []Order {
+func (c *Coordinator) undo(now time.Duration) []Order {
 	var out []Order
 	fenced := true
-	against := m.mostArmed()
-	for i := range m.ranks {
-		k := &m.ranks[i]
-		if m.unarmed(i, against) {
+	highestArmed := c.highestArmed()
+	for i := range c.ranks {
+		k := &c.ranks[i]
+		if c.cannotArm(i, highestArmed) {
 			continue
 		}
 		fenced = false
 		armed := k.report.Armed
 		if armed == 0 {
-			armed = m.version
+			armed = c.version
 		}
-		if !m.mayDisarm(armed, against) {
-			m.beginRecovery(now, "another coordinator armed a rank")
+		if !c.mayDisarm(armed, highestArmed) {
+			c.beginRecovery(now, "another coordinator armed a rank")
 			return out
 		}
 		if !k.disarmed && armed != 0 {
-			out = append(out, m.ask(Order{Rank: i, Op: Disarm, Version: armed}, now)...)
+			out = append(out, c.issue(Order{Rank: i, Op: Disarm, Version: armed}, now)...)
 			continue
 		}
-		out = append(out, m.fence(i, now)...)
+		out = append(out, c.issueFence(i, now)...)
 	}
 	if !fenced {
 		return out
 	}
-	m.permit()
-	if m.allFenced() {
-		m.decideHeld()
+	c.allowRelease()
+	if c.allFenced() {
+		c.allowReleaseAll()
 	}
-	m.version, m.target = 0, nil
-	m.enter(Releasing, now, "no rank is armed")
+	c.version, c.target = 0, nil
+	c.enter(Releasing, now, "no rank is armed")
 	return out
 }
 
-// allFenced reports whether no rank is armed with any version, so that holds of other
-// coordinators are needed no more.
-func (m *Coordinator) allFenced() bool {
-	against := m.mostArmed()
-	for i := range m.ranks {
-		if !m.ranks[i].fenced(against) {
+// allFenced reports whether no rank is or can be armed with any version, so that no
+// coordinator's hold is needed any more.
+func (c *Coordinator) allFenced() bool {
+	highestArmed := c.highestArmed()
+	for i := range c.ranks {
+		if !c.ranks[i].fenced(highestArmed) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayDisarm reports whether a version cannot be armed at some rank.
-func (m *Coordinator) mayDisarm(version, against uint64) bool {
-	for i := range m.ranks {
-		if m.ranks[i].fence > version || version == m.version && m.unarmed(i, against) {
+// mayDisarm reports whether a version can no longer be armed at some rank.
+func (c *Coordinator) mayDisarm(version, highestArmed uint64) bool {
+	for i := range c.ranks {
+		if c.ranks[i].fence > version || version == c.version && c.cannotArm(i, highestArmed) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Coordinator) release(now time.Duration) []Order {
-	if m.step == 0 || m.lastStep() >= m.step {
-		m.released(now)
+func (c *Coordinator) release(now time.Duration) []Order {
+	if c.step == 0 || c.lastStep() >= c.step {
+		c.released(now)
 		return nil
 	}
-	return m.ask(Order{Rank: m.holder, Op: Release, Step: m.step}, now)
+	return c.issue(Order{Rank: c.holder, Op: Release, Step: c.step}, now)
 }
 
-func (m *Coordinator) onRelease(o Order, now time.Duration) {
-	if m.phase == Releasing && o.Step == m.step {
-		m.released(now)
+func (c *Coordinator) onRelease(o Order, now time.Duration) {
+	if c.phase == Releasing && o.Step == c.step {
+		c.released(now)
 	}
 }
 
-func (m *Coordinator) released(now time.Duration) {
-	if m.version == 0 {
-		m.pause(now)
-		m.enter(Idle, now, "the change was undone")
+func (c *Coordinator) released(now time.Duration) {
+	if c.version == 0 {
+		c.backOff(now)
+		c.enter(Idle, now, "the change was undone")
 		return
 	}
-	m.enter(Settling, now, "the step was released")
+	c.enter(Settling, now, "the step was released")
 }
 
-// settle waits until every rank has the armed map in use.
-func (m *Coordinator) settle(now time.Duration) {
-	for i := range m.ranks {
-		if m.ranks[i].report.Version != m.version {
-			m.permitWhileArmed()
-			m.superseded(now)
+// settle waits until every rank uses the armed map.
+func (c *Coordinator) settle(now time.Duration) {
+	for i := range c.ranks {
+		if c.ranks[i].report.Version != c.version {
+			c.allowReleaseWhileArmed()
+			c.restartIfSuperseded(now)
 			return
 		}
 	}
-	if m.target != nil {
-		m.current[m.version] = m.target
+	if c.target != nil {
+		c.contents[c.version] = c.target
 	}
-	m.undone = 0
-	m.enter(Idle, now, "the map is in use")
+	c.undoneInARow = 0
+	c.enter(Idle, now, "every rank uses the new map")
 }
 
-// permitWhileArmed lets holds of other coordinators be released. As every rank is
-// armed with one version, none takes another map into use before that.
-func (m *Coordinator) permitWhileArmed() {
-	for i := range m.ranks {
-		if r := &m.ranks[i].report; r.Held != 0 && r.Armed == m.version {
-			m.decided[hold{i, r.Held}] = true
+// allowReleaseWhileArmed permits releasing the holds of other coordinators. While every
+// rank is armed with one version, none can switch to another map first.
+func (c *Coordinator) allowReleaseWhileArmed() {
+	for i := range c.ranks {
+		if r := &c.ranks[i].report; r.Held != 0 && r.Armed == c.version {
+			c.releasable[heldStep{i, r.Held}] = true
 		}
 	}
 }
 
-// superseded starts anew if another coordinator changed the map after this one.
-func (m *Coordinator) superseded(now time.Duration) {
-	if m.lastStep() <= m.step+1 {
+// restartIfSuperseded returns to Learning if another coordinator changed the map afterwards.
+func (c *Coordinator) restartIfSuperseded(now time.Duration) {
+	if c.lastStep() <= c.step+1 {
 		return
 	}
-	for i := range m.ranks {
-		if r := &m.ranks[i].report; r.Version != m.ranks[0].report.Version || r.Armed != 0 {
+	for i := range c.ranks {
+		if r := &c.ranks[i].report; r.Version != c.ranks[0].report.Version || r.Armed != 0 {
 			return
 		}
 	}
-	m.version, m.target = 0, nil
-	m.enter(Learning, now, "another map is in use")
+	c.version, c.target = 0, nil
+	c.enter(Learning, now, "another coordinator changed the map")
 }
 
-// releaseDecided ends the holds that nobody needs any more, among them those
-// that were carried out late.
-func (m *Coordinator) releaseDecided(now time.Duration) []Order {
-	if m.phase == Releasing {
+// releaseAllowed releases the holds that are no longer needed, including those that were
+// carried out late.
+func (c *Coordinator) releaseAllowed(now time.Duration) []Order {
+	if c.phase == Releasing {
 		return nil
 	}
 	var out []Order
-	for i := range m.ranks {
-		r := &m.ranks[i].report
-		if r.Held != 0 && m.decided[hold{i, r.Held}] && r.Step < r.Held {
-			out = append(out, m.ask(Order{Rank: i, Op: Release, Step: r.Held}, now)...)
+	for i := range c.ranks {
+		r := &c.ranks[i].report
+		if r.Held != 0 && c.releasable[heldStep{i, r.Held}] && r.Step < r.Held {
+			out = append(out, c.issue(Order{Rank: i, Op: Release, Step: r.Held}, now)...)
 		}
 	}
 	return out
--- a/balance/mapswitch/explore_test.go
+++ b/balance/mapswitch/explore_test.go
@@ -14,10 +14,10 @@
 
 var schedules = flag.Int("schedules", 2000, "number of schedules to explore")
 
-const actions = 3000
+const actionsPerSchedule = 3000
 
-// TestSchedules explores lost, late and repeated orders, stale reports, paused
-// and replaced coordinators and groups that form anew. The full exploration:
+// TestSchedules checks random schedules of lost, late and repeated orders, stale
+// reports, paused and replaced coordinators and restarted groups. The full run:
 //
 //	go test ./balance/mapswitch -run TestSchedules -schedules 100000
 func TestSchedules(t *testing.T) {
@@ -42,26 +42,26 @@
 	assert.Assert(t, switches.Load() > 0 && undone.Load() > 0)
 }
 
-// freeBound is the time in which a group is free once a coordinator works without faults.
-const freeBound = time.Second
+// maxRecoveryTime bounds how long a group stays held once a coordinator works without faults.
+const maxRecoveryTime = time.Second
 
-// explore plays a schedule, and then lets the newest coordinator finish.
+// explore runs a random schedule, and then lets the newest coordinator finish.
 func (w *world) explore() error {
-	for range actions {
+	for range actionsPerSchedule {
 		if err := w.act(); err != nil {
 			return err
 		}
 	}
 	began := w.now
-	free, err := w.settle()
-	if err == nil && free-began >= freeBound {
-		err = fmt.Errorf("the group was free after %v", free-began)
+	freeAt, err := w.settle()
+	if err == nil && freeAt-began >= maxRecoveryTime {
+		err = fmt.Errorf("the group was released after %v", freeAt-began)
 	}
 	return err
 }
 
-// regressions are the seeds at which earlier versions of the machine and of this
-// model began a pass with two maps or left a group held, with what was wrong.
+// regressions are the seeds at which earlier versions of the protocol or of this
+// model began a step with two maps or left a group held, with the cause.
 var regressions = []struct {
 	seed  uint64
 	cause string
@@ -71,7 +71,7 @@
 	{7035, "a deposed coordinator released the step of its successor at the same rank"},
 	{6900, "a coordinator disarmed a version that its fences do not cover"},
 	{13260, "the hold of a deposed coordinator blocked a change that was armed everywhere"},
-	{4266, "a machine that started anew permitted holds while nothing was armed"},
+	{4266, "a coordinator that restarted permitted holds while nothing was armed"},
 	{30348, "an undone change that had armed no rank released the step of a successor"},
 	{11826, "a deposed coordinator whose fences were answered late released the step of its successor"},
 }
@@ -79,7 +79,7 @@
 func TestRegressions(t *testing.T) {
 	for _, r := range regressions {
 		w := newWorld(r.seed, 2+int(r.seed)%3)
-		for range actions {
+		for range actionsPerSchedule {
 			assert.NilError(t, w.act(), "seed %d: %s", r.seed, r.cause)
 		}
 		_, err := w.settle()
@@ -87,14 +87,14 @@
 	}
 }
 
-// TestSlowAnswersKeepNoGroup names the pattern "answers were slow and are not any more": what was
-// learned from them must not keep a group held. The seed is one at which it did for 1.09 s.
-func TestSlowAnswersKeepNoGroup(t *testing.T) {
+// TestSlowAnswersDoNotKeepGroupHeld guards against round-trip estimates that stay high after
+// slow answers and then keep a group held. At this seed it was held for 1.09 s.
+func TestSlowAnswersDoNotKeepGroupHeld(t *testing.T) {
 	const seed = 3350
 	assert.NilError(t, newWorld(seed, 2+seed%3).explore())
 }
 
-// TestMutantsAreCaught shows that the model finds faults of the protocol.
+// TestMutantsAreCaught checks that the model detects faults of the protocol.
 func TestMutantsAreCaught(t *testing.T) {
 	mutants := []struct {
 		name   string
@@ -111,14 +111,14 @@
 				m.ranks[i].armed = m.ranks[i].armed || 2*armed > len(m.ranks)
 			}
 		}},
-		{"any fence counts", func(m *Coordinator) {
+		{"any fence counts, whatever its version", func(m *Coordinator) {
 			for i := range m.ranks {
 				if m.ranks[i].fence != 0 {
 					m.ranks[i].fence = 1 << 60
 				}
 			}
 		}},
-		{"ranks are disarmed before a fence took", func(m *Coordinator) {
+		{"ranks are disarmed before a fence was accepted", func(m *Coordinator) {
 			if m.phase == Deciding {
 				m.ranks[0].fence = 1 << 60
 			}
@@ -130,12 +130,12 @@
 				}
 			}
 		}},
-		{"ranks that were asked to be armed need no fence", func(m *Coordinator) {
+		{"ranks that were sent an arm order need no fence", func(m *Coordinator) {
 			for i := range m.ranks {
-				m.ranks[i].asked = false
+				m.ranks[i].armSent = false
 			}
 		}},
-		{"holds are taken for granted", func(m *Coordinator) {
+		{"a hold counts without an answer", func(m *Coordinator) {
 			if m.phase == Holding {
 				m.enter(Arming, 0, "mutant")
 			}
@@ -146,7 +146,7 @@
 			for seed := range 20_000 {
 				w := newWorld(uint64(seed), 2+seed%3)
 				w.mutate = mutant.mutate
-				for range actions {
+				for range actionsPerSchedule {
 					if err := w.act(); err != nil {
 						t.Logf("caught at seed %d: %v", seed, err)
 						return
--- a/balance/mapswitch/far_test.go
+++ b/balance/mapswitch/far_test.go
@@ -7,143 +7,142 @@
 	"gotest.tools/v3/assert"
 )
 
-// farWorld is a group that a coordinator reaches over a long way. Ranks[i] is reached
-// in half of trips[i].
-type farWorld struct {
+// remoteWorld is a group that a coordinator reaches with given round-trip times, by rank.
+type remoteWorld struct {
 	*world
-	trips   []time.Duration
-	arrives []arrival
-	// held is the time for which passes waited, longest the longest such time.
-	held, longest time.Duration
-	made          int
+	rtts       []time.Duration
+	deliveries []delivery
+	// waited is the total time for which steps were held back, longestWait the longest wait.
+	waited, longestWait time.Duration
+	changes             int
 }
 
-// arrival is something that arrives at a time.
-type arrival struct {
-	at     time.Duration
-	happen func()
+// delivery is a message that arrives at a time.
+type delivery struct {
+	at      time.Duration
+	deliver func()
 }
 
-func newFarWorld(trips ...time.Duration) *farWorld {
-	w := newWorld(0, len(trips))
+func newRemoteWorld(rtts ...time.Duration) *remoteWorld {
+	w := newWorld(0, len(rtts))
 	w.faults = false
-	w.coords[0] = New(Config{Ranks: len(trips)}, 1)
-	return &farWorld{world: w, trips: trips}
+	w.coordinators[0] = New(Config{Ranks: len(rtts)}, 1)
+	return &remoteWorld{world: w, rtts: rtts}
 }
 
-func (w *farWorld) after(d time.Duration, happen func()) {
-	w.arrives = append(w.arrives, arrival{w.now + d, happen})
+func (w *remoteWorld) schedule(d time.Duration, deliver func()) {
+	w.deliveries = append(w.deliveries, delivery{w.now + d, deliver})
 }
 
-// play runs passes of a length and starts a change whenever that is possible.
-func (w *farWorld) play(t *testing.T, length, pass time.Duration) {
+// run executes steps of a given length and starts a change whenever that is possible.
+func (w *remoteWorld) run(t *testing.T, length, stepTime time.Duration) {
 	t.Helper()
-	m := w.coords[0]
+	m := w.coordinators[0]
 	began := w.now
 	for end := w.now + length; w.now < end; w.now += time.Millisecond {
-		w.arrive()
+		w.deliverDue()
 		if w.now%(15*time.Millisecond) == 0 {
-			w.report()
+			w.sendReports()
 		}
 		if m.Phase() == Idle {
-			w.next++
-			m.Start(mapWith(w.next), w.now)
+			w.nextContent++
+			m.Start(mapWith(w.nextContent), w.now)
 		}
-		w.order(m.Tick(w.now))
+		w.sendOrders(m.Tick(w.now))
 		for _, e := range m.Events() {
 			if e.Phase == Settling {
-				w.made++
+				w.changes++
 			}
 		}
-		if w.now-began < pass {
+		if w.now-began < stepTime {
 			continue
 		}
 		ok, err := w.engine.begin()
 		assert.NilError(t, err)
 		if !ok {
-			w.held += time.Millisecond
-			w.longest = max(w.longest, w.now-began-pass)
+			w.waited += time.Millisecond
+			w.longestWait = max(w.longestWait, w.now-began-stepTime)
 			continue
 		}
 		began = w.now
 	}
 }
 
-func (w *farWorld) arrive() {
-	kept := w.arrives[:0]
-	var due []arrival
-	for _, a := range w.arrives {
+func (w *remoteWorld) deliverDue() {
+	kept := w.deliveries[:0]
+	var due []delivery
+	for _, a := range w.deliveries {
 		if a.at <= w.now {
 			due = append(due, a)
 		} else {
 			kept = append(kept, a)
 		}
 	}
-	w.arrives = kept
+	w.deliveries = kept
 	for _, a := range due {
-		a.happen()
+		a.deliver()
 	}
 }
 
-func (w *farWorld) report() {
+func (w *remoteWorld) sendReports() {
 	for i := range w.engine.ranks {
 		r, c := w.engine.report(i), w.engine.ranks[i].content
-		w.after(w.trips[i]/2, func() {
-			w.coords[0].Report(r, w.now)
-			w.coords[0].SetContent(r.Epoch, r.Version, mapWith(c))
+		w.schedule(w.rtts[i]/2, func() {
+			w.coordinators[0].Report(r, w.now)
+			w.coordinators[0].SetContent(r.Epoch, r.Version, mapWith(c))
 		})
 	}
 }
 
-func (w *farWorld) order(orders []Order) {
+func (w *remoteWorld) sendOrders(orders []Order) {
 	for _, o := range orders {
-		half := w.trips[o.Via] / 2
-		w.after(half, func() {
+		half := w.rtts[o.Via] / 2
+		w.schedule(half, func() {
 			out := w.engine.apply(o)
-			w.after(half, func() { w.coords[0].Result(o.ID, out, w.now) })
+			w.schedule(half, func() { w.coordinators[0].Result(o.ID, out, w.now) })
 		})
 	}
 }
 
-// TestFarRanks names the pattern "the coordinator sits in another region": changes are
-// made, and passes hardly wait for them.
+// TestFarRanks checks that a coordinator in another region completes changes and that
+// steps hardly wait for them.
 func TestFarRanks(t *testing.T) {
 	ms := time.Millisecond
-	for name, trips := range map[string][]time.Duration{
-		"same zone":      {ms, ms, ms, ms},
-		"other zones":    {ms, 4 * ms, 4 * ms, 6 * ms},
-		"other region":   {42 * ms, 41 * ms, 44 * ms, 42 * ms},
-		"spread":         {2 * ms, 42 * ms, 4 * ms, 42 * ms},
-		"other shore":    {120 * ms, 120 * ms, 121 * ms, 125 * ms},
-		"a slow path":    {4 * ms, 4 * ms, 90 * ms, 4 * ms},
-		"as the resends": {40 * ms, 40 * ms, 40 * ms, 40 * ms},
+	for name, rtts := range map[string][]time.Duration{
+		"same zone":       {ms, ms, ms, ms},
+		"other zones":     {ms, 4 * ms, 4 * ms, 6 * ms},
+		"other region":    {42 * ms, 41 * ms, 44 * ms, 42 * ms},
+		"spread":          {2 * ms, 42 * ms, 4 * ms, 42 * ms},
+		"across an ocean": {120 * ms, 120 * ms, 121 * ms, 125 * ms},
+		"one slow path":   {4 * ms, 4 * ms, 90 * ms, 4 * ms},
+		"resend interval": {40 * ms, 40 * ms, 40 * ms, 40 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newFarWorld(trips...)
-			w.play(t, 10*time.Second, 60*ms)
-			t.Logf("%d changes, passes waited for %v in all, %v at most", w.made, w.held, w.longest)
-			assert.Assert(t, w.made >= 5, "%d changes", w.made)
-			assert.Assert(t, w.longest <= 60*ms, "a pass waited for %v", w.longest)
-			assert.Assert(t, w.held <= 300*ms, "passes waited for %v", w.held)
+			w := newRemoteWorld(rtts...)
+			w.run(t, 10*time.Second, 60*ms)
+			t.Logf("%d changes, steps waited for %v in all, %v at most", w.changes, w.waited, w.longestWait)
+			assert.Assert(t, w.changes >= 5, "%d changes", w.changes)
+			assert.Assert(t, w.longestWait <= 60*ms, "a step waited for %v", w.longestWait)
+			assert.Assert(t, w.waited <= 300*ms, "steps waited for %v", w.waited)
 		})
 	}
 }
 
-// TestUndoneChangesAreRarer: each one may have held the group, so that the next tries
-// come after growing pauses.
+// TestUndoneChangesAreRarer checks the growing backoff after undone changes, each of
+// which may have held the group.
 func TestUndoneChangesAreRarer(t *testing.T) {
-	w := newFarWorld(time.Millisecond, time.Millisecond, time.Millisecond)
-	m := w.coords[0]
+	w := newRemoteWorld(time.Millisecond, time.Millisecond, time.Millisecond)
+	m := w.coordinators[0]
 	undone := 0
 	for end := 20 * time.Second; w.now < end; w.now += time.Millisecond {
-		w.arrive()
-		w.report()
+		w.deliverDue()
+		w.sendReports()
 		if m.Phase() == Idle {
 			m.Start(mapWith(1), w.now)
 		}
 		for _, o := range m.Tick(w.now) {
-			if o.Op != Ping { // No relay answers after a hold.
-				w.order([]Order{o})
+			if o.Op != Ping { // No relay answers a ping after a hold.
+				w.sendOrders([]Order{o})
 			}
 		}
 		for _, e := range m.Events() {
@@ -159,21 +158,21 @@
 	assert.Assert(t, undone >= 2 && undone <= 7, "%d changes were undone in 20 s", undone)
 }
 
-// TestBurstsOfReportsAreNoShortPasses names the pattern "an entry without processor time":
-// reports that waited are handled together, and the step of a change must not move away for it.
-func TestBurstsOfReportsAreNoShortPasses(t *testing.T) {
-	const pass, burst = 30 * time.Millisecond, 5
+// TestReportBurstsKeepStepTime guards against taking delayed reports for short steps, which
+// would postpone changes: an entry short of processor time handles reports in bursts.
+func TestReportBurstsKeepStepTime(t *testing.T) {
+	const stepTime, burst = 30 * time.Millisecond, 5
 	m := New(Config{Ranks: 2}, 1)
 	var step uint64
-	for now := time.Duration(0); now < 3*time.Second; now += burst * pass {
+	for now := time.Duration(0); now < 3*time.Second; now += burst * stepTime {
 		for range burst {
 			step++
 			for r := range 2 {
 				m.Report(Report{Rank: r, Epoch: 1, Open: true, Step: step}, now)
-				m.ranks[r].trip = 4 * time.Millisecond
+				m.ranks[r].rtt = 4 * time.Millisecond
 			}
 		}
-		assert.Assert(t, m.lead() <= 3, "after %v the lead is %d", now, m.lead())
+		assert.Assert(t, m.leadSteps() <= 3, "after %v the lead is %d", now, m.leadSteps())
 	}
-	assert.Assert(t, m.pass > pass/2 && m.pass < 2*pass, "a pass takes %v", m.pass)
+	assert.Assert(t, m.stepTime > stepTime/2 && m.stepTime < 2*stepTime, "a step takes %v", m.stepTime)
 }
--- a/balance/mapswitch/model_test.go
+++ b/balance/mapswitch/model_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// engineRank is a rank as the platform's pages and a trial describe it.
+// engineRank models a rank as the platform's documentation and trials describe it.
 type engineRank struct {
 	version, content uint64
 	prepared         uint64
@@ -17,7 +17,7 @@
 	held             uint64
 }
 
-// engine is a group of ranks that run in lock-step.
+// engine models a group of ranks that run in lock-step.
 type engine struct {
 	epoch uint64
 	step  uint64
@@ -26,7 +26,7 @@
 
 func newEngine(n int) *engine { return &engine{epoch: 1, ranks: make([]engineRank, n)} }
 
-// content identifies what a map holds.
+// content returns the number that identifies a map of mapWith.
 func content(m Map) uint64 { return uint64(m[0][0][0]) }
 
 func mapWith(c uint64) Map { return Map{{{int(c)}}} }
@@ -73,7 +73,7 @@
 	return Done
 }
 
-// begin begins the next step unless a rank holds it. The error reports two maps.
+// begin begins the next step unless a rank holds it. It fails if ranks have different maps.
 func (e *engine) begin() (bool, error) {
 	next := e.step + 1
 	for _, r := range e.ranks {
@@ -111,121 +111,121 @@
 	}
 }
 
-// flight is an order or a report on its way.
-type flight struct {
-	from    int // coordinator
-	order   *Order
-	silent  bool // the order's answer is lost
-	outcome *Outcome
-	orderID uint64
-	report  *Report
-	// contentOf is the content of the report's version.
-	contentOf uint64
+// message is an order, result or report in flight.
+type message struct {
+	from       int // coordinator
+	order      *Order
+	answerLost bool // the result of the order is lost
+	outcome    *Outcome
+	orderID    uint64
+	report     *Report
+	// mapContent is the content of the report's version.
+	mapContent uint64
 }
 
-// world is a group, its coordinators and the network between them.
+// world models a group, its coordinators and the network between them.
 type world struct {
-	rng    *rand.Rand
-	engine *engine
-	now    time.Duration
-	coords []*Coordinator
-	paused []bool
-	flight []flight
-	late   []flight
-	next   uint64 // content of the next map
-	faults bool
-	// harm is the part of the orders, of 16, that something happens to.
-	harm int
-	// pingLimit varies, so that changes are undone for a silent relay in some worlds.
-	pingLimit time.Duration
+	rng          *rand.Rand
+	engine       *engine
+	now          time.Duration
+	coordinators []*Coordinator
+	paused       []bool
+	inFlight     []message
+	delayed      []message
+	nextContent  uint64 // content of the next map
+	faults       bool
+	// faultRate is the number of orders out of 16 that are lost, delayed or repeated.
+	faultRate int
+	// pingTimeout varies, so that in some worlds changes are undone for lack of an answer.
+	pingTimeout time.Duration
 
 	switches, undone int
 
 	trace func(format string, args ...any)
-	// mutate changes a machine before each tick, for tests of the checker.
+	// mutate injects a fault into a coordinator before each tick.
 	mutate func(*Coordinator)
 }
 
 func newWorld(seed uint64, ranks int) *world {
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 1)), engine: newEngine(ranks), faults: true,
-		harm: int(seed % 9), pingLimit: time.Duration(1+seed%4) * 100 * time.Millisecond, trace: func(string, ...any) {}, mutate: func(*Coordinator) {},
+		faultRate: int(seed % 9), pingTimeout: time.Duration(1+seed%4) * 100 * time.Millisecond, trace: func(string, ...any) {}, mutate: func(*Coordinator) {},
 	}
 	w.addCoordinator()
 	return w
 }
 
 func (w *world) addCoordinator() {
-	w.coords = append(w.coords, New(Config{Ranks: len(w.engine.ranks), PingTimeout: w.pingLimit}, uint64(len(w.coords)+1)))
+	w.coordinators = append(w.coordinators, New(Config{Ranks: len(w.engine.ranks), PingTimeout: w.pingTimeout}, uint64(len(w.coordinators)+1)))
 	w.paused = append(w.paused, false)
 }
 
 func (w *world) send(c int, orders []Order) {
 	for _, o := range orders {
-		f := flight{from: c, order: &o}
-		if w.faults && w.rng.IntN(16) < w.harm {
+		f := message{from: c, order: &o}
+		if w.faults && w.rng.IntN(16) < w.faultRate {
 			switch w.rng.IntN(6) {
 			case 0:
 				continue // lost
 			case 1, 2, 3:
-				f.silent = true
-				w.late = append(w.late, f)
+				f.answerLost = true
+				w.delayed = append(w.delayed, f)
 				continue
 			case 4:
-				f.silent = true
+				f.answerLost = true
 			case 5: // carried out twice
-				w.late = append(w.late, flight{from: c, order: &o, silent: true})
+				w.delayed = append(w.delayed, message{from: c, order: &o, answerLost: true})
 			}
 		}
-		w.flight = append(w.flight, f)
+		w.inFlight = append(w.inFlight, f)
 	}
 }
 
-func (w *world) deliver(f flight) {
+func (w *world) deliver(f message) {
 	switch {
 	case f.order != nil:
 		out := w.engine.apply(*f.order)
-		w.trace("c%d rank %d %v version %d step %d -> %v silent %v", f.from, f.order.Rank, f.order.Op, f.order.Version, f.order.Step, out, f.silent)
-		if !f.silent {
-			w.flight = append(w.flight, flight{from: f.from, outcome: &out, orderID: f.order.ID})
+		w.trace("c%d rank %d %v version %d step %d -> %v, answer lost %v", f.from, f.order.Rank, f.order.Op, f.order.Version, f.order.Step, out, f.answerLost)
+		if !f.answerLost {
+			w.inFlight = append(w.inFlight, message{from: f.from, outcome: &out, orderID: f.order.ID})
 		}
 	case f.outcome != nil:
-		w.coords[f.from].Result(f.orderID, *f.outcome, w.now)
+		w.coordinators[f.from].Result(f.orderID, *f.outcome, w.now)
 	case f.report != nil:
-		m := w.coords[f.from]
+		m := w.coordinators[f.from]
 		m.Report(*f.report, w.now)
 		w.trace("c%d sees %+v", f.from, *f.report)
-		m.SetContent(f.report.Epoch, f.report.Version, mapWith(f.contentOf))
+		m.SetContent(f.report.Epoch, f.report.Version, mapWith(f.mapContent))
 	}
 }
 
-// deliverAny delivers one message. Reports of a rank stay in their order.
+// deliverAny delivers a random message. Reports of a rank stay in order.
 func (w *world) deliverAny() {
-	if len(w.flight) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.flight))
-	if f := w.flight[i]; f.report != nil {
+	i := w.rng.IntN(len(w.inFlight))
+	if f := w.inFlight[i]; f.report != nil {
 		for j := range i {
-			if g := w.flight[j]; g.report != nil && g.from == f.from && g.report.Rank == f.report.Rank {
+			if g := w.inFlight[j]; g.report != nil && g.from == f.from && g.report.Rank == f.report.Rank {
 				i = j
 				break
 			}
 		}
 	}
-	f := w.flight[i]
-	w.flight = slices.Delete(w.flight, i, i+1)
+	f := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	if w.paused[f.from] && f.order == nil {
-		w.late = append(w.late, f) // It waits in the paused process.
+		w.delayed = append(w.delayed, f) // Queued in the paused process.
 		return
 	}
 	w.deliver(f)
 }
 
-func (w *world) look(rank int) {
-	for c := range w.coords {
+func (w *world) sendReport(rank int) {
+	for c := range w.coordinators {
 		r := w.engine.report(rank)
-		w.flight = append(w.flight, flight{from: c, report: &r, contentOf: w.engine.ranks[rank].content})
+		w.inFlight = append(w.inFlight, message{from: c, report: &r, mapContent: w.engine.ranks[rank].content})
 	}
 }
 
@@ -233,10 +233,10 @@
 	if w.paused[c] {
 		return
 	}
-	m := w.coords[c]
+	m := w.coordinators[c]
 	if m.Phase() == Idle && w.rng.IntN(4) == 0 {
-		w.next++
-		m.Start(mapWith(w.next), w.now)
+		w.nextContent++
+		m.Start(mapWith(w.nextContent), w.now)
 	}
 	w.mutate(m)
 	w.send(c, m.Tick(w.now))
@@ -251,34 +251,34 @@
 	}
 }
 
-// act does one thing at random.
+// act performs one random action.
 func (w *world) act() error {
 	w.now += time.Duration(w.rng.IntN(10)) * time.Millisecond
 	switch n := w.rng.IntN(100); {
 	case n < 50:
 		w.deliverAny()
 	case n < 75:
-		w.tick(w.rng.IntN(len(w.coords)))
+		w.tick(w.rng.IntN(len(w.coordinators)))
 	case n < 86:
-		w.look(w.rng.IntN(len(w.engine.ranks)))
+		w.sendReport(w.rng.IntN(len(w.engine.ranks)))
 	case n < 92:
 		began, err := w.engine.begin()
 		w.trace("step %d began %v", w.engine.step, began)
 		return err
 	case n < 96:
-		if len(w.late) > 0 {
-			i := w.rng.IntN(len(w.late))
-			f := w.late[i]
+		if len(w.delayed) > 0 {
+			i := w.rng.IntN(len(w.delayed))
+			f := w.delayed[i]
 			if f.order != nil || !w.paused[f.from] {
-				w.late = slices.Delete(w.late, i, i+1)
+				w.delayed = slices.Delete(w.delayed, i, i+1)
 				w.deliver(f)
 			}
 		}
 	case n < 97 && w.rng.IntN(3) == 0:
-		c := w.rng.IntN(len(w.coords))
+		c := w.rng.IntN(len(w.coordinators))
 		w.paused[c] = !w.paused[c]
 	case n < 98 && w.rng.IntN(4) == 0:
-		if len(w.coords) < 3 {
+		if len(w.coordinators) < 3 {
 			w.addCoordinator()
 		}
 	case n < 99 && w.rng.IntN(10) == 0:
@@ -287,12 +287,12 @@
 	return nil
 }
 
-// settle lets the newest coordinator work without faults and returns the time
-// until the group holds no step and a change was made.
+// settle lets the newest coordinator work without faults and returns the time at
+// which it is idle and a step began.
 func (w *world) settle() (time.Duration, error) {
 	w.faults = false
-	w.flight, w.late = nil, nil
-	newest := len(w.coords) - 1
+	w.inFlight, w.delayed = nil, nil
+	newest := len(w.coordinators) - 1
 	for i := range w.paused {
 		w.paused[i] = i != newest
 	}
@@ -300,10 +300,10 @@
 	for w.now-began < 5*time.Second {
 		w.now += time.Millisecond
 		for r := range w.engine.ranks {
-			w.look(r)
+			w.sendReport(r)
 		}
 		w.tick(newest)
-		for len(w.flight) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliverAny()
 		}
 		if w.rng.IntN(5) == 0 {
@@ -311,11 +311,11 @@
 			if err != nil {
 				return 0, err
 			}
-			if began && w.coords[newest].Phase() == Idle {
+			if began && w.coordinators[newest].Phase() == Idle {
 				return w.now, nil
 			}
 		}
-		w.late = nil
+		w.delayed = nil
 	}
-	return 0, fmt.Errorf("group not free after 5 s: coordinator is %v, ranks %+v", w.coords[newest].Phase(), w.engine.ranks)
+	return 0, fmt.Errorf("group still held or changing after 5 s: coordinator is %v, ranks %+v", w.coordinators[newest].Phase(), w.engine.ranks)
 }
--- a/balance/mapswitch/timing.go
+++ b/balance/mapswitch/timing.go
@@ -3,94 +3,94 @@
 import "time"
 
 const (
-	// maxTrip bounds the time of an answer that is learned from, well above the way
-	// between two regions and back.
-	maxTrip = 500 * time.Millisecond
-	// tripWeight is the part of a longer answer that counts, so that a host which
-	// stalls once hardly changes the estimate.
-	tripWeight = 4
-	// resendTrips is the number of trips after which an order is sent again.
-	resendTrips = 2
-	// maxResend bounds the time after which an order is sent again: two trips of 125 ms,
-	// and a fifth to spare.
-	maxResend = 300 * time.Millisecond
-	// holdTrips is the number of trips for which a step may be held: a ping, an arm
-	// that is sent twice, and one to spare.
-	holdTrips = 5
-	// leadTrips is the number of trips from the last report of a step until all ranks
-	// are armed: that of the report, hold, ping and arm.
-	leadTrips = 4
-	// maxLead bounds the steps between the last one and that of a change: enough for
-	// trips of 125 ms and passes of 60 ms.
-	maxLead = 12
-	// passWindow is the least time over which passes are counted, several short ones.
-	passWindow = 200 * time.Millisecond
+	// maxRTT bounds the round-trip times that enter the estimate, well above those
+	// between two regions.
+	maxRTT = 500 * time.Millisecond
+	// rttGrowthDivisor divides the increase of the estimate by a slower answer, so that
+	// a host which stalls once hardly changes it.
+	rttGrowthDivisor = 4
+	// resendRTTs is the number of round trips after which an order is sent again.
+	resendRTTs = 2
+	// maxResendInterval bounds the time after which an order is sent again: two round
+	// trips of 125 ms, and a fifth to spare.
+	maxResendInterval = 300 * time.Millisecond
+	// holdRTTs is the number of round trips for which a step may be held: one for a ping,
+	// two for an arm order that is sent twice, and one to spare.
+	holdRTTs = 5
+	// leadRTTs is the number of round trips from the last report of a step until all
+	// ranks are armed: report, hold, ping and arm.
+	leadRTTs = 4
+	// maxLeadSteps bounds the steps between the last one and that of a change: enough for
+	// round trips of 125 ms and steps of 60 ms.
+	maxLeadSteps = 12
+	// stepTimeWindow is the least time over which the step time is averaged, several short steps.
+	stepTimeWindow = 200 * time.Millisecond
 	// firstWindowDivisor shortens the first window, as the first change comes soon.
 	firstWindowDivisor = 4
-	// minPause and maxPause bound the pause after a change that was undone. Undoing
-	// takes about as long as minPause and may hold the group meanwhile.
-	minPause = 250 * time.Millisecond
-	maxPause = 8 * time.Second
+	// minBackoff and maxBackoff bound the backoff after a change that was undone. Undoing
+	// takes about as long as minBackoff and may hold the group meanwhile.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
 )
 
-// noteTrip learns how long an answer took.
-func (k *rank) noteTrip(took time.Duration) {
+// recordRTT updates the estimate: it drops to a faster answer at once and rises slowly.
+func (k *rank) recordRTT(took time.Duration) {
 	switch {
-	case took > maxTrip:
-	case k.trip == 0 || took < k.trip:
-		k.trip = took
+	case took > maxRTT:
+	case k.rtt == 0 || took < k.rtt:
+		k.rtt = took
 	default:
-		k.trip += (took - k.trip) / tripWeight
+		k.rtt += (took - k.rtt) / rttGrowthDivisor
 	}
 }
 
-// resend returns the time after which an order is sent again.
-func (m *Coordinator) resend(o Order) time.Duration {
-	trips := resendTrips * max(m.ranks[o.Rank].trip, m.ranks[o.Via].trip)
-	return max(m.cfg.ResendInterval, min(trips, maxResend))
+// resendInterval returns the time after which an unanswered order is sent again.
+func (c *Coordinator) resendInterval(o Order) time.Duration {
+	trips := resendRTTs * max(c.ranks[o.Rank].rtt, c.ranks[o.Via].rtt)
+	return max(c.cfg.ResendInterval, min(trips, maxResendInterval))
 }
 
-// longestTrip returns the trip to the rank that is farthest away.
-func (m *Coordinator) longestTrip() time.Duration {
+// longestRTT returns the largest estimate over all ranks.
+func (c *Coordinator) longestRTT() time.Duration {
 	var t time.Duration
-	for i := range m.ranks {
-		t = max(t, m.ranks[i].trip)
+	for i := range c.ranks {
+		t = max(t, c.ranks[i].rtt)
 	}
 	return t
 }
 
-// notePass learns from a report how long a pass takes. Reports may wait and be handled
-// together, so that only a while of them tells.
-func (m *Coordinator) notePass(step uint64, now time.Duration) {
-	if step <= m.lastStep() {
+// recordStepTime updates the estimated step time from a report. It averages over a
+// window because delayed reports are processed in bursts.
+func (c *Coordinator) recordStepTime(step uint64, now time.Duration) {
+	if step <= c.lastStep() {
 		return
 	}
-	steps, took := step-m.countedStep, now-m.countedAt
-	window := passWindow
-	if m.pass == 0 {
+	steps, took := step-c.windowStep, now-c.windowStart
+	window := stepTimeWindow
+	if c.stepTime == 0 {
 		window /= firstWindowDivisor
 	}
-	if m.countedStep != 0 && took < window {
+	if c.windowStep != 0 && took < window {
 		return
 	}
-	if m.countedStep != 0 {
-		m.pass = took / time.Duration(steps)
+	if c.windowStep != 0 {
+		c.stepTime = took / time.Duration(steps)
 	}
-	m.countedStep, m.countedAt = step, now
+	c.windowStep, c.windowStart = step, now
 }
 
-// lead returns the number of steps between the last one begun and that of a change,
-// so that all ranks are armed before it comes.
-func (m *Coordinator) lead() uint64 {
-	if m.pass <= 0 {
-		return m.cfg.LeadSteps
+// leadSteps returns the number of steps between the last one begun and that of a
+// change, so that all ranks are armed before it comes.
+func (c *Coordinator) leadSteps() uint64 {
+	if c.stepTime <= 0 {
+		return c.cfg.LeadSteps
 	}
-	need := m.cfg.PingDelay + leadTrips*m.longestTrip()
-	return min(max(m.cfg.LeadSteps, uint64((need+m.pass-1)/m.pass)+1), max(maxLead, m.cfg.LeadSteps))
+	need := c.cfg.PingDelay + leadRTTs*c.longestRTT()
+	return min(max(c.cfg.LeadSteps, uint64((need+c.stepTime-1)/c.stepTime)+1), max(maxLeadSteps, c.cfg.LeadSteps))
 }
 
-// pause keeps changes from being started for a while after one that was undone.
-func (m *Coordinator) pause(now time.Duration) {
-	m.pausedUntil = now + min(minPause<<min(m.undone, 16), maxPause)
-	m.undone++
+// backOff delays the next change exponentially after one that was undone.
+func (c *Coordinator) backOff(now time.Duration) {
+	c.backoffUntil = now + min(minBackoff<<min(c.undoneInARow, 16), maxBackoff)
+	c.undoneInARow++
 }
--- a/balance/mapswitch/trace_test.go
+++ b/balance/mapswitch/trace_test.go
@@ -8,7 +8,7 @@
 
 var traceSeed = flag.Int64("trace-seed", -1, "seed of a schedule to print")
 
-// TestTrace prints a schedule for whoever looks into a failure.
+// TestTrace prints a schedule, for debugging.
 func TestTrace(t *testing.T) {
 	if *traceSeed < 0 {
 		return
@@ -17,7 +17,7 @@
 	w.trace = func(format string, args ...any) {
 		fmt.Printf("%6d %s\n", w.now.Milliseconds(), fmt.Sprintf(format, args...))
 	}
-	for range actions {
+	for range actionsPerSchedule {
 		if err := w.act(); err != nil {
 			t.Fatal(err)
 		}
