--- a/balance/limit/fleet_test.go
+++ b/balance/limit/fleet_test.go
@@ -16,7 +16,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// clock runs at a rate of its own.
+// clock is a clock with an offset and a drift.
 type clock struct {
 	offset time.Duration
 	rate   float64
@@ -33,7 +33,7 @@
 	share *Share
 }
 
-// zoneNode is the holder of a zone's duty.
+// zoneNode runs the allocator of a zone.
 type zoneNode struct {
 	clock
 	name    string
@@ -41,19 +41,19 @@
 	entries []*entryNode
 }
 
-// rootNode is the holder of the duty for all zones.
+// rootNode runs the root allocator.
 type rootNode struct {
 	clock
-	divider *Allocator[string]
-	until   time.Duration
+	allocator *Allocator[string]
+	until     time.Duration
 }
 
-// message is a demand or grant under way.
+// message is a demand or grant in transit.
 type message struct {
 	deliver func(now time.Duration)
 }
 
-// fleet is a root, its zones and their entries, with messages under way.
+// fleet is a root allocator, its zones and their entries.
 type fleet struct {
 	floors     Floors
 	root       *rootNode
@@ -100,27 +100,27 @@
 	z.zone = NewZoneAllocator[string](uint64(f.names))
 }
 
-// takeOverRoot starts a new holder if the authority of the old one has ended.
+// takeOverRoot starts a new root allocator if the lease of the old one has expired.
 func (f *fleet) takeOverRoot() {
 	if f.root != nil && f.now < f.root.until {
 		return
 	}
 	f.generation++
-	f.root = &rootNode{clock: f.newClock(), divider: NewAllocator[string]()}
+	f.root = &rootNode{clock: f.newClock(), allocator: NewAllocator[string]()}
 	f.renewRoot()
 }
 
-// renewRoot extends the authority of a holder whose authority has not ended.
+// renewRoot extends the root's lease unless it has expired.
 func (f *fleet) renewRoot() {
 	if f.now > f.root.until && f.root.until > 0 {
 		return
 	}
 	f.root.until = f.now + rootLease
-	f.root.divider.SetPool(Pool{
+	f.root.allocator.SetPool(Pool{
 		Generation: f.generation,
 		Rate:       f.floors.Pool(),
-		// The holder ends earlier by its own clock, as a lease demands.
-		Until: f.root.at(f.now).Add(rootLease - rootLease/driftPart),
+		// The holder of a lease stops earlier by its own clock, to cover clock drift.
+		Until: f.root.at(f.now).Add(rootLease - rootLease/driftDivisor),
 	})
 }
 
@@ -144,7 +144,7 @@
 	zone, name, root := z.zone, z.name, f.root
 	m := zone.NextDemand(z.at(f.now))
 	f.send(message{deliver: func(now time.Duration) {
-		g, ok := root.divider.Grant(name, m, root.at(now))
+		g, ok := root.allocator.Grant(name, m, root.at(now))
 		if !ok {
 			return
 		}
@@ -156,7 +156,7 @@
 	}})
 }
 
-// zoneRate returns the sum of the rates in force in one zone.
+// zoneRate returns the sum of the rates of one zone's entries.
 func (f *fleet) zoneRate(z *zoneNode) float64 {
 	sum := 0.0
 	for _, e := range z.entries {
--- a/balance/limit/limit_test.go
+++ b/balance/limit/limit_test.go
@@ -45,7 +45,7 @@
 
 func (n *network) delay() time.Duration { return time.Duration(n.rng.Int64N(int64(n.longest))) }
 
-// deliver hands over what is due, in random order.
+// deliver delivers the messages that are due, in random order.
 func (n *network) deliver() {
 	due := n.pending
 	n.pending = nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// round lets the nodes demand at random and changes the fleet now and then.
+// round sends demands of random nodes and sometimes restarts a node or the root.
 func (n *network) round(check func()) {
 	f := n.f
 	for _, z := range f.zones {
@@ -95,9 +95,9 @@
 	check()
 }
 
-// TestSumNeverExceedsLimit runs random demands over a network that loses,
-// delays, repeats and reorders messages, while clocks drift, entries and holders
-// of duties are replaced and the authority at the root lapses.
+// TestSumNeverExceedsLimit sends random demands over a network that loses, delays,
+// repeats and reorders messages, while clocks drift, entries and zone allocators
+// restart and the lease of the root allocator expires.
 func TestSumNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &network{
@@ -123,8 +123,8 @@
 	})
 }
 
-// exchange runs rounds of demands in all zones that are not cut off, each share
-// being asked for its demand in tokens per second.
+// exchange runs rounds of demands; demand returns the load of an entry in tokens per
+// second, and zones for which cut is true cannot reach the root.
 func exchange(f *fleet, rounds int, demand func(zone, entry int) float64, cut func(zone int) bool) {
 	const period = 500 * time.Millisecond
 	for range rounds {
@@ -148,7 +148,7 @@
 	return f
 }
 
-func never(int) bool { return false }
+func noneCutOff(int) bool { return false }
 
 func TestSharesFollowDemand(t *testing.T) {
 	f := directFleet(0.2)
@@ -160,9 +160,9 @@
 			return 0
 		}
 	}
-	exchange(f, 20, inZone(0), never)
+	exchange(f, 20, inZone(0), noneCutOff)
 	assert.Assert(t, f.zoneRate(f.zones[0]) > 0.84*testLimit, "%.0f", f.zoneRate(f.zones[0]))
-	exchange(f, 20, inZone(2), never)
+	exchange(f, 20, inZone(2), noneCutOff)
 	assert.Assert(t, f.zoneRate(f.zones[2]) > 0.84*testLimit, "%.0f", f.zoneRate(f.zones[2]))
 	assert.Assert(t, f.rate() <= testLimit*(1+1e-9))
 	busy := f.zones[2].entries[1]
@@ -172,24 +172,24 @@
 // TestEvenDemandUsesLimit checks that even demand above the limit gets at least 95 % of it.
 func TestEvenDemandUsesLimit(t *testing.T) {
 	f := directFleet(0.2)
-	exchange(f, 20, func(int, int) float64 { return testLimit }, never)
+	exchange(f, 20, func(int, int) float64 { return testLimit }, noneCutOff)
 	assert.Assert(t, f.rate() > 0.95*testLimit && f.rate() <= testLimit*(1+1e-9), "%.0f", f.rate())
 }
 
 func TestCutOffZoneFallsBackToFloor(t *testing.T) {
 	f := directFleet(0.2)
 	even := func(int, int) float64 { return testLimit }
-	exchange(f, 20, even, never)
+	exchange(f, 20, even, noneCutOff)
 	exchange(f, 20, even, func(zone int) bool { return zone == 1 })
 	assert.Assert(t, math.Abs(f.zoneRate(f.zones[1])-f.floors.Zone()) < 1, "%.0f", f.zoneRate(f.zones[1]))
 	assert.Assert(t, f.rate() > 0.95*testLimit, "the other zones use what the cut-off zone lost: %.0f", f.rate())
-	exchange(f, 20, even, never)
+	exchange(f, 20, even, noneCutOff)
 	assert.Assert(t, f.zoneRate(f.zones[1]) > 0.3*testLimit, "%.0f", f.zoneRate(f.zones[1]))
 }
 
-func TestLapsedAuthorityLeavesFloors(t *testing.T) {
+func TestExpiredRootLeaseLeavesFloors(t *testing.T) {
 	f := directFleet(0.2)
-	exchange(f, 10, func(int, int) float64 { return testLimit }, never)
+	exchange(f, 10, func(int, int) float64 { return testLimit }, noneCutOff)
 	f.now += rootLease
 	for _, z := range f.zones {
 		f.demandZone(z)
@@ -197,25 +197,25 @@
 	assert.Assert(t, math.Abs(f.rate()-0.2*testLimit) < 1, "%.0f", f.rate())
 }
 
-// TestDividerCoversLeaseOfSlowClock checks that a grant is counted for as long as its node uses it.
-func TestDividerCoversLeaseOfSlowClock(t *testing.T) {
-	for _, tt := range []struct{ node, divider float64 }{{1, 1}, {0.995, 1.0049}, {1.005, 0.995}} {
-		node, divider := clock{rate: tt.node}, clock{rate: tt.divider}
+// TestAllocatorCoversLeaseOfSlowClock checks that a grant stays reserved for as long as its node uses it.
+func TestAllocatorCoversLeaseOfSlowClock(t *testing.T) {
+	for _, tt := range []struct{ node, allocator float64 }{{1, 1}, {0.995, 1.0049}, {1.005, 0.995}} {
+		node, allocator := clock{rate: tt.node}, clock{rate: tt.allocator}
 		d := NewAllocator[string]()
-		d.SetPool(Pool{Generation: 1, Rate: 100, Until: divider.at(time.Hour)})
+		d.SetPool(Pool{Generation: 1, Rate: 100, Until: allocator.at(time.Hour)})
 		var l Lease
-		g, ok := d.Grant("n", l.NextDemand(100, node.at(0)), divider.at(0))
+		g, ok := d.Grant("n", l.NextDemand(100, node.at(0)), allocator.at(0))
 		assert.Assert(t, ok)
 		assert.Assert(t, l.Apply(g, node.at(0)))
-		for at := time.Duration(0); at < 2*leaseTime; at += time.Millisecond {
-			used, counted := l.Rate(node.at(at)), d.Reserved(divider.at(at))
+		for at := time.Duration(0); at < 2*maxLeaseTime; at += time.Millisecond {
+			used, counted := l.Rate(node.at(at)), d.Reserved(allocator.at(at))
 			assert.Assert(t, used <= counted, "at %s the node uses %.0f of %.0f", at, used, counted)
 		}
-		assert.Equal(t, d.Reserved(divider.at(2*leaseTime)), 0.0)
+		assert.Equal(t, d.Reserved(allocator.at(2*maxLeaseTime)), 0.0)
 	}
 }
 
-func TestTakeFollowsRate(t *testing.T) {
+func TestConsumeIsBoundByRate(t *testing.T) {
 	now := epoch
 	s := NewShare(100, now)
 	taken := 0.0
@@ -228,7 +228,7 @@
 	assert.Assert(t, taken >= 1000 && taken <= 1120, "10 s at 100 tokens/s and the burst: %.0f", taken)
 }
 
-func TestTakeLargeRequestIsRepaid(t *testing.T) {
+func TestLargeRequestCreatesDebt(t *testing.T) {
 	s := NewShare(100, epoch)
 	_, ok := s.Consume(500, epoch)
 	assert.Assert(t, ok)
@@ -244,7 +244,7 @@
 	assert.Assert(t, ok)
 }
 
-func TestApplyRefusesVoidGrants(t *testing.T) {
+func TestApplyRejectsInvalidGrants(t *testing.T) {
 	tests := []struct {
 		name  string
 		grant Grant
@@ -253,7 +253,7 @@
 	}{
 		{"answer", Grant{Generation: 2, Seq: 2, Rate: 1, TTL: time.Second}, 0, true},
 		{"late", Grant{Generation: 2, Seq: 2, Rate: 1, TTL: time.Second}, time.Second, false},
-		{"outrun", Grant{Generation: 2, Seq: 1, Rate: 1, TTL: time.Second}, 0, false},
+		{"overtaken", Grant{Generation: 2, Seq: 1, Rate: 1, TTL: time.Second}, 0, false},
 		{"never asked for", Grant{Generation: 2, Seq: 3, Rate: 1, TTL: time.Second}, 0, false},
 		{"void generation", Grant{Generation: 1, Seq: 2, Rate: 1, TTL: time.Second}, 0, false},
 	}
--- a/balance/limit/share.go
+++ b/balance/limit/share.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// demandMemory is the time constant of the average demand.
-	demandMemory = time.Second
-	// burstTime is the time for which an unused rate is saved up.
+	// demandTimeConstant is the time constant of the average demand.
+	demandTimeConstant = time.Second
+	// burstTime sets the bucket's capacity, as the time in which it fills.
 	burstTime = time.Second
-	// minAsked is the number of tokens below which a share counts as idle in any case.
-	minAsked = 0.01
+	// minRequestedTokens is the demand up to which a share is idle even without a floor.
+	minRequestedTokens = 0.01
 )
 
-// Share enforces one team's part of its limit at one entry. It is safe for concurrent use.
+// Share enforces one team's share of its limit at one entry. It is safe for concurrent use.
 type Share struct {
-	mu     sync.Mutex
-	lease  Lease
-	floor  float64 // tokens per second
-	tokens float64 // in the bucket; negative after a request beyond the saved tokens
-	filled time.Time
-	asked  float64 // decaying sum of the tokens asked for
-	seen   time.Time
+	mu        sync.Mutex
+	lease     Lease
+	floor     float64 // tokens per second
+	tokens    float64 // in the bucket; negative after a request that exceeded it
+	filledAt  time.Time
+	requested float64 // decaying sum of the tokens of all requests
+	decayedAt time.Time
 }
 
-// NewShare returns a share with a floor in tokens per second, which holds also
-// without any answer. The bucket starts with the floor's burst.
+// NewShare returns a share with a floor in tokens per second, which needs no grant.
+// The bucket starts full.
 func NewShare(floor float64, now time.Time) *Share {
-	return &Share{floor: floor, tokens: floor * burstTime.Seconds(), filled: now, seen: now}
+	return &Share{floor: floor, tokens: floor * burstTime.Seconds(), filledAt: now, decayedAt: now}
 }
 
-// Consume takes tokens from the bucket, or returns the time after which that may
-// succeed. A request may exceed the saved tokens; the next one then waits
-// until the rate has made up for it.
+// Consume removes tokens from the bucket, or returns the time after which that may
+// succeed. A request may exceed the tokens in the bucket; later ones are then
+// refused until the bucket has refilled to above zero.
 func (s *Share) Consume(tokens float64, now time.Time) (retryAfter time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	s.asked += tokens
-	rate := s.fill(now)
+	s.requested += tokens
+	rate := s.refill(now)
 	if s.tokens > 0 {
 		s.tokens -= tokens
 		return 0, true
@@ -52,11 +52,11 @@
 	return max(time.Duration(seconds*float64(time.Second)), time.Millisecond), false
 }
 
-// Refund gives tokens back that a request did not use.
+// Refund puts back tokens that a request did not use.
 func (s *Share) Refund(tokens float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := s.fill(now)
+	rate := s.refill(now)
 	s.tokens = min(s.tokens+tokens, rate*burstTime.Seconds())
 }
 
@@ -64,31 +64,31 @@
 func (s *Share) SetFloor(floor float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fill(now)
+	s.refill(now)
 	s.floor = floor
 }
 
-// Idle reports whether the share was lately asked for no more than its floor, so
-// that no exchange is needed.
+// Idle reports whether the recent demand does not exceed the floor, so that no
+// grant is needed.
 func (s *Share) Idle(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	return s.asked <= max(s.floor*demandMemory.Seconds(), minAsked)
+	return s.requested <= max(s.floor*demandTimeConstant.Seconds(), minRequestedTokens)
 }
 
-// fill adds the tokens since the last call at the rates that were in force, and
-// returns the current rate.
-func (s *Share) fill(now time.Time) float64 {
+// refill adds the tokens since the last call at the rates valid then, and returns
+// the current rate.
+func (s *Share) refill(now time.Time) float64 {
 	granted := s.lease.rate
 	end := minTime(now, s.lease.until)
-	s.add(s.floor+granted, end.Sub(s.filled))
-	if end.After(s.filled) {
-		s.filled = end
+	s.add(s.floor+granted, end.Sub(s.filledAt))
+	if end.After(s.filledAt) {
+		s.filledAt = end
 	}
-	s.add(s.floor, now.Sub(s.filled))
-	if now.After(s.filled) {
-		s.filled = now
+	s.add(s.floor, now.Sub(s.filledAt))
+	if now.After(s.filledAt) {
+		s.filledAt = now
 	}
 	return s.floor + s.lease.Rate(now)
 }
@@ -106,32 +106,32 @@
 	return b
 }
 
-// decay ages the sum of tokens asked for.
+// decay applies the exponential decay to the demand.
 func (s *Share) decay(now time.Time) {
-	if d := now.Sub(s.seen); d > 0 {
-		s.asked *= math.Exp(-float64(d) / float64(demandMemory))
-		s.seen = now
+	if d := now.Sub(s.decayedAt); d > 0 {
+		s.requested *= math.Exp(-float64(d) / float64(demandTimeConstant))
+		s.decayedAt = now
 	}
 }
 
-// NextDemand starts an exchange with the zone's Divider. A timer calls it.
+// NextDemand returns the next demand to send to the ZoneAllocator. A timer calls it.
 func (s *Share) NextDemand(now time.Time) Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decay(now)
-	rate := s.asked / demandMemory.Seconds()
+	rate := s.requested / demandTimeConstant.Seconds()
 	return s.lease.NextDemand(max(rate-s.floor, 0), now)
 }
 
-// Apply puts a grant in force. It returns false for a grant that no longer counts.
+// Apply makes a grant the current one, or returns false as Lease.Apply does.
 func (s *Share) Apply(g Grant, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fill(now)
+	s.refill(now)
 	return s.lease.Apply(g, now)
 }
 
-// Rate returns the rate in force in tokens per second.
+// Rate returns the current rate, floor included, in tokens per second.
 func (s *Share) Rate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
