--- a/balance/admit/admit_test.go
+++ b/balance/admit/admit_test.go
@@ -82,10 +82,10 @@
 	assert.NilError(t, c.Admit(request("a", 700*time.Millisecond, later)))
 }
 
-// contend offers one request of 100 tokens of each listed team in each round of
-// 20 ms to a queue that serves one request in that time. The backlog is the
-// expected time to first token of the next request.
-func contend(c *Controller, rounds int, teams ...id.Team) map[id.Team]int {
+// offerLoad offers one request of 100 tokens per listed team in each round of 20 ms
+// to a queue that serves one request per round, and returns the accepted requests.
+// The backlog is the expected time to first token of the next request.
+func offerLoad(c *Controller, rounds int, teams ...id.Team) map[id.Team]int {
 	const serve = 20 * time.Millisecond
 	accepted := map[id.Team]int{}
 	backlog := time.Duration(0)
@@ -118,7 +118,7 @@
 			c := New(Config{Rand: rng.Float64})
 			c.SetTeams([]Team{{"greedy", 1}, {"b", 1}, {"heavy", 2}, {"idle", 5}})
 			const rounds = 3000
-			got := contend(c, rounds, tt.teams...)
+			got := offerLoad(c, rounds, tt.teams...)
 			sum := got["greedy"] + got["b"] + got["heavy"]
 			assert.Assert(t, sum >= rounds && sum <= rounds+50, "all capacity is used and no more: %v", got)
 			if got["b"] == 0 {
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestPressureOfOthersShutsNoTeamOut keeps the pressure high whatever the controller decides.
-func TestPressureOfOthersShutsNoTeamOut(t *testing.T) {
+// TestConstantPressureStarvesNoTeam keeps the pressure high whatever the controller decides.
+func TestConstantPressureStarvesNoTeam(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := New(Config{Rand: rng.Float64})
 	c.SetTeams([]Team{{"a", 1}})
@@ -145,10 +145,10 @@
 	assert.Assert(t, accepted > 0)
 }
 
-func TestShareRefusalNamesRetryTime(t *testing.T) {
+func TestShareRefusalHasRetryAfter(t *testing.T) {
 	c := New(Config{Rand: func() float64 { return 0.999 }})
 	c.SetTeams([]Team{{"greedy", 1}, {"b", 1}})
-	contend(c, 300, "greedy", "greedy", "greedy", "b")
+	offerLoad(c, 300, "greedy", "greedy", "greedy", "b")
 	now := epoch.Add(300 * 20 * time.Millisecond)
 	got := refused(t, c.Admit(request("greedy", 800*time.Millisecond, now)))
 	assert.Equal(t, got.Reason, ReasonOverShare)
@@ -157,7 +157,7 @@
 
 func TestIdleTeamsDoNotCount(t *testing.T) {
 	c := controller(Team{"a", 1}, Team{"b", 9})
-	contend(c, 10, "a", "b")
+	offerLoad(c, 10, "a", "b")
 	assert.Equal(t, c.activeWeight, 10.0)
 	later := epoch.Add(time.Minute)
 	assert.NilError(t, c.Admit(request("a", 0, later)))
@@ -167,7 +167,7 @@
 
 func TestSetTeamsKeepsUsage(t *testing.T) {
 	c := controller(Team{"a", 1}, Team{"b", 1})
-	contend(c, 10, "a", "b", "stranger")
+	offerLoad(c, 10, "a", "b", "stranger")
 	before := c.teams["a"].offered.sum
 	c.SetTeams([]Team{{"a", 4}})
 	assert.Equal(t, c.teams["a"].offered.sum, before)
@@ -176,7 +176,7 @@
 	assert.Equal(t, c.activeWeight, 1.0)
 }
 
-func TestReturnGivesTokensBack(t *testing.T) {
+func TestRefund(t *testing.T) {
 	c := controller(Team{"a", 1})
 	assert.NilError(t, c.Admit(request("a", 0, epoch)))
 	c.Refund("a", 60, epoch)
