--- /dev/null
+++ b/balance/intake/dispatch.go
@@ -0,0 +1,185 @@
+package intake
+
+import (
+	"slices"
+	"time"
+)
+
+// Dispatch starts the requests for which there is capacity and refuses those that
+// can no longer be served. The owner calls it after each change of loads and at an
+// interval while requests wait.
+func (s *Scheduler) Dispatch(now time.Duration) {
+	s.refuseExpired(now)
+	if s.down {
+		return
+	}
+	for len(s.waiting) > 0 && s.dispatchOne(now) {
+	}
+}
+
+// dispatchOne starts the most urgent request for which there is capacity. Requests
+// that can meet their target go before those that cannot.
+func (s *Scheduler) dispatchOne(now time.Duration) bool {
+	if float64(s.running()) >= s.cfg.MaxUtilization*float64(s.slots()) && s.waiting[0].sortKey != 0 {
+		return false
+	}
+	for _, late := range []bool{false, true} {
+		for i, t := range s.waiting {
+			if s.isLate(&t.Request, now) != late {
+				continue
+			}
+			e := s.leastCost(&t.Request, now)
+			if e == nil {
+				continue
+			}
+			s.waiting = slices.Delete(s.waiting, i, i+1)
+			s.recordStart(e, &t.Request, now)
+			if open := s.breakers[e.group]; open != nil {
+				open.lastTrial = now
+			}
+			s.decide(t, Decision{Endpoint: e.Name, Late: late}, now)
+			return true
+		}
+	}
+	return false
+}
+
+// isLate reports whether a request can no longer meet its target.
+func (s *Scheduler) isLate(r *Request, now time.Duration) bool {
+	return !r.Resumed && now+s.firstEventLatency.mean > r.Target
+}
+
+// leastCost returns the endpoint of least cost among those with free capacity, or nil.
+func (s *Scheduler) leastCost(r *Request, now time.Duration) *endpoint {
+	var best *endpoint
+	var least float64
+	offset := 0
+	if len(s.endpoints) > 0 {
+		offset = s.rng.IntN(len(s.endpoints))
+	}
+	for i := range s.endpoints {
+		e := s.endpoints[(i+offset)%len(s.endpoints)]
+		if !e.Usable || e.blocked || s.breakerBlocks(e, now) || slices.Contains(r.Exclude, e.Name) {
+			continue
+		}
+		running := e.ownLoad.Running + e.peerLoad.Running
+		if running >= e.Slots+s.cfg.Overcommit {
+			continue
+		}
+		if cost := s.cost(e, now); best == nil || cost < least {
+			best, least = e, cost
+		}
+	}
+	return best
+}
+
+// suspectCost exceeds the cost of any endpoint that is not suspect.
+const suspectCost = 1e6
+
+func (s *Scheduler) cost(e *endpoint, now time.Duration) float64 {
+	running := float64(e.ownLoad.Running + e.peerLoad.Running)
+	prompt := float64(e.ownLoad.PromptTokens + e.peerLoad.PromptTokens)
+	cost := (s.cfg.StepOverhead + running + 1 + prompt/s.cfg.PromptTokensPerRequest) * e.slowdown / float64(max(e.Slots, 1))
+	if e.suspectUntil > now {
+		cost += suspectCost
+	}
+	return cost
+}
+
+// refuseOnArrival returns the refusal of a new request that is not queued, if any.
+func (s *Scheduler) refuseOnArrival(t *Ticket, now time.Duration) (Decision, bool) {
+	r := &t.Request
+	if !s.anyUsable(r) {
+		return Decision{Reason: NoEndpoint, RetryAfter: noEndpointRetryAfter}, true
+	}
+	if now+s.firstEventLatency.mean/2 > r.Deadline {
+		return Decision{Reason: TooLate}, true
+	}
+	limit := s.maxWait(r, now)
+	if s.down {
+		if remaining := s.remainingOutage(now); remaining > limit {
+			return Decision{Reason: GroupDown, RetryAfter: remaining}, true
+		}
+		return Decision{}, false
+	}
+	if wait := s.expectedWait(t, now); wait > limit {
+		return Decision{Reason: Overload, RetryAfter: wait - limit}, true
+	}
+	return Decision{}, false
+}
+
+// noEndpointRetryAfter is the retry time of a service without endpoints. The platform
+// replaces them within about a second.
+const noEndpointRetryAfter = time.Second
+
+func (s *Scheduler) anyUsable(r *Request) bool {
+	for _, e := range s.endpoints {
+		if e.Usable && !slices.Contains(r.Exclude, e.Name) {
+			return true
+		}
+	}
+	return false
+}
+
+// maxWait returns the time for which a request may still wait in the queue.
+func (s *Scheduler) maxWait(r *Request, now time.Duration) time.Duration {
+	limit := r.Deadline
+	if r.FirstEventDeadline != 0 {
+		limit = min(limit, r.FirstEventDeadline)
+	}
+	return limit - s.firstEventLatency.upper() - now
+}
+
+// remainingOutage returns the time for which the groups are expected to stay down.
+// Once an outage exceeds the estimate, its excess is the only evidence and the
+// result grows with it.
+func (s *Scheduler) remainingOutage(now time.Duration) time.Duration {
+	remaining := s.outageEstimate - (now - s.downSince)
+	return max(remaining, -remaining/overdueDivisor, minRemainingOutage)
+}
+
+const (
+	// minRemainingOutage is the remaining time of an outage that reaches the estimate.
+	minRemainingOutage = 500 * time.Millisecond
+	// overdueDivisor divides the time by which an outage exceeds the estimate.
+	overdueDivisor = 2
+)
+
+// expectedWait returns the time until a new request starts, from the number of
+// requests ahead of it and the start rate.
+func (s *Scheduler) expectedWait(t *Ticket, now time.Duration) time.Duration {
+	ahead := 0
+	for _, w := range s.waiting {
+		if w.sortKey <= t.sortKey && !s.isLate(&w.Request, now) {
+			ahead++
+		}
+	}
+	if ahead -= s.freeCapacity(); ahead <= 0 {
+		return 0
+	}
+	return time.Duration(float64(ahead) / s.startRate(now) * float64(time.Second))
+}
+
+// refuseExpired refuses the requests that can no longer be served.
+func (s *Scheduler) refuseExpired(now time.Duration) {
+	var out []*Ticket
+	s.waiting = slices.DeleteFunc(s.waiting, func(t *Ticket) bool {
+		if s.maxWait(&t.Request, now) > 0 && s.anyUsable(&t.Request) {
+			return false
+		}
+		out = append(out, t)
+		return true
+	})
+	for _, t := range out {
+		d := Decision{Reason: Overload, RetryAfter: s.expectedWait(t, now)}
+		switch {
+		case !s.anyUsable(&t.Request):
+			d = Decision{Reason: NoEndpoint, RetryAfter: noEndpointRetryAfter}
+		case s.down:
+			d = Decision{Reason: GroupDown, RetryAfter: s.remainingOutage(now)}
+		case s.allBreakersOpen():
+			d = Decision{Reason: GroupDown, RetryAfter: minRemainingOutage}
+		}
+		s.decide(t, d, now)
+	}
+}
--- a/balance/intake/intake.go
+++ b/balance/intake/intake.go
@@ -9,298 +9,300 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Scheduler decides on the requests of one service. It is not safe for concurrent use.
+// Scheduler schedules the requests of one service. It is not safe for concurrent use.
 type Scheduler struct {
 	cfg       Config
 	rng       *rand.Rand
 	endpoints []*endpoint
 	byName    map[id.Endpoint]*endpoint
 
-	waiting []*Ticket // by key
-	// first and whole follow the times from the start of a request to its first
-	// event and to its end.
-	first, whole estimate
+	waiting []*Ticket // by sortKey
+	// firstEventLatency and requestDuration estimate the times from the start of a
+	// request to its first event and to its end.
+	firstEventLatency, requestDuration estimate
 
 	down bool
-	// downSince is the begin of the last outage, wentDown the last time at which
-	// the group was found down in it.
-	downSince, wentDown time.Duration
+	// downSince is the start of the last outage, lastDown the start of its last
+	// uninterrupted part.
+	downSince, lastDown time.Duration
 	upSince             time.Duration
-	outage              time.Duration
-	doubts              map[id.Group]*doubt
-
-	// starts counts what was started in the current and in the last period.
-	periodStart          time.Duration
-	started, lastStarted int
-	// usual is the usual number of starts in a period.
-	usual float64
+	outageEstimate      time.Duration
+	breakers            map[id.Group]*breaker
+
+	// periodStarts and lastPeriodStarts count the requests started in the current and
+	// in the previous period.
+	periodStart                    time.Duration
+	periodStarts, lastPeriodStarts int
+	// usualStarts is the moving average of the starts in a period without outages.
+	usualStarts float64
 }
 
 type endpoint struct {
 	Endpoint
-	own    Load
-	others Load
-	// suspect is the time until which the endpoint is used only if no other is free.
-	suspect time.Duration
-	// pace is above one while the endpoint is slow.
-	pace float64
-	// blocked is true while the endpoint's group is down and others are not.
+	ownLoad  Load
+	peerLoad Load
+	// suspectUntil is the time until which the endpoint is used only if no other is free.
+	suspectUntil time.Duration
+	// slowdown is the endpoint's step time relative to the usual one, at least one.
+	slowdown float64
+	// blocked is true while the endpoint's group is down.
 	blocked bool
-	// group is empty as long as it is not known.
+	// group is empty if unknown.
 	group id.Group
 }
 
-// usualWeight is the number of periods over which the usual starts are taken.
-const usualWeight = 4
+// usualStartsPeriods is the number of periods over which usualStarts averages.
+const usualStartsPeriods = 4
 
-// ratePeriod is the time over which starts are counted.
+// ratePeriod is the period in which starts are counted.
 const ratePeriod = time.Second
 
-// New returns an intake without endpoints.
+// New returns a scheduler without endpoints.
 func New(cfg Config, seed uint64) *Scheduler {
 	cfg = cfg.withDefaults()
 	return &Scheduler{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed)), byName: make(map[id.Endpoint]*endpoint), doubts: make(map[id.Group]*doubt),
-		first: newEstimate(cfg.FirstEventLatency), whole: newEstimate(cfg.RequestDuration), outage: cfg.OutageDuration,
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed)), byName: make(map[id.Endpoint]*endpoint), breakers: make(map[id.Group]*breaker),
+		firstEventLatency: newEstimate(cfg.FirstEventLatency), requestDuration: newEstimate(cfg.RequestDuration), outageEstimate: cfg.OutageDuration,
 	}
 }
 
 // SetEndpoints replaces the endpoints. The load of those that remain is kept.
-func (n *Scheduler) SetEndpoints(list []Endpoint) {
+func (s *Scheduler) SetEndpoints(list []Endpoint) {
 	next := make(map[id.Endpoint]*endpoint, len(list))
-	n.endpoints = n.endpoints[:0]
+	s.endpoints = s.endpoints[:0]
 	for _, e := range list {
-		old := n.byName[e.Name]
+		old := s.byName[e.Name]
 		if old == nil {
-			old = &endpoint{pace: 1}
+			old = &endpoint{slowdown: 1}
 		}
 		old.Endpoint = e
 		next[e.Name] = old
-		n.endpoints = append(n.endpoints, old)
+		s.endpoints = append(s.endpoints, old)
 	}
-	n.byName = next
-	n.forgetDoubts()
+	s.byName = next
+	s.removeUnusedBreakers()
 }
 
-// SetPeerLoad replaces what other entries run at an endpoint.
-func (n *Scheduler) SetPeerLoad(name id.Endpoint, l Load) {
-	if e := n.byName[name]; e != nil {
-		e.others = l
+// SetPeerLoad sets the load of other entries' requests at an endpoint.
+func (s *Scheduler) SetPeerLoad(name id.Endpoint, l Load) {
+	if e := s.byName[name]; e != nil {
+		e.peerLoad = l
 	}
 }
 
-// OwnLoad returns what this entry runs at an endpoint.
-func (n *Scheduler) OwnLoad(name id.Endpoint) Load {
-	if e := n.byName[name]; e != nil {
-		return e.own
+// OwnLoad returns the load of this entry's requests at an endpoint.
+func (s *Scheduler) OwnLoad(name id.Endpoint) Load {
+	if e := s.byName[name]; e != nil {
+		return e.ownLoad
 	}
 	return Load{}
 }
 
-// SetSlowdown tells how much slower than usual an endpoint is; one is usual.
-func (n *Scheduler) SetSlowdown(name id.Endpoint, pace float64) {
-	if e := n.byName[name]; e != nil {
-		e.pace = max(pace, 1)
+// SetSlowdown sets an endpoint's step time relative to the usual one.
+func (s *Scheduler) SetSlowdown(name id.Endpoint, slowdown float64) {
+	if e := s.byName[name]; e != nil {
+		e.slowdown = max(slowdown, 1)
 	}
 }
 
-// SetUsable tells whether an endpoint may receive requests at all.
-func (n *Scheduler) SetUsable(name id.Endpoint, usable bool) {
-	if e := n.byName[name]; e != nil {
+// SetUsable sets whether an endpoint may receive requests at all.
+func (s *Scheduler) SetUsable(name id.Endpoint, usable bool) {
+	if e := s.byName[name]; e != nil {
 		e.Usable = usable
 	}
 }
 
-// SetBlocked keeps requests from an endpoint whose group is down.
-func (n *Scheduler) SetBlocked(name id.Endpoint, blocked bool) {
-	if e := n.byName[name]; e != nil {
+// SetBlocked sets whether requests are kept from an endpoint because its group is down.
+func (s *Scheduler) SetBlocked(name id.Endpoint, blocked bool) {
+	if e := s.byName[name]; e != nil {
 		e.blocked = blocked
 	}
 }
 
-// Suspect makes an endpoint the last choice until a time.
-func (n *Scheduler) Suspect(name id.Endpoint, until time.Duration) {
-	if e := n.byName[name]; e != nil {
-		e.suspect = until
+// Suspect deprioritizes an endpoint below all others until a time.
+func (s *Scheduler) Suspect(name id.Endpoint, until time.Duration) {
+	if e := s.byName[name]; e != nil {
+		e.suspectUntil = until
 	}
 }
 
-// SetDown tells whether the group is down.
-func (n *Scheduler) SetDown(down bool, now time.Duration) {
+// SetDown sets whether all groups of the service are down.
+func (s *Scheduler) SetDown(down bool, now time.Duration) {
 	switch {
-	case down && !n.down:
-		// A group that was up for a moment only is still in the same outage.
-		if n.downSince == 0 || now-n.upSince >= minUp {
-			n.downSince = now
+	case down && !s.down:
+		// A group that was up only briefly is still in the same outage.
+		if s.downSince == 0 || now-s.upSince >= minUptime {
+			s.downSince = now
 		}
-		n.wentDown = now
-	case !down && n.down:
-		n.upSince = now
-		if lasted := now - n.downSince; now-n.wentDown >= minOutage {
-			// The last outage tells half of the next estimate.
-			n.outage = (n.outage + min(lasted, 2*n.cfg.OutageDuration)) / 2
+		s.lastDown = now
+	case !down && s.down:
+		s.upSince = now
+		if lasted := now - s.downSince; now-s.lastDown >= minOutage {
+			// An outage has a weight of one half in the moving average.
+			s.outageEstimate = (s.outageEstimate + min(lasted, 2*s.cfg.OutageDuration)) / 2
 		}
 	}
-	n.down = down
+	s.down = down
 }
 
-// minOutage is the least outage that tells about others. Shorter ones are looks
-// that crossed the return of the group.
+// minOutage is the shortest outage that counts in the estimate. Shorter ones come
+// from reports that were overtaken by the group's recovery.
 const minOutage = time.Second
 
-// minUp is the least time between two outages, longer than ranks take to notice
-// that another one is missing.
-const minUp = 2 * time.Second
+// minUptime is the least time between two outages. It exceeds the time in which
+// ranks detect that another one is missing.
+const minUptime = 2 * time.Second
 
-// Down reports whether the group is down, and since when.
-func (n *Scheduler) Down() (bool, time.Duration) { return n.down, n.downSince }
+// Down reports whether all groups are down, and the start of the last outage.
+func (s *Scheduler) Down() (bool, time.Duration) { return s.down, s.downSince }
 
-func (n *Scheduler) start(e *endpoint, r *Request, now time.Duration) {
-	e.own.Running++
-	e.own.PromptTokens += r.PromptTokens
-	n.count(now)
+func (s *Scheduler) recordStart(e *endpoint, r *Request, now time.Duration) {
+	e.ownLoad.Running++
+	e.ownLoad.PromptTokens += r.PromptTokens
+	s.countStart(now)
 }
 
-func (n *Scheduler) count(now time.Duration) {
-	if elapsed := now - n.periodStart; elapsed >= ratePeriod {
-		if !n.recovering(now) {
-			n.usual += (float64(n.started) - n.usual) / usualWeight
+func (s *Scheduler) countStart(now time.Duration) {
+	if elapsed := now - s.periodStart; elapsed >= ratePeriod {
+		if !s.recovering(now) {
+			s.usualStarts += (float64(s.periodStarts) - s.usualStarts) / usualStartsPeriods
 		}
-		n.lastStarted = n.started
+		s.lastPeriodStarts = s.periodStarts
 		if elapsed >= 2*ratePeriod {
-			n.lastStarted = 0
+			s.lastPeriodStarts = 0
 		}
-		n.started, n.periodStart = 0, now
+		s.periodStarts, s.periodStart = 0, now
 	}
-	n.started++
+	s.periodStarts++
 }
 
-// rate returns the requests that can be started per second while all endpoints
-// are busy: as many as lately, or as many as end.
-func (n *Scheduler) rate(now time.Duration) float64 {
-	part := min(1, float64(now-n.periodStart)/float64(ratePeriod))
-	lately := float64(n.started) + (1-part)*float64(n.lastStarted)
+// startRate estimates the requests that can start per second while all endpoints
+// are busy: the recent start rate or the rate at which running requests end,
+// whichever is higher.
+func (s *Scheduler) startRate(now time.Duration) float64 {
+	fraction := min(1, float64(now-s.periodStart)/float64(ratePeriod))
+	recent := float64(s.periodStarts) + (1-fraction)*float64(s.lastPeriodStarts)
 	own := 0
-	for _, e := range n.endpoints {
-		own += e.own.Running
+	for _, e := range s.endpoints {
+		own += e.ownLoad.Running
 	}
-	rate := max(lately, float64(own)/max(n.whole.mean, time.Millisecond).Seconds(), 1)
-	if n.recovering(now) {
-		rate = max(rate, n.usual)
+	rate := max(recent, float64(own)/max(s.requestDuration.mean, time.Millisecond).Seconds(), 1)
+	if s.recovering(now) {
+		rate = max(rate, s.usualStarts)
 	}
 	return rate
 }
 
-// recovering reports whether the starts of the last periods say nothing about
-// the next one, since a group is in doubt or was down.
-func (n *Scheduler) recovering(now time.Duration) bool {
-	return n.down || len(n.doubts) > 0 || (n.upSince > 0 && now-n.upSince < 2*ratePeriod)
+// recovering reports whether an outage or open breaker makes the starts of the last
+// periods useless for predictions.
+func (s *Scheduler) recovering(now time.Duration) bool {
+	return s.down || len(s.breakers) > 0 || (s.upSince > 0 && now-s.upSince < 2*ratePeriod)
 }
 
-// free returns the places at the endpoints that may be used.
-func (n *Scheduler) free() int {
+// freeCapacity returns the unused capacity of the usable endpoints.
+func (s *Scheduler) freeCapacity() int {
 	sum := 0
-	for _, e := range n.endpoints {
+	for _, e := range s.endpoints {
 		if e.Usable && !e.blocked {
-			sum += max(e.Slots+n.cfg.Overcommit-e.own.Running-e.others.Running, 0)
+			sum += max(e.Slots+s.cfg.Overcommit-e.ownLoad.Running-e.peerLoad.Running, 0)
 		}
 	}
 	return sum
 }
 
-// FirstEvent records that a started request has its first event, after a time.
-func (n *Scheduler) FirstEvent(name id.Endpoint, r *Request, after, now time.Duration) {
-	if e := n.byName[name]; e != nil {
-		e.own.PromptTokens = max(e.own.PromptTokens-r.PromptTokens, 0)
-		n.alive(e.group, now-after)
+// FirstEvent records the first event of a request, elapsed after its start.
+func (s *Scheduler) FirstEvent(name id.Endpoint, r *Request, elapsed, now time.Duration) {
+	if e := s.byName[name]; e != nil {
+		e.ownLoad.PromptTokens = max(e.ownLoad.PromptTokens-r.PromptTokens, 0)
+		s.closeBreaker(e.group, now-elapsed)
 	}
-	n.first.add(after)
+	s.firstEventLatency.add(elapsed)
 }
 
-// Ended records that a started request ended after a time. Answered is false if
+// Ended records the end of a request, elapsed after its start. answered is false if
 // it had no first event.
-func (n *Scheduler) Ended(name id.Endpoint, r *Request, answered bool, after time.Duration) {
+func (s *Scheduler) Ended(name id.Endpoint, r *Request, answered bool, elapsed time.Duration) {
 	if answered {
-		n.whole.add(after)
+		s.requestDuration.add(elapsed)
 	}
-	e := n.byName[name]
+	e := s.byName[name]
 	if e == nil {
 		return
 	}
-	e.own.Running = max(e.own.Running-1, 0)
+	e.ownLoad.Running = max(e.ownLoad.Running-1, 0)
 	if !answered {
-		e.own.PromptTokens = max(e.own.PromptTokens-r.PromptTokens, 0)
+		e.ownLoad.PromptTokens = max(e.ownLoad.PromptTokens-r.PromptTokens, 0)
 	}
 }
 
-// Submit asks for a request to be started. The ticket's Decided is called by
-// this call or by a later one of Pump.
-func (n *Scheduler) Submit(t *Ticket, now time.Duration) {
-	t.key = t.Request.Target + time.Duration(t.Request.Priority)*n.cfg.PriorityStep
+// Submit schedules a request. The ticket's Decided is called before Submit returns
+// or by a later call of Dispatch.
+func (s *Scheduler) Submit(t *Ticket, now time.Duration) {
+	t.sortKey = t.Request.Target + time.Duration(t.Request.Priority)*s.cfg.PriorityStep
 	if t.Request.Resumed {
-		t.key = 0
+		t.sortKey = 0
 	}
-	if d, refused := n.refuseAtOnce(t, now); refused {
-		n.decide(t, d, now)
+	if d, refused := s.refuseOnArrival(t, now); refused {
+		s.decide(t, d, now)
 		return
 	}
-	i := sort.Search(len(n.waiting), func(i int) bool { return n.waiting[i].key > t.key })
-	n.waiting = slices.Insert(n.waiting, i, t)
-	n.Dispatch(now)
+	i := sort.Search(len(s.waiting), func(i int) bool { return s.waiting[i].sortKey > t.sortKey })
+	s.waiting = slices.Insert(s.waiting, i, t)
+	s.Dispatch(now)
 	if !t.done && t.Queued != nil {
-		t.Queued(n.standing())
+		t.Queued(s.occupancy())
 	}
 }
 
-func (n *Scheduler) standing() Occupancy {
-	return Occupancy{Running: n.running(), Capacity: n.places(), Waiting: len(n.waiting), Down: n.down}
+func (s *Scheduler) occupancy() Occupancy {
+	return Occupancy{Running: s.running(), Capacity: s.capacity(), Waiting: len(s.waiting), Down: s.down}
 }
 
-// places returns the requests that the usable endpoints may have together.
-func (n *Scheduler) places() int {
+// capacity returns the number of requests that the usable endpoints may have.
+func (s *Scheduler) capacity() int {
 	sum := 0
-	for _, e := range n.endpoints {
+	for _, e := range s.endpoints {
 		if e.Usable && !e.blocked {
-			sum += e.Slots + n.cfg.Overcommit
+			sum += e.Slots + s.cfg.Overcommit
 		}
 	}
 	return sum
 }
 
-// Withdraw takes a ticket back. It has no effect once the ticket was decided.
-func (n *Scheduler) Withdraw(t *Ticket) {
+// Withdraw removes a ticket from the queue. It has no effect after the decision.
+func (s *Scheduler) Withdraw(t *Ticket) {
 	t.done = true
-	if i := slices.Index(n.waiting, t); i >= 0 {
-		n.waiting = slices.Delete(n.waiting, i, i+1)
+	if i := slices.Index(s.waiting, t); i >= 0 {
+		s.waiting = slices.Delete(s.waiting, i, i+1)
 	}
 }
 
-func (n *Scheduler) decide(t *Ticket, d Decision, now time.Duration) {
+func (s *Scheduler) decide(t *Ticket, d Decision, now time.Duration) {
 	if t.done {
 		return
 	}
 	t.done = true
 	d.Waited = max(now-t.Request.Arrival, 0)
-	d.Occupancy = n.standing()
-	if n.down {
-		d.DownFor = now - n.downSince
+	d.Occupancy = s.occupancy()
+	if s.down {
+		d.DownFor = now - s.downSince
 	}
 	t.Decided(d)
 }
 
-// running returns the requests at all endpoints.
-func (n *Scheduler) running() int {
+// running returns the number of requests at all endpoints.
+func (s *Scheduler) running() int {
 	sum := 0
-	for _, e := range n.endpoints {
-		sum += e.own.Running + e.others.Running
+	for _, e := range s.endpoints {
+		sum += e.ownLoad.Running + e.peerLoad.Running
 	}
 	return sum
 }
 
-// slots returns the slots of the usable endpoints.
-func (n *Scheduler) slots() int {
+// slots returns the number of slots of the usable endpoints.
+func (s *Scheduler) slots() int {
 	sum := 0
-	for _, e := range n.endpoints {
+	for _, e := range s.endpoints {
 		if e.Usable && !e.blocked {
 			sum += e.Slots
 		}
@@ -308,24 +310,24 @@
 	return sum
 }
 
-// Waiting returns the number of requests that wait.
-func (n *Scheduler) Waiting() int { return len(n.waiting) }
+// Waiting returns the number of requests in the queue.
+func (s *Scheduler) Waiting() int { return len(s.waiting) }
 
-// estimate follows a duration and its spread.
+// estimate holds the moving averages of a duration and of its absolute deviation.
 type estimate struct{ mean, deviation time.Duration }
 
-const estimateWeight = 16
+const estimateDivisor = 16
 
 func newEstimate(d time.Duration) estimate { return estimate{mean: d, deviation: d / 4} }
 
 func (e *estimate) add(d time.Duration) {
 	diff := d - e.mean
-	e.mean += diff / estimateWeight
+	e.mean += diff / estimateDivisor
 	if diff < 0 {
 		diff = -diff
 	}
-	e.deviation += (diff - e.deviation) / estimateWeight
+	e.deviation += (diff - e.deviation) / estimateDivisor
 }
 
-// upper returns a time that most observations do not exceed.
+// upper returns the mean plus one deviation, which most observations do not exceed.
 func (e *estimate) upper() time.Duration { return e.mean + e.deviation }
--- a/balance/intake/intake_test.go
+++ b/balance/intake/intake_test.go
@@ -11,41 +11,41 @@
 
 const ms = time.Millisecond
 
-// bench runs an intake by hand.
-type bench struct {
-	t   *testing.T
-	n   *Scheduler
-	now time.Duration
+// harness drives a scheduler with a manual clock.
+type harness struct {
+	t         *testing.T
+	scheduler *Scheduler
+	now       time.Duration
 }
 
-func newBench(t *testing.T, cfg Config, endpoints ...Endpoint) *bench {
+func newHarness(t *testing.T, cfg Config, endpoints ...Endpoint) *harness {
 	n := New(cfg, 1)
 	n.SetEndpoints(endpoints)
-	return &bench{t: t, n: n}
+	return &harness{t: t, scheduler: n}
 }
 
-func slots(name string, slots int) Endpoint {
+func usableEndpoint(name string, slots int) Endpoint {
 	return Endpoint{Name: id.Endpoint(name), Slots: slots, Usable: true}
 }
 
-func (b *bench) submit(r Request) *Decision {
+func (h *harness) submit(r Request) *Decision {
 	d := new(Decision)
 	if r.Arrival == 0 {
-		r.Arrival = b.now
+		r.Arrival = h.now
 	}
-	b.n.Submit(&Ticket{Request: r, Decided: func(got Decision) { *d = got }}, b.now)
+	h.scheduler.Submit(&Ticket{Request: r, Decided: func(got Decision) { *d = got }}, h.now)
 	return d
 }
 
-func (b *bench) after(d time.Duration) {
-	b.now += d
-	b.n.Dispatch(b.now)
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.scheduler.Dispatch(h.now)
 }
 
-// chat returns a request that expects its first event within 500 ms.
-func (b *bench) chat() Request {
+// chatRequest returns a request whose first event is due within 500 ms.
+func (h *harness) chatRequest() Request {
 	return Request{
-		Arrival: b.now, Target: b.now + 500*ms, FirstEventDeadline: b.now + 2*time.Second, Deadline: b.now + 8*time.Second, PromptTokens: 800,
+		Arrival: h.now, Target: h.now + 500*ms, FirstEventDeadline: h.now + 2*time.Second, Deadline: h.now + 8*time.Second, PromptTokens: 800,
 	}
 }
 
@@ -54,209 +54,212 @@
 		prepare func(*Scheduler)
 		want    id.Endpoint
 	}{
-		"others' requests count":                   {func(n *Scheduler) { n.SetPeerLoad("a", Load{Running: 2}) }, "b"},
-		"prompts being read count":                 {func(n *Scheduler) { n.SetPeerLoad("b", Load{Running: 1, PromptTokens: 2000}); n.SetPeerLoad("a", Load{Running: 2}) }, "a"},
-		"a slow endpoint costs more":               {func(n *Scheduler) { n.SetSlowdown("a", 3); n.SetPeerLoad("b", Load{Running: 1}) }, "b"},
-		"a suspect endpoint is last":               {func(n *Scheduler) { n.Suspect("a", time.Second); n.SetPeerLoad("b", Load{Running: 3}) }, "b"},
-		"a suspect endpoint is used if it must be": {func(n *Scheduler) { n.Suspect("a", time.Second); n.SetPeerLoad("b", Load{Running: 4}) }, "a"},
-		"a blocked endpoint gets nothing":          {func(n *Scheduler) { n.SetBlocked("a", true); n.SetPeerLoad("b", Load{Running: 3}) }, "b"},
+		"others' requests count": {func(s *Scheduler) { s.SetPeerLoad("a", Load{Running: 2}) }, "b"},
+		"prompts being read count": {func(s *Scheduler) {
+			s.SetPeerLoad("b", Load{Running: 1, PromptTokens: 2000})
+			s.SetPeerLoad("a", Load{Running: 2})
+		}, "a"},
+		"a slow endpoint costs more":               {func(s *Scheduler) { s.SetSlowdown("a", 3); s.SetPeerLoad("b", Load{Running: 1}) }, "b"},
+		"a suspect endpoint is last":               {func(s *Scheduler) { s.Suspect("a", time.Second); s.SetPeerLoad("b", Load{Running: 3}) }, "b"},
+		"a suspect endpoint is used if it must be": {func(s *Scheduler) { s.Suspect("a", time.Second); s.SetPeerLoad("b", Load{Running: 4}) }, "a"},
+		"a blocked endpoint gets nothing":          {func(s *Scheduler) { s.SetBlocked("a", true); s.SetPeerLoad("b", Load{Running: 3}) }, "b"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Config{}, slots("a", 4), slots("b", 4))
-			c.prepare(b.n)
-			assert.Equal(t, b.submit(b.chat()).Endpoint, c.want)
+			h := newHarness(t, Config{}, usableEndpoint("a", 4), usableEndpoint("b", 4))
+			c.prepare(h.scheduler)
+			assert.Equal(t, h.submit(h.chatRequest()).Endpoint, c.want)
 		})
 	}
 }
 
-// TestSlowRankGetsWhatOthersCannotTake names the pattern "one rank is slow and all
-// passes wait for it": its fixed part of a step alone takes longer than full ranks.
-func TestSlowRankGetsWhatOthersCannotTake(t *testing.T) {
-	b := newBench(t, Config{StepOverhead: 5}, slots("a", 8), slots("b", 8), slots("c", 8))
-	b.n.SetSlowdown("a", 4)
+// TestSlowEndpointGetsOverflowOnly covers a slow rank that all passes wait for: its
+// step overhead alone takes longer than the step of a full rank.
+func TestSlowEndpointGetsOverflowOnly(t *testing.T) {
+	h := newHarness(t, Config{StepOverhead: 5}, usableEndpoint("a", 8), usableEndpoint("b", 8), usableEndpoint("c", 8))
+	h.scheduler.SetSlowdown("a", 4)
 	got := make(map[id.Endpoint]int)
 	for range 18 {
-		got[b.submit(b.chat()).Endpoint]++
+		got[h.submit(h.chatRequest()).Endpoint]++
 	}
 	assert.DeepEqual(t, got, map[id.Endpoint]int{"a": 2, "b": 8, "c": 8})
 }
 
 func TestOrderOfWaitingRequests(t *testing.T) {
-	b := newBench(t, Config{}, slots("a", 1))
-	running := b.chat()
-	assert.Equal(t, b.submit(running).Endpoint, id.Endpoint("a"))
-	normal := b.submit(b.chat())
-	urgent := b.chat()
+	h := newHarness(t, Config{}, usableEndpoint("a", 1))
+	running := h.chatRequest()
+	assert.Equal(t, h.submit(running).Endpoint, id.Endpoint("a"))
+	normal := h.submit(h.chatRequest())
+	urgent := h.chatRequest()
 	urgent.Target -= 100 * ms
-	sooner := b.submit(urgent)
-	less := b.chat()
+	sooner := h.submit(urgent)
+	less := h.chatRequest()
 	less.Priority = 2
-	last := b.submit(less)
-	broken := b.chat()
+	last := h.submit(less)
+	broken := h.chatRequest()
 	broken.Resumed = true
-	resumed := b.submit(broken)
+	resumed := h.submit(broken)
 	for i, want := range []*Decision{resumed, sooner, normal, last} {
-		b.n.Ended("a", &running, true, 100*ms)
-		b.after(ms)
+		h.scheduler.Ended("a", &running, true, 100*ms)
+		h.advance(ms)
 		assert.Equal(t, want.Endpoint, id.Endpoint("a"), "request %d", i)
 	}
 }
 
-// TestLateRequestsUseWhatIsLeft names the pattern "the crest of a wave": once
-// requests are late, they no longer keep those from being on time that still can be.
-func TestLateRequestsUseWhatIsLeft(t *testing.T) {
-	b := newBench(t, Config{}, slots("a", 1))
-	running := b.chat()
-	b.submit(running)
-	old := b.submit(b.chat())
-	b.after(450 * ms) // With the usual first answer after 100 ms it is late by now.
-	fresh := b.submit(b.chat())
-	b.n.Ended("a", &running, true, 100*ms)
-	b.after(ms)
+// TestLateRequestsYieldToTimelyOnes checks that after a burst, requests that are
+// already late do not delay those that can still meet their target.
+func TestLateRequestsYieldToTimelyOnes(t *testing.T) {
+	h := newHarness(t, Config{}, usableEndpoint("a", 1))
+	running := h.chatRequest()
+	h.submit(running)
+	old := h.submit(h.chatRequest())
+	h.advance(450 * ms) // Late, as the first event takes 100 ms.
+	fresh := h.submit(h.chatRequest())
+	h.scheduler.Ended("a", &running, true, 100*ms)
+	h.advance(ms)
 	assert.Equal(t, fresh.Endpoint, id.Endpoint("a"))
 	assert.Equal(t, old.Endpoint, id.Endpoint(""))
-	b.n.Ended("a", &running, true, 100*ms)
-	b.after(ms)
+	h.scheduler.Ended("a", &running, true, 100*ms)
+	h.advance(ms)
 	assert.Equal(t, old.Endpoint, id.Endpoint("a"))
 	assert.Assert(t, old.Late)
 }
 
 func TestRefusals(t *testing.T) {
 	t.Run("without an endpoint, at once", func(t *testing.T) {
-		b := newBench(t, Config{}, Endpoint{Name: "a", Slots: 4})
-		d := b.submit(b.chat())
+		h := newHarness(t, Config{}, Endpoint{Name: "a", Slots: 4})
+		d := h.submit(h.chatRequest())
 		assert.Equal(t, d.Reason, NoEndpoint)
 		assert.Assert(t, d.RetryAfter > 0)
 	})
 	t.Run("when all were tried, at once", func(t *testing.T) {
-		b := newBench(t, Config{}, slots("a", 4))
-		r := b.chat()
+		h := newHarness(t, Config{}, usableEndpoint("a", 4))
+		r := h.chatRequest()
 		r.Exclude = []id.Endpoint{"a"}
-		assert.Equal(t, b.submit(r).Reason, NoEndpoint)
+		assert.Equal(t, h.submit(r).Reason, NoEndpoint)
 	})
 	t.Run("when its time is over, at once", func(t *testing.T) {
-		b := newBench(t, Config{}, slots("a", 4))
-		r := b.chat()
-		r.Deadline = b.now + 10*ms
-		assert.Equal(t, b.submit(r).Reason, TooLate)
+		h := newHarness(t, Config{}, usableEndpoint("a", 4))
+		r := h.chatRequest()
+		r.Deadline = h.now + 10*ms
+		assert.Equal(t, h.submit(r).Reason, TooLate)
 	})
 	t.Run("when it waited for as long as a client does", func(t *testing.T) {
-		b := newBench(t, Config{}, slots("a", 1))
-		b.submit(b.chat())
-		d := b.submit(b.chat())
-		b.after(1870 * ms) // The first event usually takes up to 125 ms.
+		h := newHarness(t, Config{}, usableEndpoint("a", 1))
+		h.submit(h.chatRequest())
+		d := h.submit(h.chatRequest())
+		h.advance(1870 * ms) // The first event usually takes up to 125 ms.
 		assert.Equal(t, d.Reason, Reason(""))
-		b.after(10 * ms)
+		h.advance(10 * ms)
 		assert.Equal(t, d.Reason, Overload)
 	})
 	t.Run("when the queue is longer than it can wait, at once", func(t *testing.T) {
-		b := newBench(t, Config{}, slots("a", 1))
-		b.submit(b.chat())
+		h := newHarness(t, Config{}, usableEndpoint("a", 1))
+		h.submit(h.chatRequest())
 		var last *Decision
 		for range 30 {
-			last = b.submit(b.chat())
+			last = h.submit(h.chatRequest())
 		}
 		assert.Equal(t, last.Reason, Overload)
 		assert.Assert(t, last.RetryAfter > 0)
 	})
 }
 
-// TestGroupDown names the pattern "a rank is lost": nothing is sent meanwhile,
-// what cannot wait is told when to come back, and what can goes on at once.
+// TestGroupDown covers the loss of a rank: nothing starts during the outage, requests
+// that cannot wait are refused with a retry time, and queued ones start at its end.
 func TestGroupDown(t *testing.T) {
-	b := newBench(t, Config{OutageDuration: 4 * time.Second}, slots("a", 4))
-	b.n.SetDown(true, b.now)
-	d := b.submit(b.chat())
+	h := newHarness(t, Config{OutageDuration: 4 * time.Second}, usableEndpoint("a", 4))
+	h.scheduler.SetDown(true, h.now)
+	d := h.submit(h.chatRequest())
 	assert.Equal(t, d.Reason, GroupDown)
 	assert.Equal(t, d.RetryAfter, 4*time.Second)
-	b.after(3 * time.Second)
-	d = b.submit(b.chat())
+	h.advance(3 * time.Second)
+	d = h.submit(h.chatRequest())
 	assert.Equal(t, d.Reason, Reason(""), "the rest of the outage is shorter than a client waits")
-	b.after(500 * ms)
+	h.advance(500 * ms)
 	assert.Equal(t, d.Endpoint, id.Endpoint(""))
-	b.n.SetDown(false, b.now)
-	b.after(0)
+	h.scheduler.SetDown(false, h.now)
+	h.advance(0)
 	assert.Equal(t, d.Endpoint, id.Endpoint("a"))
 }
 
-func TestOutagesAreLearned(t *testing.T) {
-	b := newBench(t, Config{OutageDuration: 4 * time.Second}, slots("a", 4))
-	b.n.SetDown(true, b.now)
-	b.after(time.Second)
-	b.n.SetDown(false, b.now)
-	for range 10 { // Looks that cross each other tell nothing.
-		b.n.SetDown(true, b.now)
-		b.after(50 * ms)
-		b.n.SetDown(false, b.now)
+func TestOutageEstimateFollowsOutages(t *testing.T) {
+	h := newHarness(t, Config{OutageDuration: 4 * time.Second}, usableEndpoint("a", 4))
+	h.scheduler.SetDown(true, h.now)
+	h.advance(time.Second)
+	h.scheduler.SetDown(false, h.now)
+	for range 10 { // Too short to change the estimate.
+		h.scheduler.SetDown(true, h.now)
+		h.advance(50 * ms)
+		h.scheduler.SetDown(false, h.now)
 	}
-	b.after(minUp) // Before that it would be the same outage.
-	b.n.SetDown(true, b.now)
-	assert.Equal(t, b.submit(b.chat()).RetryAfter, 2500*ms)
+	h.advance(minUptime) // A shorter uptime would continue the outage.
+	h.scheduler.SetDown(true, h.now)
+	assert.Equal(t, h.submit(h.chatRequest()).RetryAfter, 2500*ms)
 }
 
 func TestWithdrawnRequestIsNotStarted(t *testing.T) {
-	b := newBench(t, Config{}, slots("a", 1))
-	running := b.chat()
-	b.submit(running)
+	h := newHarness(t, Config{}, usableEndpoint("a", 1))
+	running := h.chatRequest()
+	h.submit(running)
 	called := false
-	ticket := &Ticket{Request: b.chat(), Decided: func(Decision) { called = true }}
-	b.n.Submit(ticket, b.now)
-	b.n.Withdraw(ticket)
-	b.n.Ended("a", &running, true, 100*ms)
-	b.after(ms)
+	ticket := &Ticket{Request: h.chatRequest(), Decided: func(Decision) { called = true }}
+	h.scheduler.Submit(ticket, h.now)
+	h.scheduler.Withdraw(ticket)
+	h.scheduler.Ended("a", &running, true, 100*ms)
+	h.advance(ms)
 	assert.Assert(t, !called)
-	assert.Equal(t, b.n.OwnLoad("a").Running, 0)
+	assert.Equal(t, h.scheduler.OwnLoad("a").Running, 0)
 }
 
-func TestLoadsOfEndpointsThatRemain(t *testing.T) {
-	b := newBench(t, Config{}, slots("a", 4))
-	r := b.chat()
-	b.submit(r)
-	b.n.SetEndpoints([]Endpoint{slots("a", 4), slots("b", 4)})
-	assert.Equal(t, b.n.OwnLoad("a"), Load{Running: 1, PromptTokens: 800})
-	b.n.FirstEvent("a", &r, 100*ms, b.now)
-	assert.Equal(t, b.n.OwnLoad("a"), Load{Running: 1})
-	b.n.SetEndpoints([]Endpoint{slots("b", 4)})
-	b.n.Ended("a", &r, true, 100*ms) // The endpoint is gone; its end is no one's.
-	assert.Equal(t, b.n.OwnLoad("a"), Load{})
+func TestSetEndpointsKeepsLoad(t *testing.T) {
+	h := newHarness(t, Config{}, usableEndpoint("a", 4))
+	r := h.chatRequest()
+	h.submit(r)
+	h.scheduler.SetEndpoints([]Endpoint{usableEndpoint("a", 4), usableEndpoint("b", 4)})
+	assert.Equal(t, h.scheduler.OwnLoad("a"), Load{Running: 1, PromptTokens: 800})
+	h.scheduler.FirstEvent("a", &r, 100*ms, h.now)
+	assert.Equal(t, h.scheduler.OwnLoad("a"), Load{Running: 1})
+	h.scheduler.SetEndpoints([]Endpoint{usableEndpoint("b", 4)})
+	h.scheduler.Ended("a", &r, true, 100*ms) // The endpoint was removed; the end has no effect.
+	assert.Equal(t, h.scheduler.OwnLoad("a"), Load{})
 }
 
-// TestRefusalTellsWhatItWaitedFor shows that a request which is refused in the
-// moment at which many others end was kept waiting by full endpoints.
-func TestRefusalTellsWhatItWaitedFor(t *testing.T) {
-	b := newBench(t, Config{}, slots("a", 4), slots("b", 4))
+// TestOccupancyAtQueueingAndRefusal checks that the occupancy shows full endpoints
+// when a request is queued, even if they are free again when it is refused.
+func TestOccupancyAtQueueingAndRefusal(t *testing.T) {
+	h := newHarness(t, Config{}, usableEndpoint("a", 4), usableEndpoint("b", 4))
 	var queued []Occupancy
 	for range 4 {
-		b.submit(b.chat())
+		h.submit(h.chatRequest())
 	}
-	b.n.SetPeerLoad("a", Load{Running: 2})
-	b.n.SetPeerLoad("b", Load{Running: 2})
+	h.scheduler.SetPeerLoad("a", Load{Running: 2})
+	h.scheduler.SetPeerLoad("b", Load{Running: 2})
 	var got Decision
-	b.n.Submit(&Ticket{
-		Request: b.chat(), Queued: func(s Occupancy) { queued = append(queued, s) }, Decided: func(d Decision) { got = d },
-	}, b.now)
+	h.scheduler.Submit(&Ticket{
+		Request: h.chatRequest(), Queued: func(s Occupancy) { queued = append(queued, s) }, Decided: func(d Decision) { got = d },
+	}, h.now)
 	assert.DeepEqual(t, queued, []Occupancy{{Running: 8, Capacity: 8, Waiting: 1}})
-	b.now += 2 * time.Second
-	b.n.SetPeerLoad("a", Load{})
-	b.n.SetPeerLoad("b", Load{})
-	b.n.Dispatch(b.now)
+	h.now += 2 * time.Second
+	h.scheduler.SetPeerLoad("a", Load{})
+	h.scheduler.SetPeerLoad("b", Load{})
+	h.scheduler.Dispatch(h.now)
 	assert.Equal(t, got.Reason, Overload)
 	assert.Equal(t, got.Running, 4)
 	assert.Equal(t, got.Capacity, 8)
 }
 
-// TestLongOutageIsNotWaitedFor names the pattern "the group does not come back":
-// nobody waits for the next moment of an outage that has lasted far longer than usual.
-func TestLongOutageIsNotWaitedFor(t *testing.T) {
-	b := newBench(t, Config{OutageDuration: 5 * time.Second}, slots("a", 4))
-	b.now = time.Second
-	b.n.SetDown(true, b.now)
-	b.now += 5200 * time.Millisecond
-	soon := b.submit(b.chat())
+// TestOverdueOutageRefusesRequests covers a group that does not recover: requests do
+// not queue during an outage that has lasted far longer than estimated.
+func TestOverdueOutageRefusesRequests(t *testing.T) {
+	h := newHarness(t, Config{OutageDuration: 5 * time.Second}, usableEndpoint("a", 4))
+	h.now = time.Second
+	h.scheduler.SetDown(true, h.now)
+	h.now += 5200 * time.Millisecond
+	soon := h.submit(h.chatRequest())
 	assert.Equal(t, soon.Reason, Reason(""), "a group that is due is waited for")
-	b.now += 10 * time.Second
-	late := b.submit(b.chat())
+	h.now += 10 * time.Second
+	late := h.submit(h.chatRequest())
 	assert.Equal(t, late.Reason, GroupDown)
 	assert.Equal(t, late.RetryAfter, 5100*time.Millisecond)
 }
--- a/balance/intake/types.go
+++ b/balance/intake/types.go
@@ -1,14 +1,14 @@
-// Package intake decides when and at which endpoint an entry starts the requests
-// of one service, and which it refuses.
+// Package intake schedules the requests of one service at an entry: it queues them,
+// places them on endpoints and refuses those that cannot be served in time.
 //
-// Requests that can still be on time go first, by the time at which their answer
-// is expected; those that are late already use what capacity is left. A request
-// that cannot be served in time is refused as soon as that is known, with the
-// time after which it can be. While the group behind the endpoints is down,
-// nothing is started.
+// Requests that can still meet their target start first, in order of target and
+// priority; late ones use the remaining capacity. A request that cannot start in
+// time is refused as soon as that is predictable, with a retry time. While all
+// endpoint groups are down, nothing starts; a circuit breaker per group limits
+// requests to groups that refuse them.
 //
-// An Intake has neither clock nor goroutines; times are durations since any
-// fixed moment.
+// A Scheduler has neither clock nor goroutines. Times are durations since an
+// arbitrary fixed origin.
 package intake
 
 import (
@@ -17,30 +17,30 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Config holds the settings of an Intake. Zero values select the defaults.
+// Config holds the settings of a Scheduler. Zero values select the defaults.
 type Config struct {
-	// PriorityStep is what a step of priority is worth in the order of requests.
-	// Default: 100 ms, a fifth of a short target.
+	// PriorityStep is added to a request's target per step of priority when requests
+	// are ordered. Default: 100 ms, a fifth of a short target.
 	PriorityStep time.Duration
-	// FirstEventLatency is the initial estimate of the time from the start of a request
-	// to its answer or first event. Default: 100 ms.
+	// FirstEventLatency is the initial estimate of the time from the start of a
+	// request to its answer or first event. Default: 100 ms.
 	FirstEventLatency time.Duration
-	// RequestDuration is the initial estimate of the time from the start of a request
-	// to its end. Default: FirstAnswer.
+	// RequestDuration is the initial estimate of the time from the start of a
+	// request to its end. Default: FirstEventLatency.
 	RequestDuration time.Duration
-	// OutageDuration is the initial estimate of the time for which a group is down. Default: 5.5 s: a crash is noticed, the process is replaced, the group forms.
+	// OutageDuration is the initial estimate of a group's outage. Default: 5.5 s, for
+	// the detection of a crash, the restart of the process and the forming of the group.
 	OutageDuration time.Duration
 	// Overcommit is the number of requests beyond its slots that an endpoint may
-	// have, which wait there for a slot. Default: 0.
+	// have, which queue there for a slot. Default: 0.
 	Overcommit int
-	// PromptTokensPerRequest is the number of prompt tokens being read that weigh as much
-	// as a running request when endpoints are compared. Default: 200.
+	// PromptTokensPerRequest is the number of prompt tokens in prefill that cost as
+	// much as a running request when endpoints are compared. Default: 200.
 	PromptTokensPerRequest float64
-	// StepOverhead is what a step of an endpoint costs beside its requests, as a number of
-	// running requests. A slow endpoint multiplies it, with or without requests.
-	// Default: 0.
+	// StepOverhead is the fixed cost of an endpoint's step, as a number of running
+	// requests. An endpoint's slowdown multiplies it. Default: 0.
 	StepOverhead float64
-	// MaxUtilization bounds the requests at all endpoints together, as a part of
+	// MaxUtilization bounds the requests at all endpoints together, as a fraction of
 	// their slots. Default: 1.
 	MaxUtilization float64
 }
@@ -66,11 +66,11 @@
 	Name id.Endpoint
 	// Slots is the number of requests that the endpoint runs at the same time.
 	Slots int
-	// Usable is false for endpoints that leave.
+	// Usable is false for endpoints that are being removed.
 	Usable bool
 }
 
-// Load is what runs at an endpoint.
+// Load is the load of requests at an endpoint.
 type Load struct {
 	// Running counts requests.
 	Running int
@@ -78,82 +78,81 @@
 	PromptTokens int
 }
 
-// Request describes a request that asks to be started.
+// Request describes a request to schedule.
 type Request struct {
 	// Arrival is when the client's request arrived.
 	Arrival time.Duration
-	// Target is when the answer, or its first event, is expected.
+	// Target is when the answer or its first event is due.
 	Target time.Duration
 	// Deadline is when the client or the route gives up.
 	Deadline time.Duration
-	// FirstEventDeadline is when the client gives up unless it has a first event. Zero means
-	// that it waits until the deadline.
+	// FirstEventDeadline is when the client gives up unless it has a first event.
+	// Zero selects Deadline.
 	FirstEventDeadline time.Duration
-	// Priority ranks the request, zero first.
+	// Priority orders requests, zero first.
 	Priority int
-	// PromptTokens is the number of prompt tokens.
+	// PromptTokens is the length of the prompt.
 	PromptTokens int
-	// Resumed is true for a stream that broke off and goes on. It is started
-	// before all others, since its client is reading.
+	// Resumed is true for the continuation of a broken stream. It starts before all
+	// others, since its client is already reading.
 	Resumed bool
 	// Exclude lists endpoints that must not be chosen.
 	Exclude []id.Endpoint
 }
 
-// Reason tells why a request was refused.
+// Reason is the cause of a refusal.
 type Reason string
 
 const (
 	// NoEndpoint means that no endpoint of the service may receive the request.
 	NoEndpoint Reason = "no endpoint may receive it"
-	// GroupDown means that the group is down for longer than the request can wait.
+	// GroupDown means that the groups are expected to stay down for too long.
 	GroupDown Reason = "the group is down"
-	// Overload means that the request would wait for too long.
+	// Overload means that the request cannot start in time.
 	Overload Reason = "all endpoints are busy"
-	// TooLate means that the rest of the request's time is too short.
+	// TooLate means that too little time remains until the request's deadline.
 	TooLate Reason = "its time is over"
 )
 
-// Decision is what becomes of a request.
+// Decision is the outcome of scheduling a request.
 type Decision struct {
 	// Endpoint is set if the request starts.
 	Endpoint id.Endpoint
 	// Reason is set if the request is refused.
 	Reason Reason
-	// RetryAfter is the time after which a refused request can be served, zero
-	// if it is not known.
+	// RetryAfter is the time after which a retry may succeed, zero if unknown.
 	RetryAfter time.Duration
-	// Waited is the time that the request waited.
+	// Waited is the time since the request's arrival.
 	Waited time.Duration
-	// DownFor is the time for which the group has been down, zero if it is up.
+	// DownFor is the time for which all groups have been down, zero if one is up.
 	DownFor time.Duration
-	// Late is true if the request was started after it could be on time.
+	// Late is true if the request started too late to meet its target.
 	Late bool
 	// Occupancy is that of the service at the decision.
 	Occupancy
 }
 
-// Occupancy tells how busy a service is.
+// Occupancy is the utilization of a service.
 type Occupancy struct {
-	// Running counts the requests at all endpoints, as far as they are known.
+	// Running counts the known requests at all endpoints.
 	Running int
 	// Capacity is the number of requests that the usable endpoints may have.
 	Capacity int
-	// Waiting counts the requests that wait in this intake.
+	// Waiting counts the requests in the queue.
 	Waiting int
 	// Down is true while all groups are down.
 	Down bool
 }
 
-// Ticket is a request that waits for its decision.
+// Ticket is a request in the queue.
 type Ticket struct {
 	Request Request
-	// Decided is called once, by the goroutine that calls the intake.
+	// Decided is called once, by the goroutine that calls the Scheduler.
 	Decided func(Decision)
-	// Queued is called by Submit if the request has to wait, with the standing
-	// that keeps it from starting. It may be nil.
+	// Queued is called by Submit if the request has to wait, with the occupancy at
+	// that moment. It may be nil.
 	Queued func(Occupancy)
 
-	key  time.Duration
-	done bool
+	sortKey time.Duration
+	done    bool
 }
