--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -1,8 +1,7 @@
-// Package coordinator performs the duty of deciding on the expert map of one
-// group of ranks: it forms the group, plans changes from the reported loads of
-// the experts and carries them out through package lockstep. Any number of
-// processes may perform the duty at the same time; only the one with the highest
-// lease gets decisions through.
+// Package coordinator decides on the expert map of one group of ranks: it forms the group,
+// plans changes from the reported expert loads and carries them out with package lockstep.
+// Any number of processes may run a coordinator for a group at the same time; only
+// decisions with the highest fencing token take effect.
 package coordinator
 
 import (
@@ -15,43 +14,42 @@
 	"github.com/siskinford/siskinford/core/timeline"
 )
 
-// Lease is the source of fencing numbers.
+// Lease is the source of fencing tokens. Its methods must not block.
 type Lease interface {
-	// FencingToken returns the fencing number of the lease that this process believes to
-	// hold, and false if it holds none. It does not block; acquiring and renewing
-	// happen elsewhere. Fencing numbers of a group start at one, never repeat and
-	// only grow; a process that starts again gets a new one.
-	FencingToken() (number uint64, held bool)
-	// CoversChange reports whether the lease lasts long enough to complete a change: a
-	// group whose change is left half done stands still. It does not block.
+	// FencingToken returns the token of the lease that this process holds by its own clock,
+	// and false if it holds none. Renewal and acquisition happen elsewhere. Tokens of a group
+	// start at one and strictly increase; a restarted process gets a new one.
+	FencingToken() (token uint64, held bool)
+	// CoversChange reports whether the lease lasts long enough to complete a change: a group
+	// with a half-done change stalls.
 	CoversChange() bool
-	// MarkFenced tells that the number can no longer be used, mostly because a higher
-	// one is in use. A new number is needed to go on. It does not block.
-	MarkFenced(number uint64)
+	// MarkFenced reports that the token must no longer be used, usually because a higher one
+	// is in use. The coordinator then needs a new token.
+	MarkFenced(token uint64)
 }
 
-// Transport carries messages to the agents of the group's ranks.
+// Transport sends messages to the agents of the group's ranks.
 type Transport interface {
-	// Send sends an order to its rank. It does not block and may lose the order.
+	// Send sends an order to its rank. It must not block and may lose the order.
 	Send(o groupmsg.Order)
 }
 
-// Config sets up a Duty.
+// Config configures a Coordinator.
 type Config struct {
-	// Group is the group to coordinate. It has no default.
+	// Group is the group to coordinate. Required.
 	Group id.Group
-	// Layers is the number of layers with experts. It has no default.
+	// Layers is the number of layers with experts. Required.
 	Layers int
-	// Shape describes each layer and the cost of a change. Ranks, Experts and
-	// SlotsPerRank have no default.
+	// Shape describes each layer and the cost of a change. Ranks, Experts and SlotsPerRank
+	// are required.
 	Shape expertmap.Config
-	// Policy plans each layer. Default expertmap.Incremental.
+	// Policy plans each layer. Default: expertmap.Incremental.
 	Policy expertmap.Policy
-	// Lockstep sets up the protocol. Its number of ranks is taken from Shape.
+	// Lockstep configures the protocol. Its number of ranks is taken from Shape.
 	Lockstep lockstep.Config
-	// PlanTicks is the number of ticks between two plans. Default 600.
+	// PlanTicks is the number of ticks between plans. Default: 600.
 	PlanTicks int
-	// Recorder receives events. Default timeline.Discard.
+	// Recorder receives events. Default: timeline.Discard.
 	Recorder timeline.Recorder
 }
 
@@ -76,156 +74,157 @@
 // concurrent use.
 type Coordinator struct {
 	cfg       Config
-	leases    Lease
+	lease     Lease
 	transport Transport
 
-	// mu guards the fields below. Transport and Leases are called with mu held;
-	// they must not call back.
-	mu    sync.Mutex
-	lease uint64
-	core  *lockstep.Coordinator
-	atlas *atlas
-	// made counts the maps made under the lease.
-	made      uint16
-	sincePlan int
-	phase     lockstep.Phase
-	silent    []int
-	committed lockstep.Target
+	// mu guards the fields below. Transport and Lease are called with mu held; they must not
+	// call back.
+	mu       sync.Mutex
+	token    uint64
+	protocol *lockstep.Coordinator
+	maps     *mapState
+	// versionsUsed counts the map versions created under the token.
+	versionsUsed   uint16
+	ticksSincePlan int
+	phase          lockstep.Phase
+	silent         []int
+	committed      lockstep.Target
 }
 
-// New returns a duty that is idle until the process holds the lease.
-func New(cfg Config, leases Lease, transport Transport) *Coordinator {
-	return &Coordinator{cfg: cfg.withDefaults(), leases: leases, transport: transport}
+// New returns a coordinator that is idle until the process holds the lease.
+func New(cfg Config, lease Lease, transport Transport) *Coordinator {
+	return &Coordinator{cfg: cfg.withDefaults(), lease: lease, transport: transport}
 }
 
-// Status is what operators see of a duty.
+// Status is the state of a coordinator as operators see it.
 type Status struct {
 	Group id.Group `json:"group"`
 	// Active is false while the process does not hold the lease.
 	Active bool           `json:"active"`
 	Epoch  lockstep.Epoch `json:"epoch"`
 	Phase  lockstep.Phase `json:"phase"`
-	// Committed is the decision that every rank has taken, if there is one.
+	// Committed is the last decision that every rank has accepted, if any.
 	Committed lockstep.Target `json:"committed"`
-	// Step is the greatest next step that a rank has reported.
+	// Step is the greatest next step reported by a rank.
 	Step lockstep.Step `json:"step"`
-	// WaitsFor are the ranks that have not done yet what the phase needs.
+	// WaitsFor are the ranks that the current phase still waits for.
 	WaitsFor []int `json:"waits_for"`
-	// Silent are the ranks whose agent or engine has not answered lately.
+	// Silent are the ranks whose agent or engine has not answered recently.
 	Silent []int `json:"silent"`
 }
 
 // Status returns the current state.
-func (d *Coordinator) Status() Status {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s := Status{Group: d.cfg.Group, Active: d.core != nil}
-	if d.core == nil {
+func (c *Coordinator) Status() Status {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := Status{Group: c.cfg.Group, Active: c.protocol != nil}
+	if c.protocol == nil {
 		return s
 	}
-	s.Epoch = d.core.Epoch()
-	s.Phase = d.core.Phase()
-	s.Committed, _ = d.core.Committed()
-	s.WaitsFor = d.core.WaitsFor()
-	s.Silent = d.core.Silent()
-	for i := range d.cfg.Shape.Ranks {
-		if r, ok := d.core.Report(i); ok {
+	s.Epoch = c.protocol.Epoch()
+	s.Phase = c.protocol.Phase()
+	s.Committed, _ = c.protocol.Committed()
+	s.WaitsFor = c.protocol.WaitsFor()
+	s.Silent = c.protocol.Silent()
+	for i := range c.cfg.Shape.Ranks {
+		if r, ok := c.protocol.Report(i); ok {
 			s.Step = max(s.Step, r.Next)
 		}
 	}
 	return s
 }
 
-// Tick advances the duty. It is called at an interval and does not block.
-func (d *Coordinator) Tick() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.checkLease() {
+// Tick advances the coordinator. It is called at a fixed interval and does not block.
+func (c *Coordinator) Tick() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.checkLease() {
 		return
 	}
-	d.sincePlan++
-	d.core.SetCautious(!d.leases.CoversChange())
-	d.advance()
-	d.send(d.core.Tick())
-	d.noteSilent()
+	c.ticksSincePlan++
+	c.protocol.SetCautious(!c.lease.CoversChange())
+	c.advance()
+	c.send(c.protocol.Tick())
+	c.recordSilent()
 }
 
-// Receive takes in a status. It is called by the transport and does not block.
-func (d *Coordinator) Receive(s groupmsg.Status) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.core == nil || s.Group != d.cfg.Group {
+// Receive processes a status. The transport calls it; it does not block.
+func (c *Coordinator) Receive(s groupmsg.Status) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.protocol == nil || s.Group != c.cfg.Group {
 		return
 	}
-	if !validRank(s, d.cfg) {
+	if !rankInRange(s, c.cfg) {
 		return
 	}
-	if s.Report.Epoch == d.core.Epoch() {
-		d.atlas.take(s)
+	if s.Report.Epoch == c.protocol.Epoch() {
+		c.maps.addStatus(s)
 	}
-	cmds := d.core.Receive(s.Report)
-	d.advance()
-	d.send(cmds)
+	cmds := c.protocol.Receive(s.Report)
+	c.advance()
+	c.send(cmds)
 }
 
-func validRank(s groupmsg.Status, cfg Config) bool {
+func rankInRange(s groupmsg.Status, cfg Config) bool {
 	return s.Report.Rank >= 0 && s.Report.Rank < cfg.Shape.Ranks
 }
 
-// checkLease follows the lease: a new number starts a new coordinator, a lost one ends it.
-func (d *Coordinator) checkLease() bool {
-	number, held := d.leases.FencingToken()
+// checkLease starts a coordinator for a new token, stops it when the lease is lost, and
+// reports whether the lease is held.
+func (c *Coordinator) checkLease() bool {
+	token, held := c.lease.FencingToken()
 	if !held {
-		d.stop()
+		c.stop()
 		return false
 	}
-	if d.core != nil && number == d.lease {
+	if c.protocol != nil && token == c.token {
 		return true
 	}
-	if number <= d.lease {
-		// Epochs and versions of a used lease would repeat.
-		d.stop()
-		d.leases.MarkFenced(number)
+	if token <= c.token {
+		// Epochs and versions under a reused token would repeat.
+		c.stop()
+		c.lease.MarkFenced(token)
 		return false
 	}
-	d.start(number)
+	c.start(token)
 	return true
 }
 
-func (d *Coordinator) start(number uint64) {
-	d.lease = number
-	d.made = 0
-	d.core = lockstep.NewCoordinator(d.cfg.Lockstep, number)
-	d.atlas = newAtlas(d.cfg)
-	d.sincePlan = 0
-	d.phase = ""
-	d.silent = nil
-	d.committed = lockstep.Target{}
-	d.record(EventStarted, "lease %d", number)
+func (c *Coordinator) start(token uint64) {
+	c.token = token
+	c.versionsUsed = 0
+	c.protocol = lockstep.NewCoordinator(c.cfg.Lockstep, token)
+	c.maps = newMapState(c.cfg)
+	c.ticksSincePlan = 0
+	c.phase = ""
+	c.silent = nil
+	c.committed = lockstep.Target{}
+	c.record(EventStarted, "lease %d", token)
 }
 
-func (d *Coordinator) stop() {
-	if d.core == nil {
+func (c *Coordinator) stop() {
+	if c.protocol == nil {
 		return
 	}
-	d.core = nil
-	d.record(EventStopped, "lease %d", d.lease)
+	c.protocol = nil
+	c.record(EventStopped, "lease %d", c.token)
 }
 
-// send completes the commands and hands them to the transport.
-func (d *Coordinator) send(cmds []lockstep.Command) {
-	for _, c := range cmds {
-		o := groupmsg.Order{Group: d.cfg.Group, Command: c}
-		switch c.Kind {
+// send adds weights or layout requests to the commands and sends them.
+func (c *Coordinator) send(cmds []lockstep.Command) {
+	for _, cmd := range cmds {
+		o := groupmsg.Order{Group: c.cfg.Group, Command: cmd}
+		switch cmd.Kind {
 		case lockstep.Stage:
-			w, ok := d.atlas.weights(c.Map, c.Rank)
+			w, ok := c.maps.weightsFor(cmd.Map, cmd.Rank)
 			if !ok {
 				continue
 			}
 			o.Weights = &w
 		case lockstep.Join:
-			o.Describe = d.atlas.wanted(c.Rank)
+			o.Describe = c.maps.layoutToRequest(cmd.Rank)
 		}
-		d.transport.Send(o)
+		c.transport.Send(o)
 	}
 }
--- a/entry/coordinator/coordinator_test.go
+++ b/entry/coordinator/coordinator_test.go
@@ -12,23 +12,23 @@
 )
 
 type fakeLease struct {
-	number uint64
-	held   bool
-	late   bool
-	fenced []uint64
+	token    uint64
+	held     bool
+	expiring bool
+	fenced   []uint64
 }
 
-func (l *fakeLease) FencingToken() (uint64, bool) { return l.number, l.held }
+func (l *fakeLease) FencingToken() (uint64, bool) { return l.token, l.held }
 
-func (l *fakeLease) CoversChange() bool       { return !l.late }
-func (l *fakeLease) MarkFenced(number uint64) { l.fenced = append(l.fenced, number) }
+func (l *fakeLease) CoversChange() bool       { return !l.expiring }
+func (l *fakeLease) MarkFenced(token uint64) { l.fenced = append(l.fenced, token) }
 
 type sentOrders struct{ orders []groupmsg.Order }
 
 func (s *sentOrders) Send(o groupmsg.Order) { s.orders = append(s.orders, o) }
 
-// take returns the orders since the last call.
-func (s *sentOrders) take() []groupmsg.Order {
+// drain returns the orders sent since the last call.
+func (s *sentOrders) drain() []groupmsg.Order {
 	out := s.orders
 	s.orders = nil
 	return out
@@ -41,13 +41,13 @@
 	}
 }
 
-func newTestDuty() (*Coordinator, *fakeLease, *sentOrders) {
-	l, s := &fakeLease{number: 1, held: true}, &sentOrders{}
+func newTestCoordinator() (*Coordinator, *fakeLease, *sentOrders) {
+	l, s := &fakeLease{token: 1, held: true}, &sentOrders{}
 	return New(testConfig(), l, s), l, s
 }
 
-// running returns a report of a rank that runs a map of an earlier coordinator in epoch.
-func running(rank int, epoch lockstep.Epoch, seq uint64) groupmsg.Status {
+// statusOfRunningRank returns the status of a rank with a map of an earlier coordinator.
+func statusOfRunningRank(rank int, epoch lockstep.Epoch, seq uint64) groupmsg.Status {
 	return groupmsg.Status{Group: "g", Report: lockstep.Report{
 		Rank: rank, Incarnation: "inc", Seq: seq, Epoch: epoch, Next: 100, Staged: []lockstep.Version{9},
 		Committed: lockstep.Target{Formation: 5, Map: 9},
@@ -55,87 +55,86 @@
 }
 
 func TestFollowsLease(t *testing.T) {
-	d, l, s := newTestDuty()
+	c, l, s := newTestCoordinator()
 	l.held = false
-	d.Tick()
-	assert.Equal(t, len(s.take()), 0)
-	assert.Assert(t, !d.Status().Active)
+	c.Tick()
+	assert.Equal(t, len(s.drain()), 0)
+	assert.Assert(t, !c.Status().Active)
 	l.held = true
-	d.Tick()
-	orders := s.take()
+	c.Tick()
+	orders := s.drain()
 	assert.Equal(t, len(orders), 2)
 	assert.Equal(t, orders[0].Command, lockstep.Command{Kind: lockstep.Join, Epoch: lockstep.NewEpoch(1)})
-	l.number = 2
-	d.Tick()
-	assert.Equal(t, s.take()[1].Command.Epoch, lockstep.NewEpoch(2))
-	d.Receive(running(0, lockstep.NewEpoch(3), 1))
-	d.Tick()
+	l.token = 2
+	c.Tick()
+	assert.Equal(t, s.drain()[1].Command.Epoch, lockstep.NewEpoch(2))
+	c.Receive(statusOfRunningRank(0, lockstep.NewEpoch(3), 1))
+	c.Tick()
 	assert.DeepEqual(t, l.fenced, []uint64{2})
-	assert.Equal(t, d.Status().Phase, lockstep.PhaseFenced)
-	assert.Equal(t, len(s.take()), 0)
+	assert.Equal(t, c.Status().Phase, lockstep.PhaseFenced)
+	assert.Equal(t, len(s.drain()), 0)
 }
 
-// TestLeaseNumberIsUsedOnce verifies that a lease which was given up and shows
-// again with the same number gets no second coordinator: its epochs and versions
-// would repeat.
-func TestLeaseNumberIsUsedOnce(t *testing.T) {
-	d, l, s := newTestDuty()
-	d.Tick()
-	s.take()
+// TestFencingTokenIsUsedOnce checks that a lease that returns with an old token starts no
+// coordinator: its epochs and versions would repeat.
+func TestFencingTokenIsUsedOnce(t *testing.T) {
+	c, l, s := newTestCoordinator()
+	c.Tick()
+	s.drain()
 	l.held = false
-	d.Tick()
-	for _, number := range []uint64{1, 0} {
-		l.number, l.held = number, true
-		d.Tick()
-		assert.Equal(t, len(s.take()), 0, "lease %d", number)
-		assert.Assert(t, !d.Status().Active, "lease %d", number)
+	c.Tick()
+	for _, token := range []uint64{1, 0} {
+		l.token, l.held = token, true
+		c.Tick()
+		assert.Equal(t, len(s.drain()), 0, "lease %d", token)
+		assert.Assert(t, !c.Status().Active, "lease %d", token)
 	}
 	assert.DeepEqual(t, l.fenced, []uint64{1, 0})
-	l.number = 2
-	d.Tick()
-	assert.Assert(t, d.Status().Active)
+	l.token = 2
+	c.Tick()
+	assert.Assert(t, c.Status().Active)
 }
 
 func TestIgnoresStrayStatus(t *testing.T) {
-	d, _, s := newTestDuty()
-	d.Receive(running(0, lockstep.NewEpoch(1), 1))
-	d.Tick()
-	s.take()
-	other := running(0, lockstep.NewEpoch(1), 1)
+	c, _, s := newTestCoordinator()
+	c.Receive(statusOfRunningRank(0, lockstep.NewEpoch(1), 1))
+	c.Tick()
+	s.drain()
+	other := statusOfRunningRank(0, lockstep.NewEpoch(1), 1)
 	other.Group = "other"
-	d.Receive(other)
-	d.Receive(running(2, lockstep.NewEpoch(1), 1))
-	assert.Equal(t, len(s.take()), 0)
-	assert.DeepEqual(t, d.Status().WaitsFor, []int{0, 1})
+	c.Receive(other)
+	c.Receive(statusOfRunningRank(2, lockstep.NewEpoch(1), 1))
+	assert.Equal(t, len(s.drain()), 0)
+	assert.DeepEqual(t, c.Status().WaitsFor, []int{0, 1})
 }
 
-// TestTakesOverMap verifies that a new coordinator asks for the layout of a map
-// that it did not make and plans from it by the reported loads.
-func TestTakesOverMap(t *testing.T) {
-	d, _, s := newTestDuty()
+// TestPlansFromMapOfEarlierCoordinator checks that a new coordinator requests the layout
+// of a map that it did not plan, and plans from it with the reported loads.
+func TestPlansFromMapOfEarlierCoordinator(t *testing.T) {
+	c, _, s := newTestCoordinator()
 	epoch := lockstep.NewEpoch(1)
-	d.Tick()
+	c.Tick()
 	for rank := range 2 {
-		d.Receive(running(rank, epoch, 1))
+		c.Receive(statusOfRunningRank(rank, epoch, 1))
 	}
-	s.take()
+	s.drain()
 	for range 4 {
-		d.Tick()
+		c.Tick()
 	}
-	for _, o := range s.take() {
+	for _, o := range s.drain() {
 		assert.Equal(t, o.Describe, lockstep.Version(9))
 	}
 	layouts := []groupmsg.Layout{{{0, 1}}, {{2, 0}}}
 	tokens := [][]uint64{{1000, 100_000}, {1000, 1000}}
 	for rank := range 2 {
-		status := running(rank, epoch, 2)
+		status := statusOfRunningRank(rank, epoch, 2)
 		status.Described = &groupmsg.Weights{Map: 9, Layout: layouts[rank]}
 		status.Loads = &groupmsg.Loads{Map: 9, Steps: 1, Tokens: [][]uint64{tokens[rank]}}
-		d.Receive(status)
+		c.Receive(status)
 	}
-	d.Tick()
+	c.Tick()
 	var staged []groupmsg.Order
-	for _, o := range s.take() {
+	for _, o := range s.drain() {
 		if o.Command.Kind == lockstep.Stage {
 			staged = append(staged, o)
 		}
@@ -146,17 +145,17 @@
 		Map: v, Layout: groupmsg.Layout{{2, 1}}, Moves: [][]expertmap.Move{{{Expert: 1, Rank: 1, Slot: 1, Source: 0}}},
 	})
 	assert.Equal(t, len(staged[0].Weights.Moves[0]), 0)
-	// The layout of an earlier map does not replace what is known now.
-	stray := running(0, epoch, 3)
+	// The layout of an earlier map must not replace that of the base.
+	stray := statusOfRunningRank(0, epoch, 3)
 	stray.Described = &groupmsg.Weights{Map: 8, Layout: groupmsg.Layout{{2, 2}}}
-	d.Receive(stray)
-	held, ok := d.atlas.held()
+	c.Receive(stray)
+	held, ok := c.maps.heldMaps()
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, held[0].Slots, [][]expertmap.Expert{{0, 1}, {2, 0}})
 }
 
-func TestRefusesMisfitLayouts(t *testing.T) {
-	a := newAtlas(testConfig().withDefaults())
+func TestValidLayout(t *testing.T) {
+	m := newMapState(testConfig().withDefaults())
 	tests := []struct {
 		name   string
 		layout groupmsg.Layout
@@ -169,23 +168,24 @@
 		{"negative expert", groupmsg.Layout{{0, -2}}, false},
 	}
 	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) { assert.Equal(t, a.fits(tt.layout), tt.want) })
+		t.Run(tt.name, func(t *testing.T) { assert.Equal(t, m.validLayout(tt.layout), tt.want) })
 	}
 }
 
-// TestNewGroup verifies that a group which holds nothing gets its first map from the store.
-func TestNewGroup(t *testing.T) {
-	d, _, s := newTestDuty()
-	d.Tick()
+// TestNewGroupLoadsFromStore checks that a group without weights loads its first map from
+// the store.
+func TestNewGroupLoadsFromStore(t *testing.T) {
+	c, _, s := newTestCoordinator()
+	c.Tick()
 	for rank := range 2 {
-		status := running(rank, lockstep.NewEpoch(1), 1)
+		status := statusOfRunningRank(rank, lockstep.NewEpoch(1), 1)
 		status.Report.Committed, status.Report.Staged = lockstep.Target{}, nil
-		d.Receive(status)
+		c.Receive(status)
 	}
-	s.take()
-	d.Tick()
+	s.drain()
+	c.Tick()
 	var moves int
-	for _, o := range s.take() {
+	for _, o := range s.drain() {
 		if o.Command.Kind != lockstep.Stage {
 			continue
 		}
@@ -197,40 +197,40 @@
 	assert.Equal(t, moves, 4)
 }
 
-// TestVersionsNeverRepeat verifies that a lease without versions left is given up.
+// TestVersionsNeverRepeat checks that a lease without versions left is given up.
 func TestVersionsNeverRepeat(t *testing.T) {
-	d, l, _ := newTestDuty()
-	d.Tick()
-	d.made = math.MaxUint16
-	d.set(proposal{})
+	c, l, _ := newTestCoordinator()
+	c.Tick()
+	c.versionsUsed = math.MaxUint16
+	c.setTarget(proposal{})
 	assert.DeepEqual(t, l.fenced, []uint64{1})
-	assert.Equal(t, d.made, uint16(math.MaxUint16))
+	assert.Equal(t, c.versionsUsed, uint16(math.MaxUint16))
 }
 
-// TestNoChangeWithoutRenewal verifies that a lease which was not renewed in time
-// begins no change, and that the change goes on after the renewal.
+// TestNoChangeWithoutRenewal checks that no change begins while the lease renewal is late,
+// and that the change proceeds after the renewal.
 func TestNoChangeWithoutRenewal(t *testing.T) {
-	d, l, s := newTestDuty()
-	d.Tick()
+	c, l, s := newTestCoordinator()
+	c.Tick()
 	epoch := lockstep.NewEpoch(1)
 	layouts := []groupmsg.Layout{{{0, 1}}, {{2, 0}}}
 	for seq := range uint64(2) {
 		for rank := range 2 {
-			status := running(rank, epoch, seq+1)
+			status := statusOfRunningRank(rank, epoch, seq+1)
 			status.Described = &groupmsg.Weights{Map: 9, Layout: layouts[rank]}
 			status.Loads = &groupmsg.Loads{Map: 9, Steps: 1, Tokens: [][]uint64{{1000, 100_000}}}
-			d.Receive(status)
+			c.Receive(status)
 		}
 	}
-	l.late = true
-	s.take()
+	l.expiring = true
+	s.drain()
 	for range 3 {
-		d.Tick()
+		c.Tick()
 	}
-	for _, o := range s.take() {
+	for _, o := range s.drain() {
 		assert.Equal(t, o.Command.Kind, lockstep.Join)
 	}
-	l.late = false
-	d.Tick()
-	assert.Equal(t, d.Status().Phase, lockstep.PhaseStaging)
+	l.expiring = false
+	c.Tick()
+	assert.Equal(t, c.Status().Phase, lockstep.PhaseStaging)
 }
--- a/entry/coordinator/plan.go
+++ b/entry/coordinator/plan.go
@@ -13,94 +13,93 @@
 	"github.com/siskinford/siskinford/core/timeline"
 )
 
-// Kinds of events.
 const (
-	// EventStarted and EventStopped tell that the duty follows a lease, or lost it.
+	// EventStarted and EventStopped record that the coordinator acquired or lost the lease.
 	EventStarted timeline.Kind = "coordinator.started"
 	EventStopped timeline.Kind = "coordinator.stopped"
-	// EventPhase tells what the coordinator waits for now.
+	// EventPhase records a new phase and the ranks it waits for.
 	EventPhase timeline.Kind = "coordinator.phase"
-	// EventSilent tells which ranks have not answered lately.
+	// EventSilent records a change of the silent ranks.
 	EventSilent timeline.Kind = "coordinator.silent-ranks"
-	// EventStaged tells that every rank holds the weights of a map.
+	// EventStaged records that every rank holds the weights of a map.
 	EventStaged timeline.Kind = "coordinator.staged"
-	// EventFormed tells that every rank is part of a new formation.
+	// EventFormed records that every rank has joined a new formation.
 	EventFormed timeline.Kind = "coordinator.formed"
-	// EventSwitched tells that every rank has the decision to use another map.
+	// EventSwitched records that every rank has accepted the switch to another map.
 	EventSwitched timeline.Kind = "coordinator.switched"
-	// EventPlanned tells the figures of a change that was set out on.
+	// EventPlanned records the moves, gain and cost of a planned change.
 	EventPlanned timeline.Kind = "coordinator.planned"
 )
 
 var (
 	plansMade   = metrics.NewCounter(`siskinford_expertmap_plans_total`)
-	bytesRanks  = metrics.NewCounter(`siskinford_expertmap_bytes_total{source="rank"}`)
-	bytesStore  = metrics.NewCounter(`siskinford_expertmap_bytes_total{source="store"}`)
+	rankBytes   = metrics.NewCounter(`siskinford_expertmap_bytes_total{source="rank"}`)
+	storeBytes  = metrics.NewCounter(`siskinford_expertmap_bytes_total{source="store"}`)
 	timesFenced = metrics.NewCounter(`siskinford_coordinator_fenced_total`)
 )
 
-// advance notes the phase, keeps the atlas up to date and plans if it is time to.
-func (d *Coordinator) advance() {
-	d.notePhase()
-	d.noteCommitted()
-	reports, ok := d.reports()
-	if !ok || d.phase == lockstep.PhaseFenced {
+// advance updates phase and maps, and plans if the phase asks for it.
+func (c *Coordinator) advance() {
+	c.updatePhase()
+	c.recordCommitted()
+	reports, ok := c.reports()
+	if !ok || c.phase == lockstep.PhaseFenced {
 		return
 	}
-	d.atlas.update(reports)
-	switch d.phase {
+	c.maps.applyReports(reports)
+	switch c.phase {
 	case lockstep.PhaseStaging:
-		d.planMissing()
+		c.planStaging()
 	case lockstep.PhaseSteady:
-		d.planLoad()
+		c.rebalance()
 	}
 }
 
-func (d *Coordinator) notePhase() {
-	phase := d.core.Phase()
-	if phase == d.phase {
+func (c *Coordinator) updatePhase() {
+	phase := c.protocol.Phase()
+	if phase == c.phase {
 		return
 	}
-	if d.phase == lockstep.PhaseStaging && (phase == lockstep.PhaseChanging || phase == lockstep.PhaseForming) {
-		d.record(EventStaged, "map %d", d.core.Staging())
+	if c.phase == lockstep.PhaseStaging && (phase == lockstep.PhaseChanging || phase == lockstep.PhaseForming) {
+		c.record(EventStaged, "map %d", c.protocol.Staging())
 	}
-	d.phase = phase
-	d.record(EventPhase, "%s at epoch %d, waits for ranks %v", phase, d.core.Epoch(), d.core.WaitsFor())
+	c.phase = phase
+	c.record(EventPhase, "%s at epoch %d, waits for ranks %v", phase, c.protocol.Epoch(), c.protocol.WaitsFor())
 	if phase == lockstep.PhaseFenced {
 		timesFenced.Inc()
-		d.leases.MarkFenced(d.lease)
+		c.lease.MarkFenced(c.token)
 	}
 }
 
-// noteCommitted records a decision that every rank has taken. The first one that
-// a coordinator finds may be that of an earlier coordinator.
-func (d *Coordinator) noteCommitted() {
-	t, ok := d.core.Committed()
-	if !ok || t == d.committed {
+// recordCommitted records a decision that every rank has accepted. The first one may be
+// that of an earlier coordinator.
+func (c *Coordinator) recordCommitted() {
+	t, ok := c.protocol.Committed()
+	if !ok || t == c.committed {
 		return
 	}
-	d.committed = t
+	c.committed = t
 	kind := EventSwitched
 	if t.Forms() {
 		kind = EventFormed
 	}
-	d.record(kind, "map %d from step %d of formation %d", t.Map, t.Step, t.Formation)
+	c.record(kind, "map %d from step %d of formation %d", t.Map, t.Step, t.Formation)
 }
 
-func (d *Coordinator) noteSilent() {
-	silent := d.core.Silent()
-	if slices.Equal(silent, d.silent) {
+func (c *Coordinator) recordSilent() {
+	silent := c.protocol.Silent()
+	if slices.Equal(silent, c.silent) {
 		return
 	}
-	d.silent = silent
-	d.record(EventSilent, "ranks %v", silent)
+	c.silent = silent
+	c.record(EventSilent, "ranks %v", silent)
 }
 
-// reports returns the reports of all ranks in the current epoch.
-func (d *Coordinator) reports() ([]lockstep.Report, bool) {
-	out := make([]lockstep.Report, d.cfg.Shape.Ranks)
+// reports returns all ranks' reports in the current epoch, and false if any is missing.
+func (c *Coordinator) reports() ([]lockstep.Report, bool) {
+	out := make([]lockstep.Report, c.cfg.Shape.Ranks)
 	for i := range out {
-		r, ok := d.core.Report(i)
+		r, ok := c.protocol.Report(i)
 		if !ok {
 			return nil, false
 		}
@@ -109,28 +108,28 @@
 	return out, true
 }
 
-// planMissing makes a map if the one to stage is not known to this coordinator,
-// as for a new group, or after a rank was replaced under a new coordinator.
-func (d *Coordinator) planMissing() {
-	wanted := d.core.Staging()
-	if wanted != 0 && d.atlas.knows(wanted) {
+// planStaging plans a map if this coordinator did not plan the one to stage: for a new
+// group, or after a rank was replaced under a new coordinator.
+func (c *Coordinator) planStaging() {
+	wanted := c.protocol.Staging()
+	if wanted != 0 && c.maps.hasPlanned(wanted) {
 		return
 	}
-	held, ok := d.atlas.held()
+	held, ok := c.maps.heldMaps()
 	if !ok {
 		return
 	}
-	load, ok := d.atlas.load(held)
+	load, ok := c.maps.expertLoad(held)
 	if !ok {
-		load = d.uniformLoad()
+		load = c.uniformLoad()
 	}
-	d.set(d.plan(held, load))
+	c.setTarget(c.plan(held, load))
 }
 
-func (d *Coordinator) uniformLoad() []expertmap.Load {
-	out := make([]expertmap.Load, d.cfg.Layers)
+func (c *Coordinator) uniformLoad() []expertmap.Load {
+	out := make([]expertmap.Load, c.cfg.Layers)
 	for i := range out {
-		out[i] = make(expertmap.Load, d.cfg.Shape.Experts)
+		out[i] = make(expertmap.Load, c.cfg.Shape.Experts)
 		for e := range out[i] {
 			out[i][e] = 1
 		}
@@ -138,40 +137,40 @@
 	return out
 }
 
-// planLoad plans a change for the reported load, at an interval.
-func (d *Coordinator) planLoad() {
-	if d.sincePlan < d.cfg.PlanTicks {
+// rebalance plans a change for the reported loads every PlanTicks ticks.
+func (c *Coordinator) rebalance() {
+	if c.ticksSincePlan < c.cfg.PlanTicks {
 		return
 	}
-	held, ok := d.atlas.held()
+	held, ok := c.maps.heldMaps()
 	if !ok {
 		return
 	}
-	load, ok := d.atlas.load(held)
+	load, ok := c.maps.expertLoad(held)
 	if !ok {
 		return
 	}
-	d.sincePlan = 0
-	d.atlas.forgetLoads()
-	p := d.plan(held, load)
+	c.ticksSincePlan = 0
+	c.maps.clearLoads()
+	p := c.plan(held, load)
 	if p.moves > 0 {
-		d.set(p)
+		c.setTarget(p)
 	}
 }
 
-// proposal is the plan of all layers.
+// proposal is a planned change of all layers.
 type proposal struct {
-	target     layers
+	target     layerMaps
 	moves      int
 	rankBytes  int64
 	storeBytes int64
 	gain, cost time.Duration
 }
 
-func (d *Coordinator) plan(held layers, load []expertmap.Load) proposal {
-	p := proposal{target: make(layers, len(held))}
+func (c *Coordinator) plan(held layerMaps, load []expertmap.Load) proposal {
+	p := proposal{target: make(layerMaps, len(held))}
 	for i := range held {
-		layer := d.cfg.Policy.Plan(held[i], load[i])
+		layer := c.cfg.Policy.Plan(held[i], load[i])
 		p.target[i] = layer.Target
 		p.moves += len(layer.Moves)
 		p.rankBytes += layer.RankBytes
@@ -182,26 +181,26 @@
 	return p
 }
 
-// set makes the proposal the target of the group.
-func (d *Coordinator) set(p proposal) {
-	if d.made == math.MaxUint16 {
-		// The lease has no versions left.
-		d.leases.MarkFenced(d.lease)
+// setTarget assigns a version to the proposal and makes it the target of the group.
+func (c *Coordinator) setTarget(p proposal) {
+	if c.versionsUsed == math.MaxUint16 {
+		// No versions are left under this token.
+		c.lease.MarkFenced(c.token)
 		return
 	}
-	d.made++
-	v := lockstep.NewVersion(d.lease, d.made)
-	d.atlas.add(v, p.target)
-	d.core.SetTarget(v)
+	c.versionsUsed++
+	v := lockstep.NewVersion(c.token, c.versionsUsed)
+	c.maps.addPlanned(v, p.target)
+	c.protocol.SetTarget(v)
 	plansMade.Inc()
-	bytesRanks.AddInt64(p.rankBytes)
-	bytesStore.AddInt64(p.storeBytes)
-	d.record(EventPlanned, "map %d: %d moves, %d bytes from ranks, %d from the store, gain %s, cost %s",
+	rankBytes.AddInt64(p.rankBytes)
+	storeBytes.AddInt64(p.storeBytes)
+	c.record(EventPlanned, "map %d: %d moves, %d bytes from ranks, %d from the store, gain %s, cost %s",
 		v, p.moves, p.rankBytes, p.storeBytes, p.gain, p.cost)
 }
 
-func (d *Coordinator) record(kind timeline.Kind, format string, args ...any) {
-	d.cfg.Recorder.Record(timeline.Event{
-		Kind: kind, Duty: string(d.cfg.Group), Detail: fmt.Sprintf(format, args...),
+func (c *Coordinator) record(kind timeline.Kind, format string, args ...any) {
+	c.cfg.Recorder.Record(timeline.Event{
+		Kind: kind, Duty: string(c.cfg.Group), Detail: fmt.Sprintf(format, args...),
 	})
 }
