--- a/entry/dispatch/assembler.go
+++ b/entry/dispatch/assembler.go
@@ -9,44 +9,45 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// GapError reports that a frame is missing.
+// GapError reports a gap in the sequence of frames.
 type GapError struct{ Want, Got uint32 }
 
 func (e *GapError) Error() string {
 	return fmt.Sprintf("frame %d arrived instead of frame %d", e.Got, e.Want)
 }
 
-// ChecksumError reports an answer that differs from the one that was sent.
+// ChecksumError reports a response that differs from the one that the agent sent.
 type ChecksumError struct{ Want, Got uint64 }
 
 func (e *ChecksumError) Error() string {
 	return fmt.Sprintf("answer has checksum %016x instead of %016x", e.Got, e.Want)
 }
 
-// assembler puts the frames of one attempt in order.
+// assembler checks the order, completeness and checksum of one attempt's frames.
 type assembler struct {
 	attempt id.Attempt
-	// adopt permits the first frame to be of another attempt, which happens when
-	// an action was started by an earlier attempt.
-	adopt  bool
-	next   uint32
-	digest *xxhash.Digest
-	end    *msg.End
+	// adoptAttempt expects the attempt of the first frame, whichever it is: an action
+	// may have been started by an earlier attempt.
+	adoptAttempt bool
+	nextSeq      uint32
+	digest       *xxhash.Digest
+	end          *msg.End
 }
 
 func newAssembler(attempt id.Attempt, adopt bool) *assembler {
-	return &assembler{attempt: attempt, adopt: adopt, digest: xxhash.New()}
+	return &assembler{attempt: attempt, adoptAttempt: adopt, digest: xxhash.New()}
 }
 
-// owns reports whether f belongs to the attempt.
-func (a *assembler) owns(f *msg.Frame) bool { return a.adopt || f.Attempt == a.attempt }
+// matches reports whether f belongs to the expected attempt.
+func (a *assembler) matches(f *msg.Frame) bool { return a.adoptAttempt || f.Attempt == a.attempt }
 
-// accept reports whether f is the next frame. Frames of other attempts and
-// duplicates are not. A missing frame is a *GapError, a wrong end a *ChecksumError.
+// accept reports whether f is the next frame; duplicates and frames of other
+// attempts are not. It returns a *GapError for a missing frame and a
+// *ChecksumError for a corrupt response.
 func (a *assembler) accept(f *msg.Frame) (bool, error) {
-	if a.adopt {
+	if a.adoptAttempt {
 		a.attempt = f.Attempt
-		a.adopt = false
+		a.adoptAttempt = false
 	}
 	if f.Attempt != a.attempt || a.end != nil {
 		return false, nil
@@ -55,23 +56,23 @@
 		a.end = f.End
 		return true, nil
 	}
-	if f.Seq < a.next {
+	if f.Seq < a.nextSeq {
 		return false, nil
 	}
-	if f.Seq > a.next {
-		return false, &GapError{Want: a.next, Got: f.Seq}
+	if f.Seq > a.nextSeq {
+		return false, &GapError{Want: a.nextSeq, Got: f.Seq}
 	}
 	if f.End != nil {
-		return a.finish(f.End)
+		return a.verifyEnd(f.End)
 	}
-	a.next++
+	a.nextSeq++
 	_, _ = a.digest.Write(f.Data)
 	return true, nil
 }
 
-func (a *assembler) finish(end *msg.End) (bool, error) {
-	if end.Count != a.next {
-		return false, &GapError{Want: a.next, Got: end.Count}
+func (a *assembler) verifyEnd(end *msg.End) (bool, error) {
+	if end.Count != a.nextSeq {
+		return false, &GapError{Want: a.nextSeq, Got: end.Count}
 	}
 	if sum := a.digest.Sum64(); sum != end.Checksum {
 		return false, &ChecksumError{Want: end.Checksum, Got: sum}
--- a/entry/dispatch/call.go
+++ b/entry/dispatch/call.go
@@ -1,6 +1,6 @@
-// Package dispatch runs the requests of callers at endpoints: it picks an
-// endpoint, sends an attempt to its agent, assembles the answer, reattaches after
-// lost connections and reports what is known of the outcome.
+// Package dispatch runs requests at endpoints: it picks an endpoint, sends an
+// attempt to its agent, assembles the response, reattaches after lost connections
+// and determines the outcome.
 package dispatch
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// Call is one request to run.
+// Call is one request to dispatch.
 type Call struct {
 	Request id.Request
 	Team    id.Team
@@ -22,54 +22,54 @@
 	Action      id.Action
 	Ticket      string
 	PayloadHash uint64
-	// Binding fixes endpoint and incarnation, for actions.
+	// Binding fixes the endpoint and incarnation of an action.
 	Binding *Binding
 	// Idempotent permits another attempt after one that may have run.
 	Idempotent bool
-	// Deadline bounds the time to the first frame of the answer.
+	// Deadline bounds the time to the first frame of the response.
 	Deadline time.Time
 	Class    msg.Class
 	// Work is the predicted work in tokens.
 	Work         uint32
 	PromptBlocks []uint64
-	// OnFirstFrame is called once with the time until the answer began or was
-	// given up. It may be nil and must not block.
+	// OnFirstFrame is called once with the time from the start of an attempt to its
+	// first frame or its withdrawal. It may be nil and must not block.
 	OnFirstFrame func(after time.Duration)
 	Chat         *msg.Chat
 	Plain        *msg.Plain
 }
 
-// Binding names where an action may run.
+// Binding is the only endpoint and agent incarnation that may run an action.
 type Binding struct {
 	Endpoint    id.Endpoint
 	Incarnation id.Incarnation
 }
 
-// Sink receives the answer on the goroutine that called Run, in order, without
-// gaps and duplicates. It may block on the caller.
+// Sink receives the response on the goroutine that called Run, in order, without
+// gaps and duplicates. It may block while the caller is slow to read.
 type Sink interface {
 	// WriteFrames is called with one or more frames that carry a head or data.
 	WriteFrames(batch []*msg.Frame) error
 }
 
-// Result tells what became of a call.
+// Result is the final state of a call.
 type Result struct {
 	Outcome outcome.Outcome
-	// End is set if the answer is complete.
+	// End is the last frame of the response, if it arrived.
 	End *msg.End
-	// Problem is set if it is not.
+	// Problem is nil if the response is complete.
 	Problem *problem.Problem
 	// Endpoint and Attempt are those of the last attempt, if any.
 	Endpoint id.Endpoint
 	Attempt  id.Attempt
-	// Attempts counts the attempts.
 	Attempts int
 	// Delivered is true if a frame was handed to the sink.
 	Delivered bool
 }
 
-// after returns the result for a call of which an earlier attempt may have run.
-func (r Result) after(mayHaveRun bool) Result {
+// withEarlierAttempts changes the outcome not-run to unknown if an earlier attempt
+// may have run.
+func (r Result) withEarlierAttempts(mayHaveRun bool) Result {
 	if !mayHaveRun || r.Outcome != outcome.NotRun {
 		return r
 	}
@@ -82,13 +82,14 @@
 	return r
 }
 
-// Directory knows where endpoints are reached.
+// Directory resolves endpoints to addresses.
 type Directory interface {
-	// Address returns the UDP address of the endpoint's agent.
+	// Address returns the UDP address of the endpoint's agent, or false if the
+	// endpoint is not configured.
 	Address(e id.Endpoint) (string, bool)
 }
 
-// Table receives feedback of dispatches. It is implemented by *route.Table.
+// Table receives the progress and latency of attempts. It is implemented by *route.Table.
 type Table interface {
 	Started(c route.Choice, now time.Time)
 	Finished(c route.Choice, now time.Time)
--- a/entry/dispatch/config.go
+++ b/entry/dispatch/config.go
@@ -6,18 +6,17 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// Config bounds the work of a Dispatcher.
+// Config sets the timeouts of a Dispatcher.
 type Config struct {
-	// RecoveryTimeout bounds the time in which a started answer must be found
-	// again after its connection was lost. Default: 5 s.
+	// RecoveryTimeout bounds reattaching to a started response after its connection
+	// was lost. Default: 5 s.
 	RecoveryTimeout time.Duration
-	// RecoveryInterval is the time between tries to reattach. Default: 100 ms.
+	// RecoveryInterval is the time between reattach attempts. Default: 100 ms.
 	RecoveryInterval time.Duration
-	// WithdrawTimeout bounds the wait for the verdict on a withdrawn attempt. Default: 1 s.
+	// WithdrawTimeout bounds the wait for the agent's verdict on a withdrawn attempt. Default: 1 s.
 	WithdrawTimeout time.Duration
 }
 
-// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
 		RecoveryTimeout:  5 * time.Second,
--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -15,7 +15,7 @@
 	"github.com/siskinford/siskinford/wire/link"
 )
 
-// Deps are the parts that a Dispatcher works with.
+// Deps are the dependencies of a Dispatcher.
 type Deps struct {
 	Zone      id.Zone
 	Picker    route.Picker
@@ -24,46 +24,45 @@
 	Directory Directory
 	Pool      *link.Pool
 	Recorder  timeline.Recorder
-	// OnChoice receives each choice of an endpoint with the candidates that were
-	// compared, or why there is none. It must not block. It may be nil.
+	// OnChoice is called for each choice of an endpoint with the candidates compared,
+	// or with the error if there is none. It must not block. It may be nil.
 	OnChoice func(c *Call, choice route.Choice, err error)
 }
 
-// Dispatcher runs calls. It is safe for concurrent use.
+// Dispatcher dispatches calls. It is safe for concurrent use.
 type Dispatcher struct {
 	config Config
 	deps   Deps
 }
 
-// New returns a Dispatcher.
 func New(c Config, d Deps) *Dispatcher {
 	return &Dispatcher{config: c, deps: d}
 }
 
-// Run runs a call and blocks until its answer has ended or its outcome is as
-// certain as it can become. When ctx ends the caller has left, and the attempt
-// is withdrawn.
+// Run dispatches a call and blocks until its response has ended or its outcome is as
+// certain as it can become. If ctx ends, because the caller disconnected or the
+// entry shuts down, the attempt is withdrawn.
 func (d *Dispatcher) Run(ctx context.Context, c *Call, sink Sink) Result {
 	d.deps.Budget.FirstTry()
 	var exclude []id.Endpoint
 	mayHaveRun := false
-	for try := 1; ; try++ {
+	for number := 1; ; number++ {
 		choice, err := d.choose(c, exclude)
 		if d.deps.OnChoice != nil {
 			d.deps.OnChoice(c, choice, err)
 		}
 		if err != nil {
-			r := Result{Outcome: outcome.NotRun, Problem: noEndpoint(err), Attempts: try - 1}
-			return r.after(mayHaveRun)
+			r := Result{Outcome: outcome.NotRun, Problem: noEndpointProblem(err), Attempts: number - 1}
+			return r.withEarlierAttempts(mayHaveRun)
 		}
-		r := d.try(ctx, c, choice, sink).after(mayHaveRun)
-		r.Attempts = try
+		r := d.runAttempt(ctx, c, choice, sink).withEarlierAttempts(mayHaveRun)
+		r.Attempts = number
 		if r.End != nil && r.Problem == nil {
 			return r
 		}
 		mayHaveRun = r.Outcome != outcome.NotRun
-		delay, again := d.mayRetry(ctx, c, r)
-		if !again {
+		delay, ok := d.retryDelay(ctx, c, r)
+		if !ok {
 			return r
 		}
 		exclude = append(exclude, choice.Endpoint)
@@ -74,7 +73,7 @@
 	}
 }
 
-// choose returns the bound endpoint of an action, or picks one.
+// choose returns the endpoint that an action is bound to, or picks one.
 func (d *Dispatcher) choose(c *Call, exclude []id.Endpoint) (route.Choice, error) {
 	if c.Binding != nil {
 		return route.Choice{Endpoint: c.Binding.Endpoint, Incarnation: c.Binding.Incarnation, Work: c.Work}, nil
@@ -86,36 +85,36 @@
 	return d.deps.Picker.Pick(request)
 }
 
-func noEndpoint(err error) *problem.Problem {
+func noEndpointProblem(err error) *problem.Problem {
 	p := problem.Newf(problem.NoEndpoint, "%v", err)
 	p.RetryAfter = time.Second
 	return p
 }
 
-func (d *Dispatcher) try(ctx context.Context, c *Call, choice route.Choice, sink Sink) Result {
-	t := &try{
+func (d *Dispatcher) runAttempt(ctx context.Context, c *Call, choice route.Choice, sink Sink) Result {
+	a := &attempt{
 		Dispatcher: d,
 		call:       c,
 		choice:     choice,
-		attempt:    id.NewAttempt(),
+		id:         id.NewAttempt(),
 		sink:       sink,
-		begun:      time.Now(),
+		startedAt:  time.Now(),
 	}
-	t.assembler = newAssembler(t.attempt, c.Action != "")
-	d.record(c, "request.dispatched", t.attempt, choice.Endpoint, string(choice.Incarnation))
+	a.assembler = newAssembler(a.id, c.Action != "")
+	d.record(c, "request.dispatched", a.id, choice.Endpoint, string(choice.Incarnation))
 	if c.Binding == nil {
-		d.deps.Table.Started(choice, t.begun)
+		d.deps.Table.Started(choice, a.startedAt)
 		defer func() { d.deps.Table.Finished(choice, time.Now()) }()
 	}
-	r := t.run(ctx)
+	r := a.run(ctx)
 	r.Endpoint = choice.Endpoint
-	r.Attempt = t.attempt
-	r.Delivered = t.delivered
+	r.Attempt = a.id
+	r.Delivered = a.delivered
 	return r
 }
 
-// mayRetry decides whether another attempt is permitted and sensible.
-func (d *Dispatcher) mayRetry(ctx context.Context, c *Call, r Result) (time.Duration, bool) {
+// retryDelay returns the delay before another attempt, or false if none is permitted.
+func (d *Dispatcher) retryDelay(ctx context.Context, c *Call, r Result) (time.Duration, bool) {
 	if c.Binding != nil || r.Delivered || ctx.Err() != nil || !retryable(r.Problem) {
 		return 0, false
 	}
@@ -125,7 +124,7 @@
 	})
 }
 
-// retryable reports whether another endpoint may answer differently.
+// retryable reports whether another endpoint may succeed.
 func retryable(p *problem.Problem) bool {
 	switch p.Code {
 	case problem.EndpointRefused, problem.Overloaded, problem.OutcomeUnknown, problem.AnswerIncomplete:
@@ -152,5 +151,5 @@
 	}
 }
 
-// errAbandoned is the cause of attempts withdrawn because nobody waits for their answer.
+// errAbandoned is the cause of withdrawing attempts whose response has no receiver.
 var errAbandoned = errors.New("the caller left or the entry shuts down")
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -25,18 +25,17 @@
 
 func asAttempt(s string) id.Attempt { return id.Attempt(s) }
 
-// respond answers one order of a scripted agent. Order counts from zero.
-type respond func(s *link.Session, o *msg.Order, order int)
+// responder handles one order of a scriptedAgent. order counts from zero.
+type responder func(s *link.Session, o *msg.Order, order int)
 
-// scripted is an agent that follows a script.
-type scripted struct {
-	respond respond
+type scriptedAgent struct {
+	respond responder
 
 	mu     sync.Mutex // leaf lock
 	orders []*msg.Order
 }
 
-func (a *scripted) Order(s *link.Session, o *msg.Order) {
+func (a *scriptedAgent) Order(s *link.Session, o *msg.Order) {
 	a.mu.Lock()
 	n := len(a.orders)
 	a.orders = append(a.orders, o)
@@ -44,12 +43,11 @@
 	a.respond(s, o, n)
 }
 
-func (a *scripted) Closed(*link.Session) {}
+func (a *scriptedAgent) Closed(*link.Session) {}
 
-func (a *scripted) Incarnation() id.Incarnation { return "inc" }
+func (a *scriptedAgent) Incarnation() id.Incarnation { return "inc" }
 
-// dispatches returns the number of dispatches that arrived.
-func (a *scripted) dispatches() int {
+func (a *scriptedAgent) dispatches() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
@@ -61,10 +59,10 @@
 	return n
 }
 
-// inOrder picks the endpoints in order of their names.
-type inOrder struct{ endpoints []id.Endpoint }
+// orderedPicker picks the endpoints in the order of the slice.
+type orderedPicker struct{ endpoints []id.Endpoint }
 
-func (p inOrder) Pick(r route.Request) (route.Choice, error) {
+func (p orderedPicker) Pick(r route.Request) (route.Choice, error) {
 	for _, e := range p.endpoints {
 		excluded := false
 		for _, x := range r.Exclude {
@@ -77,33 +75,31 @@
 	return route.Choice{}, &route.NoEndpointError{}
 }
 
-// addresses is a Directory.
-type addresses map[id.Endpoint]string
+type addressMap map[id.Endpoint]string
 
-func (a addresses) Address(e id.Endpoint) (string, bool) {
+func (a addressMap) Address(e id.Endpoint) (string, bool) {
 	address, ok := a[e]
 	return address, ok
 }
 
-type noTable struct{}
+type discardTable struct{}
 
-func (noTable) Started(route.Choice, time.Time)                {}
-func (noTable) Finished(route.Choice, time.Time)               {}
-func (noTable) Observe(route.Choice, time.Duration, time.Time) {}
+func (discardTable) Started(route.Choice, time.Time)                {}
+func (discardTable) Finished(route.Choice, time.Time)               {}
+func (discardTable) Observe(route.Choice, time.Duration, time.Time) {}
 
-func (noTable) Failed(route.Choice, time.Time) {}
+func (discardTable) Failed(route.Choice, time.Time) {}
 
-// text is a Sink.
-type text struct{ body []byte }
+type textSink struct{ body []byte }
 
-func (s *text) WriteFrames(batch []*msg.Frame) error {
+func (s *textSink) WriteFrames(batch []*msg.Frame) error {
 	for _, f := range batch {
 		s.body = append(s.body, f.Data...)
 	}
 	return nil
 }
 
-func ring(t *testing.T, a *keys.Authority, role keys.Role) *keys.Ring {
+func newKeyRing(t *testing.T, a *keys.Authority, role keys.Role) *keys.Ring {
 	t.Helper()
 	material, err := a.Issue(role, "host", time.Hour)
 	assert.NilError(t, err)
@@ -112,17 +108,17 @@
 	return r
 }
 
-// fixture returns a dispatcher with one scripted agent for each script, named e0, e1 and so on.
-func fixture(t *testing.T, scripts ...respond) (*Dispatcher, []*scripted) {
+// newFixture returns a dispatcher with one agent for each script, named e0, e1 and so on.
+func newFixture(t *testing.T, scripts ...responder) (*Dispatcher, []*scriptedAgent) {
 	t.Helper()
 	authority, err := keys.NewAuthority(time.Hour)
 	assert.NilError(t, err)
-	agentKeys, entryKeys := ring(t, authority, keys.RoleAgent), ring(t, authority, keys.RoleEntry)
-	directory := addresses{"nowhere": "127.0.0.1:1"}
-	var picker inOrder
-	var agents []*scripted
+	agentKeys, entryKeys := newKeyRing(t, authority, keys.RoleAgent), newKeyRing(t, authority, keys.RoleEntry)
+	directory := addressMap{"nowhere": "127.0.0.1:1"}
+	var picker orderedPicker
+	var agents []*scriptedAgent
 	for i, script := range scripts {
-		agent := &scripted{respond: script}
+		agent := &scriptedAgent{respond: script}
 		server, err := link.Listen("127.0.0.1:0", agentKeys.Server(keys.RoleEntry), link.DefaultConfig(), agent)
 		assert.NilError(t, err)
 		t.Cleanup(server.Close)
@@ -139,12 +135,12 @@
 	c.RecoveryTimeout = 300 * time.Millisecond
 	c.RecoveryInterval = 10 * time.Millisecond
 	return New(c, Deps{
-		Picker: picker, Table: noTable{}, Budget: retry.NewBudget(retry.Config{}), Directory: directory,
+		Picker: picker, Table: discardTable{}, Budget: retry.NewBudget(retry.Config{}), Directory: directory,
 		Pool: pool, Recorder: timeline.Discard,
 	}), agents
 }
 
-func refuse(code msg.Code) respond {
+func refuse(code msg.Code) responder {
 	return func(s *link.Session, o *msg.Order, _ int) {
 		if o.Dispatch != nil {
 			s.Reply(&msg.Reply{ID: o.ID, Frame: &msg.Frame{Attempt: o.Dispatch.Attempt, Refused: &msg.Refusal{Code: code}}})
@@ -152,8 +148,8 @@
 	}
 }
 
-// breakAnswer starts an answer that its back end does not complete.
-func breakAnswer(s *link.Session, o *msg.Order, _ int) {
+// failResponse ends the response with a back-end error.
+func failResponse(s *link.Session, o *msg.Order, _ int) {
 	if o.Dispatch != nil {
 		s.Reply(&msg.Reply{ID: o.ID, Frame: &msg.Frame{
 			Attempt: o.Dispatch.Attempt, End: &msg.End{Outcome: outcome.Unknown, Error: "back end broke"},
@@ -161,44 +157,44 @@
 	}
 }
 
-func answer(s *link.Session, id uint64, attempt id.Attempt, from uint32) {
-	for _, f := range []*msg.Frame{data(string(attempt), 0, "x"), data(string(attempt), 1, "y"), end(string(attempt), 2, "xy")} {
+func replyFrames(s *link.Session, id uint64, attempt id.Attempt, from uint32) {
+	for _, f := range []*msg.Frame{dataFrame(string(attempt), 0, "x"), dataFrame(string(attempt), 1, "y"), endFrame(string(attempt), 2, "xy")} {
 		if f.Seq >= from {
 			s.Reply(&msg.Reply{ID: id, Frame: f})
 		}
 	}
 }
 
-func call(idempotent bool) *Call {
+func newCall(idempotent bool) *Call {
 	return &Call{Request: "req", Team: "puno", Service: "s", Idempotent: idempotent, Deadline: time.Now().Add(20 * time.Second), Plain: &msg.Plain{}}
 }
 
-func action() *Call {
-	c := call(false)
+func newActionCall() *Call {
+	c := newCall(false)
 	c.Action = "act"
 	c.Binding = &Binding{Endpoint: "e0", Incarnation: "inc"}
 	return c
 }
 
-// TestOutcomeAfterSeveralTries checks that a request is not said to be not run
-// because its last try was not, if an earlier one may have run.
+// TestOutcomeAfterSeveralTries checks that a refused last attempt does not make the
+// outcome not-run if an earlier attempt may have run.
 func TestOutcomeAfterSeveralTries(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		idempotent bool
-		scripts    []respond
+		scripts    []responder
 		tries      int
 		want       outcome.Outcome
 	}{
-		{"every try refused", true, []respond{refuse(msg.CodeQueueFull), refuse(msg.CodeDraining)}, 2, outcome.NotRun},
-		{"broken, then refused", true, []respond{breakAnswer, refuse(msg.CodeDraining)}, 2, outcome.Unknown},
-		{"broken, then no other endpoint", true, []respond{breakAnswer}, 1, outcome.Unknown},
-		{"refused, then broken", true, []respond{refuse(msg.CodeDraining), breakAnswer}, 2, outcome.Unknown},
-		{"broken and not idempotent", false, []respond{breakAnswer, refuse(msg.CodeDraining)}, 1, outcome.Unknown},
+		{"every try refused", true, []responder{refuse(msg.CodeQueueFull), refuse(msg.CodeDraining)}, 2, outcome.NotRun},
+		{"broken, then refused", true, []responder{failResponse, refuse(msg.CodeDraining)}, 2, outcome.Unknown},
+		{"broken, then no other endpoint", true, []responder{failResponse}, 1, outcome.Unknown},
+		{"refused, then broken", true, []responder{refuse(msg.CodeDraining), failResponse}, 2, outcome.Unknown},
+		{"broken and not idempotent", false, []responder{failResponse, refuse(msg.CodeDraining)}, 1, outcome.Unknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			d, _ := fixture(t, tc.scripts...)
-			r := d.Run(t.Context(), call(tc.idempotent), &text{})
+			d, _ := newFixture(t, tc.scripts...)
+			r := d.Run(t.Context(), newCall(tc.idempotent), &textSink{})
 			assert.Equal(t, r.Outcome, tc.want, "%v", r.Problem)
 			assert.Equal(t, r.Problem.Outcome, tc.want)
 			assert.Equal(t, r.Attempts, tc.tries)
@@ -206,7 +202,7 @@
 	}
 }
 
-// TestOutcomeOfRefusal checks what a refusal says of the request and of its action.
+// TestOutcomeOfRefusal checks the outcome of the request and of its action for each refusal code.
 func TestOutcomeOfRefusal(t *testing.T) {
 	for _, tc := range []struct {
 		code              msg.Code
@@ -228,9 +224,9 @@
 		{msg.CodeBadRequest, outcome.NotRun, outcome.NotRun, outcome.Unknown},
 	} {
 		t.Run(string(tc.code), func(t *testing.T) {
-			d, agents := fixture(t, refuse(tc.code))
-			assert.Equal(t, d.Run(t.Context(), call(false), &text{}).Outcome, tc.request)
-			r := d.Run(t.Context(), action(), &text{})
+			d, agents := newFixture(t, refuse(tc.code))
+			assert.Equal(t, d.Run(t.Context(), newCall(false), &textSink{}).Outcome, tc.request)
+			r := d.Run(t.Context(), newActionCall(), &textSink{})
 			assert.Equal(t, r.Outcome, tc.actionThenRequest)
 			assert.Equal(t, r.Problem.ActionOutcome, tc.action)
 			assert.Equal(t, agents[0].dispatches(), 2, "nothing is dispatched again")
@@ -238,62 +234,62 @@
 	}
 }
 
-// TestRefusalOfAnotherAttempt checks that a crossed refusal is not taken for the own one.
+// TestRefusalOfAnotherAttempt checks that refusals of other attempts are ignored.
 func TestRefusalOfAnotherAttempt(t *testing.T) {
-	d, _ := fixture(t, func(s *link.Session, o *msg.Order, _ int) {
+	d, _ := newFixture(t, func(s *link.Session, o *msg.Order, _ int) {
 		s.Reply(&msg.Reply{ID: o.ID, Frame: &msg.Frame{Attempt: "other", Refused: &msg.Refusal{Code: msg.CodeDraining}}})
-		answer(s, o.ID, o.Dispatch.Attempt, 0)
+		replyFrames(s, o.ID, o.Dispatch.Attempt, 0)
 	})
-	var sink text
-	r := d.Run(t.Context(), call(false), &sink)
+	var sink textSink
+	r := d.Run(t.Context(), newCall(false), &sink)
 	assert.Equal(t, r.Outcome, outcome.Ran, "%v", r.Problem)
 	assert.Equal(t, string(sink.body), "xy")
 }
 
-// TestMissingFrameIsAskedFor checks that the answer continues at the missing
-// frame without a second dispatch.
+// TestMissingFrameIsAskedFor checks that a missing frame is requested by an attach
+// order, without a second dispatch.
 func TestMissingFrameIsAskedFor(t *testing.T) {
-	d, agents := fixture(t, func(s *link.Session, o *msg.Order, _ int) {
+	d, agents := newFixture(t, func(s *link.Session, o *msg.Order, _ int) {
 		if o.Attach != nil {
-			answer(s, o.ID, o.Attach.Attempt, o.Attach.From)
+			replyFrames(s, o.ID, o.Attach.Attempt, o.Attach.From)
 			return
 		}
-		s.Reply(&msg.Reply{ID: o.ID, Frame: data(string(o.Dispatch.Attempt), 0, "x")})
-		s.Reply(&msg.Reply{ID: o.ID, Frame: end(string(o.Dispatch.Attempt), 2, "xy")})
+		s.Reply(&msg.Reply{ID: o.ID, Frame: dataFrame(string(o.Dispatch.Attempt), 0, "x")})
+		s.Reply(&msg.Reply{ID: o.ID, Frame: endFrame(string(o.Dispatch.Attempt), 2, "xy")})
 	})
-	var sink text
-	r := d.Run(t.Context(), call(false), &sink)
+	var sink textSink
+	r := d.Run(t.Context(), newCall(false), &sink)
 	assert.Equal(t, r.Outcome, outcome.Ran, "%v", r.Problem)
 	assert.Equal(t, string(sink.body), "xy")
 	assert.Equal(t, agents[0].dispatches(), 1)
 	assert.Equal(t, agents[0].orders[1].Attach.From, uint32(1))
 }
 
-// TestChangedAnswerIsNotComplete checks that a wrong checksum is reported.
+// TestChangedAnswerIsNotComplete checks that a checksum mismatch makes the outcome unknown.
 func TestChangedAnswerIsNotComplete(t *testing.T) {
-	d, _ := fixture(t, func(s *link.Session, o *msg.Order, _ int) {
-		s.Reply(&msg.Reply{ID: o.ID, Frame: data(string(o.Dispatch.Attempt), 0, "q")})
-		s.Reply(&msg.Reply{ID: o.ID, Frame: end(string(o.Dispatch.Attempt), 1, "x")})
+	d, _ := newFixture(t, func(s *link.Session, o *msg.Order, _ int) {
+		s.Reply(&msg.Reply{ID: o.ID, Frame: dataFrame(string(o.Dispatch.Attempt), 0, "q")})
+		s.Reply(&msg.Reply{ID: o.ID, Frame: endFrame(string(o.Dispatch.Attempt), 1, "x")})
 	})
-	r := d.Run(t.Context(), call(true), &text{})
+	r := d.Run(t.Context(), newCall(true), &textSink{})
 	assert.Equal(t, r.Problem.Code, problem.AnswerIncomplete)
 	assert.Equal(t, r.Outcome, outcome.Unknown)
 }
 
-// TestDialFailureIsNotRun checks that nothing is said to have run if no
-// connection to the agent came about.
+// TestDialFailureIsNotRun checks that the outcome is not-run if the agent cannot be
+// reached or its endpoint is not configured.
 func TestDialFailureIsNotRun(t *testing.T) {
-	d, _ := fixture(t)
-	c := action()
+	d, _ := newFixture(t)
+	c := newActionCall()
 	c.Binding.Endpoint = "nowhere"
 	c.Deadline = time.Now().Add(100 * time.Millisecond)
-	r := d.Run(t.Context(), c, &text{})
+	r := d.Run(t.Context(), c, &textSink{})
 	assert.Equal(t, r.Outcome, outcome.NotRun)
 	c.Binding.Endpoint = "unconfigured"
-	assert.Equal(t, d.Run(t.Context(), c, &text{}).Outcome, outcome.NotRun)
+	assert.Equal(t, d.Run(t.Context(), c, &textSink{}).Outcome, outcome.NotRun)
 }
 
-// TestWithdrawal checks what a caller that leaves makes of a request, for each verdict.
+// TestWithdrawal checks the outcome for each verdict after the caller disconnects.
 func TestWithdrawal(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -309,7 +305,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			d, _ := fixture(t, func(s *link.Session, o *msg.Order, _ int) {
+			d, _ := newFixture(t, func(s *link.Session, o *msg.Order, _ int) {
 				switch {
 				case o.Dispatch != nil:
 					cancel()
@@ -321,7 +317,7 @@
 			if tc.verdict != nil {
 				d.config.WithdrawTimeout = time.Minute
 			}
-			r := d.Run(ctx, action(), &text{})
+			r := d.Run(ctx, newActionCall(), &textSink{})
 			assert.Equal(t, r.Outcome, tc.request)
 			assert.Equal(t, r.Problem.ActionOutcome, tc.action)
 		})
--- a/entry/dispatch/recover.go
+++ b/entry/dispatch/recover.go
@@ -9,60 +9,60 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// recover reattaches to the attempt after a lost connection or a missing frame
-// and continues from the first frame that was not received. It never dispatches
-// again. Done is true if the try is over.
-func (t *try) recover(ctx context.Context, cause error) (r Result, done bool) {
-	t.order.Release()
-	if cause != nil && !t.recovered && t.neverLeft() {
+// reattach resumes the attempt after a lost connection or a missing frame, from the
+// first frame that was not received. It never dispatches again. done is true if
+// the attempt has ended.
+func (a *attempt) reattach(ctx context.Context, cause error) (r Result, done bool) {
+	a.linkCall.Release()
+	if cause != nil && !a.reattachAttempted && a.notSent() {
 		return Result{Outcome: outcome.NotRun, Problem: problem.Newf(problem.EndpointRefused,
-			"connection to endpoint %q was lost before the request was sent: %v", t.choice.Endpoint, cause)}, true
+			"connection to endpoint %q was lost before the request was sent: %v", a.choice.Endpoint, cause)}, true
 	}
-	t.recovered = true
-	t.failed()
+	a.reattachAttempted = true
+	a.reportFailure()
 	detail := "frame missing"
 	if cause != nil {
 		detail = cause.Error()
 	}
-	t.record(t.call, "attempt.reattaching", t.attempt, t.choice.Endpoint, detail)
-	ctx, cancel := context.WithTimeout(ctx, t.config.RecoveryTimeout)
+	a.record(a.call, "attempt.reattaching", a.id, a.choice.Endpoint, detail)
+	ctx, cancel := context.WithTimeout(ctx, a.config.RecoveryTimeout)
 	defer cancel()
 	for {
-		if t.reattach(ctx) {
+		if a.tryReattach(ctx) {
 			return Result{}, false
 		}
-		if !sleep(ctx, t.config.RecoveryInterval) {
+		if !sleep(ctx, a.config.RecoveryInterval) {
 			break
 		}
 	}
-	t.record(t.call, "request.unknown", t.attempt, t.choice.Endpoint, detail)
+	a.record(a.call, "request.unknown", a.id, a.choice.Endpoint, detail)
 	return Result{Outcome: outcome.Unknown, Problem: problem.Unknownf(problem.OutcomeUnknown,
-		"connection to endpoint %q was lost: %s", t.choice.Endpoint, detail)}, true
+		"connection to endpoint %q was lost: %s", a.choice.Endpoint, detail)}, true
 }
 
-// neverLeft reports whether no byte of the lost dispatch can have left this process.
-func (t *try) neverLeft() bool {
-	t.stream.mu.Lock()
-	defer t.stream.mu.Unlock()
-	return t.stream.lost != nil && !t.stream.sent
+// notSent reports whether the connection was lost before any byte can have been sent.
+func (a *attempt) notSent() bool {
+	a.stream.mu.Lock()
+	defer a.stream.mu.Unlock()
+	return a.stream.lossCause != nil && !a.stream.sentBeforeLoss
 }
 
-// reattach asks for the rest of the answer on a live connection.
-func (t *try) reattach(ctx context.Context) bool {
+// tryReattach requests the remaining frames and reports whether the request was queued.
+func (a *attempt) tryReattach(ctx context.Context) bool {
 	dialCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	conn, err := t.deps.Pool.Conn(dialCtx, t.address)
+	conn, err := a.deps.Pool.Conn(dialCtx, a.address)
 	if err != nil {
 		return false
 	}
 	s := newStream()
 	order, err := conn.Send(&msg.Order{Attach: &msg.Attach{
-		Attempt: t.assembler.attempt, Incarnation: t.choice.Incarnation, From: t.assembler.next,
-		Team: t.call.Team, Action: t.call.Action, PayloadHash: t.call.PayloadHash,
+		Attempt: a.assembler.attempt, Incarnation: a.choice.Incarnation, From: a.assembler.nextSeq,
+		Team: a.call.Team, Action: a.call.Action, PayloadHash: a.call.PayloadHash,
 	}}, s)
 	if err != nil {
 		return false
 	}
-	t.stream, t.order = s, order
+	a.stream, a.linkCall = s, order
 	return true
 }
--- a/entry/dispatch/stream.go
+++ b/entry/dispatch/stream.go
@@ -6,20 +6,20 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// maxBufferedBytes bounds the frames that wait for a slow caller. Frames beyond
-// it are dropped and asked for again.
+// maxBufferedBytes bounds the frames buffered for a slow caller. Frames beyond it
+// are dropped and requested again.
 const maxBufferedBytes = 4 << 20
 
-// stream collects the frames of one order. It implements link.Waiter.
+// stream buffers the frames of one order. It implements link.Waiter.
 type stream struct {
 	notify chan struct{}
 
 	// mu is a leaf lock.
-	mu     sync.Mutex
-	frames []*msg.Frame
-	bytes  int
-	lost   error
-	sent   bool
+	mu             sync.Mutex
+	frames         []*msg.Frame
+	bytes          int
+	lossCause      error
+	sentBeforeLoss bool
 }
 
 func newStream() *stream {
@@ -37,31 +37,32 @@
 		s.bytes += len(r.Frame.Data)
 	}
 	s.mu.Unlock()
-	s.wake()
+	s.signal()
 }
 
 // Lost implements link.Waiter.
 func (s *stream) Lost(sent bool, cause error) {
 	s.mu.Lock()
-	s.lost, s.sent = cause, sent
+	s.lossCause, s.sentBeforeLoss = cause, sent
 	s.mu.Unlock()
-	s.wake()
+	s.signal()
 }
 
-func (s *stream) wake() {
+func (s *stream) signal() {
 	select {
 	case s.notify <- struct{}{}:
 	default:
 	}
 }
 
-// take returns the collected frames and, once none are left, the loss.
-func (s *stream) take() (frames []*msg.Frame, overflow bool, lost error) {
+// takeFrames empties the buffer. overflow is true if frames were dropped, and lost
+// is the error of a lost connection.
+func (s *stream) takeFrames() (frames []*msg.Frame, overflow bool, lost error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	frames = s.frames
 	overflow = s.bytes > maxBufferedBytes
 	s.frames = nil
 	s.bytes = 0
-	return frames, overflow, s.lost
+	return frames, overflow, s.lossCause
 }
