--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides at the entry whether a call proceeds to dispatch. It
-// combines the predicted time to first token of the routing table with the
-// admission policy and the teams' global limits.
+// Package admission decides at the entry whether a call may be dispatched, from its
+// predicted time to first token, the admission policy of its service and the
+// global limit of its team.
 package admission
 
 import (
@@ -17,21 +17,21 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// Limiter holds teams to their global limits in tokens per second.
+// Limiter limits teams to their global rates in tokens per second.
 type Limiter interface {
 	// Take takes tokens of a team, or returns the time after which that may succeed.
 	Take(team id.Team, tokens float64, now time.Time) (retryAfter time.Duration, ok bool)
-	// Return gives tokens back that a request did not use.
+	// Return gives back tokens that a request did not use.
 	Return(team id.Team, tokens float64, now time.Time)
 }
 
-// Deps are the parts that an Admitter works with.
+// Deps are the dependencies of an Admitter.
 type Deps struct {
 	Zone   id.Zone
 	Picker route.Picker
 	// Limiter may be nil.
 	Limiter Limiter
-	// Enabled is false to admit whatever the predicted time.
+	// Enabled turns on the admission policy. The Limiter applies in any case.
 	Enabled bool
 }
 
@@ -45,7 +45,7 @@
 	teams       []admit.Team
 }
 
-// maxRetryAfter bounds the retry time that a team beyond its limit is told.
+// maxRetryAfter bounds the retry time reported to a team above its limit.
 const maxRetryAfter = time.Minute
 
 // New returns an Admitter without teams and services.
@@ -53,13 +53,13 @@
 	return &Admitter{deps: d, controllers: make(map[id.Service]*admit.Controller)}
 }
 
-// Update takes over the teams and services of a configuration.
+// Update applies the teams and services of a configuration.
 func (a *Admitter) Update(teams []config.Team, services []config.Service) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.teams = make([]admit.Team, len(teams))
 	for i, t := range teams {
-		a.teams[i] = admit.Team{Name: t.Name, Weight: weight(t)}
+		a.teams[i] = admit.Team{Name: t.Name, Weight: teamWeight(t)}
 	}
 	kept := make(map[id.Service]*admit.Controller, len(services))
 	for _, s := range services {
@@ -73,7 +73,7 @@
 	a.controllers = kept
 }
 
-func weight(t config.Team) float64 {
+func teamWeight(t config.Team) float64 {
 	if t.Weight == 0 {
 		return 1
 	}
@@ -90,17 +90,17 @@
 func (a *Admitter) Admit(t config.Team, c *dispatch.Call) (release func(tokens uint32), refused *problem.Problem) {
 	now := time.Now()
 	work := float64(c.Work)
-	if p := a.takeLimit(t.Name, work, now); p != nil {
+	if p := a.chargeLimit(t.Name, work, now); p != nil {
 		return nil, p
 	}
-	if p := a.admit(t.Name, c, now); p != nil {
-		a.returnLimit(t.Name, work, now)
+	if p := a.checkPolicy(t.Name, c, now); p != nil {
+		a.refundLimit(t.Name, work, now)
 		return nil, p
 	}
-	return func(used uint32) { a.release(t.Name, c, used) }, nil
+	return func(used uint32) { a.refundUnused(t.Name, c, used) }, nil
 }
 
-func (a *Admitter) takeLimit(team id.Team, tokens float64, now time.Time) *problem.Problem {
+func (a *Admitter) chargeLimit(team id.Team, tokens float64, now time.Time) *problem.Problem {
 	if a.deps.Limiter == nil {
 		return nil
 	}
@@ -113,15 +113,15 @@
 	return p
 }
 
-func (a *Admitter) returnLimit(team id.Team, tokens float64, now time.Time) {
+func (a *Admitter) refundLimit(team id.Team, tokens float64, now time.Time) {
 	if a.deps.Limiter != nil && tokens > 0 {
 		a.deps.Limiter.Return(team, tokens, now)
 	}
 }
 
-// admit asks the service's policy. A request for a service without endpoints is
-// refused here, so that it does not count as a first try.
-func (a *Admitter) admit(team id.Team, c *dispatch.Call, now time.Time) *problem.Problem {
+// checkPolicy applies the admission policy of the service. A request for a service
+// without endpoints is refused here, so that it does not add to the retry budget.
+func (a *Admitter) checkPolicy(team id.Team, c *dispatch.Call, now time.Time) *problem.Problem {
 	if !a.deps.Enabled {
 		return nil
 	}
@@ -151,9 +151,9 @@
 	return nil
 }
 
-// unused returns the tokens of an admitted call that were not used: all of a
-// call without an answer, otherwise what the answer left of its bound.
-func unused(c *dispatch.Call, used uint32) float64 {
+// unusedTokens returns the tokens of an admitted call that were not used: all of a
+// call without a response, otherwise the rest of the chat's MaxTokens.
+func unusedTokens(c *dispatch.Call, used uint32) float64 {
 	switch {
 	case used == 0:
 		return float64(c.Work)
@@ -163,14 +163,14 @@
 	return max(float64(c.Chat.MaxTokens)-float64(used), 0)
 }
 
-// release gives back what the call did not use.
-func (a *Admitter) release(team id.Team, c *dispatch.Call, used uint32) {
-	unused := unused(c, used)
+// refundUnused returns the unused tokens to the limiter and the admission policy.
+func (a *Admitter) refundUnused(team id.Team, c *dispatch.Call, used uint32) {
+	unused := unusedTokens(c, used)
 	if unused <= 0 {
 		return
 	}
 	now := time.Now()
-	a.returnLimit(team, unused, now)
+	a.refundLimit(team, unused, now)
 	if controller := a.controller(c.Service); controller != nil && a.deps.Enabled {
 		controller.Return(team, unused, now)
 	}
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -15,20 +15,20 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// picker expects the same time to first token for every request.
-type picker struct {
+// fixedPicker predicts the same time to first token for every request.
+type fixedPicker struct {
 	expected time.Duration
 	err      error
 }
 
-func (p picker) Pick(route.Request) (route.Choice, error) {
+func (p fixedPicker) Pick(route.Request) (route.Choice, error) {
 	return route.Choice{Expected: p.expected}, p.err
 }
 
-// bucket is a Limiter with a fixed number of tokens.
-type bucket struct{ tokens float64 }
+// tokenLimiter is a Limiter with a fixed number of tokens.
+type tokenLimiter struct{ tokens float64 }
 
-func (b *bucket) Take(_ id.Team, tokens float64, _ time.Time) (time.Duration, bool) {
+func (b *tokenLimiter) Take(_ id.Team, tokens float64, _ time.Time) (time.Duration, bool) {
 	if b.tokens < tokens {
 		return 2 * time.Second, false
 	}
@@ -36,26 +36,26 @@
 	return 0, true
 }
 
-func (b *bucket) Return(_ id.Team, tokens float64, _ time.Time) { b.tokens += tokens }
+func (b *tokenLimiter) Return(_ id.Team, tokens float64, _ time.Time) { b.tokens += tokens }
 
 func TestAdmit(t *testing.T) {
 	none := &route.NoEndpointError{Service: "s"}
 	for _, tc := range []struct {
 		name     string
-		picker   picker
+		picker   fixedPicker
 		tokens   float64
 		disabled bool
 		want     problem.Code
 		left     float64
 	}{
-		{name: "in time", picker: picker{expected: 10 * time.Millisecond}, tokens: 100, left: 90},
-		{name: "late", picker: picker{expected: 10 * time.Second}, tokens: 100, want: problem.Overloaded, left: 100},
-		{name: "late, admission off", picker: picker{expected: 10 * time.Second}, tokens: 100, disabled: true, left: 90},
-		{name: "no endpoint", picker: picker{err: none}, tokens: 100, want: problem.NoEndpoint, left: 100},
-		{name: "limit", picker: picker{expected: time.Millisecond}, tokens: 5, want: problem.RateLimited, left: 5},
+		{name: "in time", picker: fixedPicker{expected: 10 * time.Millisecond}, tokens: 100, left: 90},
+		{name: "late", picker: fixedPicker{expected: 10 * time.Second}, tokens: 100, want: problem.Overloaded, left: 100},
+		{name: "late, admission off", picker: fixedPicker{expected: 10 * time.Second}, tokens: 100, disabled: true, left: 90},
+		{name: "no endpoint", picker: fixedPicker{err: none}, tokens: 100, want: problem.NoEndpoint, left: 100},
+		{name: "limit", picker: fixedPicker{expected: time.Millisecond}, tokens: 5, want: problem.RateLimited, left: 5},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			limiter := &bucket{tokens: tc.tokens}
+			limiter := &tokenLimiter{tokens: tc.tokens}
 			a := New(Deps{Picker: tc.picker, Limiter: limiter, Enabled: !tc.disabled})
 			a.Update([]config.Team{{Name: "puno"}}, []config.Service{{Name: "s"}})
 			call := &dispatch.Call{Service: "s", Work: 10, Deadline: time.Now().Add(time.Second), Chat: &msg.Chat{MaxTokens: 8}}
