--- a/entry/actions/actions.go
+++ b/entry/actions/actions.go
@@ -1,5 +1,5 @@
-// Package actions binds non-idempotent actions to one endpoint and one
-// incarnation of its agent, by tickets and by idempotency keys made by callers.
+// Package actions binds non-idempotent actions to one endpoint and one incarnation
+// of its agent, by tickets and by idempotency keys chosen by callers.
 package actions
 
 import (
@@ -17,41 +17,40 @@
 	"github.com/siskinford/siskinford/wire/ticket"
 )
 
-// callTimeout bounds one call to an agent.
-const callTimeout = 2 * time.Second
+const agentCallTimeout = 2 * time.Second
 
-// Deps are the parts that Actions works with.
+// Deps are the dependencies of Actions.
 type Deps struct {
 	Zone      id.Zone
 	Picker    route.Picker
 	Directory dispatch.Directory
 	Pool      *link.Pool
-	// Claimer commits idempotency keys made by callers. It may be nil.
+	// Claimer commits idempotency keys chosen by callers. It may be nil.
 	Claimer Claimer
 }
 
 // Claimer binds an idempotency key to an endpoint, once for the whole fleet.
 type Claimer interface {
-	// Claim commits a binding and sets Action and Bound of the call, or takes
-	// over the binding that was committed before. It may block on the platform.
+	// Claim commits a binding, or reads the one committed before, and sets Action and
+	// Binding of the call. It may block on the platform.
 	Claim(ctx context.Context, c *dispatch.Call, key string, proposed dispatch.Binding) *problem.Problem
-	// Lookup returns the binding of a key.
+	// Lookup returns the action and binding of a key.
 	Lookup(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem)
 }
 
-// Actions implements caller.Actions.
+// Actions issues, resolves and queries bindings. It implements caller.Actions.
 type Actions struct {
 	deps Deps
 }
 
-// New returns Actions.
 func New(d Deps) *Actions { return &Actions{deps: d} }
 
 var _ caller.Actions = (*Actions)(nil)
 
-// IssueTicket implements caller.Actions. It asks the agent of a picked endpoint.
+// IssueTicket implements caller.Actions. It requests the ticket from the agent of a
+// picked endpoint, and from the next one if that fails.
 func (a *Actions) IssueTicket(ctx context.Context, team id.Team, service id.Service) (caller.Ticket, *problem.Problem) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
 	var exclude []id.Endpoint
 	for {
@@ -61,7 +60,7 @@
 		if err != nil {
 			return caller.Ticket{}, problem.Newf(problem.NoEndpoint, "%v", err)
 		}
-		reply, err := a.call(ctx, choice.Endpoint, &msg.Order{Ticket: &msg.TicketOrder{Team: team, Service: service}})
+		reply, err := a.callAgent(ctx, choice.Endpoint, &msg.Order{Ticket: &msg.TicketOrder{Team: team, Service: service}})
 		if err == nil && reply.Ticket != nil && reply.Ticket.Refused == nil {
 			return caller.Ticket{
 				Ticket: reply.Ticket.Ticket, Service: string(service),
@@ -72,7 +71,7 @@
 	}
 }
 
-func (a *Actions) call(ctx context.Context, e id.Endpoint, o *msg.Order) (*msg.Reply, error) {
+func (a *Actions) callAgent(ctx context.Context, e id.Endpoint, o *msg.Order) (*msg.Reply, error) {
 	address, ok := a.deps.Directory.Address(e)
 	if !ok {
 		return nil, &UnknownEndpointError{Endpoint: e}
@@ -91,7 +90,7 @@
 	return "endpoint \"" + string(e.Endpoint) + "\" is not configured"
 }
 
-// BindTicket implements caller.Actions. The agent verifies the ticket.
+// BindTicket implements caller.Actions. Only the agent verifies the ticket.
 func (a *Actions) BindTicket(c *dispatch.Call, text string) *problem.Problem {
 	claims, err := ticket.Read(text)
 	if err != nil {
@@ -126,13 +125,13 @@
 
 // Status implements caller.Actions.
 func (a *Actions) Status(ctx context.Context, team id.Team, service id.Service, key string) (caller.ActionStatus, *problem.Problem) {
-	action, bound, p := a.binding(ctx, team, service, key)
+	action, bound, p := a.resolveBinding(ctx, team, service, key)
 	if p != nil {
 		return caller.ActionStatus{}, p
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, agentCallTimeout)
 	defer cancel()
-	reply, err := a.call(ctx, bound.Endpoint, &msg.Order{Inquire: &msg.Inquire{
+	reply, err := a.callAgent(ctx, bound.Endpoint, &msg.Order{Inquire: &msg.Inquire{
 		Action: action, Incarnation: bound.Incarnation, Team: team,
 	}})
 	if err != nil || reply.Verdict == nil {
@@ -141,7 +140,7 @@
 	return caller.ActionStatus{State: reply.Verdict.State, Outcome: reply.Verdict.Outcome}, nil
 }
 
-func (a *Actions) binding(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem) {
+func (a *Actions) resolveBinding(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem) {
 	claims, err := ticket.Read(key)
 	if err == nil {
 		if claims.Team != team || claims.Service != service {
--- a/entry/actions/claimer.go
+++ b/entry/actions/claimer.go
@@ -12,30 +12,29 @@
 	"github.com/siskinford/siskinford/fleet/claim"
 )
 
-// KeyClaimer implements Claimer by claims in the platform.
+// KeyClaimer implements Claimer with claims stored in the platform.
 type KeyClaimer struct {
 	claims *claim.Claimer
 }
 
-// NewKeyClaimer returns a KeyClaimer.
 func NewKeyClaimer(c *claim.Claimer) *KeyClaimer { return &KeyClaimer{claims: c} }
 
-// Claim implements Claimer. Every call that learns the same record may dispatch:
-// the ledger of the record's incarnation starts the action once.
+// Claim implements Claimer. Every call that reads the same record may dispatch: the
+// ledger of the record's incarnation starts the action only once.
 func (k *KeyClaimer) Claim(ctx context.Context, c *dispatch.Call, text string, proposed dispatch.Binding) *problem.Problem {
 	key, err := claim.ParseKey(text)
 	if err != nil {
 		return problem.Newf(problem.KeyInvalid, "%v", err)
 	}
 	result, err := k.claims.Claim(ctx, claim.Request{
-		Team: c.Team, Service: c.Service, Key: key, Payload: claim.HashPayload(payload(c)),
+		Team: c.Team, Service: c.Service, Key: key, Payload: claim.HashPayload(claimPayload(c)),
 		Target: claim.Target{Endpoint: proposed.Endpoint, Incarnation: proposed.Incarnation},
 	})
 	if err != nil {
 		return claimProblem(err)
 	}
 	c.Action = result.Record.Action
-	c.Binding = binding(result.Record)
+	c.Binding = bindingOf(result.Record)
 	return nil
 }
 
@@ -49,21 +48,21 @@
 	if err != nil {
 		return "", dispatch.Binding{}, claimProblem(err)
 	}
-	return record.Action, *binding(record), nil
+	return record.Action, *bindingOf(record), nil
 }
 
-func binding(r claim.Record) *dispatch.Binding {
+func bindingOf(r claim.Record) *dispatch.Binding {
 	return &dispatch.Binding{Endpoint: r.Target.Endpoint, Incarnation: r.Target.Incarnation}
 }
 
-// payload returns what must be equal under the same key.
-func payload(c *dispatch.Call) []byte {
+// claimPayload returns the bytes that must be equal in all requests with the same key.
+func claimPayload(c *dispatch.Call) []byte {
 	text := c.Plain.Method + " " + c.Plain.Path + "\n"
 	return append([]byte(text), c.Plain.Body...)
 }
 
-// claimProblem converts an error of package claim. After each of them this
-// request is not dispatched; what is known of the action differs.
+// claimProblem converts an error of package claim. The request is not dispatched after
+// any of them; the outcome of its action depends on the error.
 func claimProblem(err error) *problem.Problem {
 	var expired *claim.ExpiredError
 	var future *claim.FutureError
