--- a/entry/endpoints/cache.go
+++ b/entry/endpoints/cache.go
@@ -6,14 +6,14 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// PrefixSink feeds the prefix cache events of endpoints to an index. It
+// PrefixSink applies the prefix cache events of endpoints to an index. It
 // implements CacheSink.
 type PrefixSink struct {
 	Index *prefix.Index
 }
 
-// ApplyCacheEvents implements CacheSink. After a gap nothing that was known before is
-// believed: the endpoint starts again with an empty cache as of the last event.
+// ApplyCacheEvents implements CacheSink. A gap in the events clears the endpoint's
+// cache in the index, which then continues from the last event.
 func (p PrefixSink) ApplyCacheEvents(e id.Endpoint, inc id.Incarnation, events []msg.CacheEvent) {
 	converted := make([]prefix.Event, len(events))
 	for i, event := range events {
--- a/entry/endpoints/manager.go
+++ b/entry/endpoints/manager.go
@@ -1,5 +1,5 @@
-// Package endpoints keeps connections to the agents of the endpoints that an
-// entry uses, and feeds their load reports to the routing table.
+// Package endpoints maintains connections to the agents of the endpoints that an
+// entry uses, and passes their load reports to the routing table.
 package endpoints
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// Config bounds the connections of a Manager.
+// Config holds the settings of a Manager.
 type Config struct {
-	// Zone is the entry's own availability zone.
+	// Zone is the entry's availability zone.
 	Zone id.Zone
-	// Host is the entry's host, which selects its endpoints in other zones.
+	// Host is the entry's host, which determines the endpoints that it selects.
 	Host id.Host
 	// MaxEndpoints bounds the endpoints in use. Default: 48.
 	MaxEndpoints int
@@ -29,16 +29,15 @@
 	// ReportBudget bounds the load reports of all endpoints together, in bytes
 	// per second. Default: 5,000.
 	ReportBudget int
-	// ReportInterval is the time between load reports of endpoints in the own
+	// ReportInterval is the time between load reports of endpoints in the local
 	// zone. Default: 250 ms.
 	ReportInterval time.Duration
 	// RemoteReportInterval is the same for other zones. Default: 1 s.
 	RemoteReportInterval time.Duration
-	// RedialInterval is the time between tries to reach an agent. Default: 500 ms.
+	// RedialInterval is the time between attempts to connect to an agent. Default: 500 ms.
 	RedialInterval time.Duration
 }
 
-// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
 		MaxEndpoints:         48,
@@ -50,7 +49,7 @@
 	}
 }
 
-// Table is the part of the routing table that a Manager feeds.
+// Table is the part of the routing table that a Manager updates.
 type Table interface {
 	SetEndpoints(endpoints []route.Endpoint, now time.Time)
 	Report(r route.Report, now time.Time) bool
@@ -62,7 +61,7 @@
 	ApplyCacheEvents(e id.Endpoint, inc id.Incarnation, events []msg.CacheEvent)
 }
 
-// Manager is safe for concurrent use.
+// Manager selects endpoints and keeps a watcher for each. It is safe for concurrent use.
 type Manager struct {
 	config   Config
 	table    Table
@@ -75,15 +74,15 @@
 	wg     sync.WaitGroup
 
 	// mu is taken before the table's and the pool's locks.
-	mu        sync.Mutex
-	endpoints []config.Endpoint // those in use
-	leaving   map[id.Host]bool
-	addresses map[id.Endpoint]string
-	watchers  map[id.Endpoint]*watcher
-	reports   map[id.Endpoint]ReceivedReport
+	mu          sync.Mutex
+	endpoints   []config.Endpoint // those in use
+	leaving     map[id.Host]bool
+	addresses   map[id.Endpoint]string
+	watchers    map[id.Endpoint]*watcher
+	lastReports map[id.Endpoint]ReceivedReport
 }
 
-// ReceivedReport is the last report of an endpoint.
+// ReceivedReport is the last report of an endpoint and the time of its arrival.
 type ReceivedReport struct {
 	Report msg.Report
 	At     time.Time
@@ -94,15 +93,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Manager{
 		config: c, table: t, cache: cache, pool: p, recorder: r, ctx: ctx, cancel: cancel,
-		addresses: make(map[id.Endpoint]string),
-		watchers:  make(map[id.Endpoint]*watcher),
-		reports:   make(map[id.Endpoint]ReceivedReport),
+		addresses:   make(map[id.Endpoint]string),
+		watchers:    make(map[id.Endpoint]*watcher),
+		lastReports: make(map[id.Endpoint]ReceivedReport),
 	}
-	m.wg.Go(m.expire)
+	m.wg.Go(m.expireReports)
 	return m
 }
 
-// Close ends all connections to agents that the manager opened.
+// Close ends all watchers and waits for them.
 func (m *Manager) Close() {
 	m.cancel()
 	m.wg.Wait()
@@ -116,13 +115,13 @@
 	return address, ok
 }
 
-// AllContacted reports whether every endpoint in use has reported once or failed to.
+// AllContacted reports whether every endpoint in use has reported or failed to, at least once.
 func (m *Manager) AllContacted() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range m.watchers {
 		select {
-		case <-w.settled:
+		case <-w.contacted:
 		default:
 			return false
 		}
@@ -134,14 +133,14 @@
 func (m *Manager) LastReport(e id.Endpoint) (ReceivedReport, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	seen, ok := m.reports[e]
+	seen, ok := m.lastReports[e]
 	return seen, ok
 }
 
-// Update takes over the configured endpoints. Version is that of the endpoints
+// Update applies the configured endpoints. version is that of the endpoints
 // configuration.
 func (m *Manager) Update(endpoints []config.Endpoint, version uint64) {
-	wanted := m.selectUsed(endpoints)
+	wanted := m.selectEndpoints(endpoints)
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -160,7 +159,7 @@
 		if !used[name] {
 			w.cancel()
 			delete(m.watchers, name)
-			delete(m.reports, name)
+			delete(m.lastReports, name)
 		}
 	}
 }
@@ -179,7 +178,7 @@
 	m.wg.Go(w.run)
 }
 
-// SetLeaving takes the endpoints of leaving hosts out of use.
+// SetLeaving marks the endpoints of leaving hosts as draining.
 func (m *Manager) SetLeaving(hosts map[id.Host]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -207,10 +206,10 @@
 	return *e.Weight
 }
 
-// expireInterval is the time between searches for endpoints without fresh reports.
+// expireInterval is the time between checks for outdated reports.
 const expireInterval = 250 * time.Millisecond
 
-func (m *Manager) expire() {
+func (m *Manager) expireReports() {
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
@@ -223,9 +222,9 @@
 	}
 }
 
-// reportBytes is the size of a load report on the wire, with its share of packet
+// reportWireBytes is the size of a load report on the wire, with its share of packet
 // headers and acknowledgements.
-const reportBytes = 165
+const reportWireBytes = 165
 
 // reportInterval returns the time between load reports of an endpoint in a zone.
 // It grows with the number of endpoints in use, so that their reports stay
@@ -238,11 +237,11 @@
 	if zone != m.config.Zone {
 		interval = m.config.RemoteReportInterval
 	}
-	return max(interval, time.Duration(used*reportBytes)*time.Second/time.Duration(m.config.ReportBudget))
+	return max(interval, time.Duration(used*reportWireBytes)*time.Second/time.Duration(m.config.ReportBudget))
 }
 
-// lost takes an endpoint out of use whose connection has ended, until it reports again.
-func (m *Manager) lost(e id.Endpoint) {
+// handleDisconnect marks an endpoint as unhealthy until its next report.
+func (m *Manager) handleDisconnect(e id.Endpoint) {
 	if seen, ok := m.LastReport(e); ok {
 		report := routeReport(&seen.Report)
 		report.Seq++
@@ -252,21 +251,21 @@
 	m.recorder.Record(timeline.Event{Kind: "endpoint.disconnected", Endpoint: e})
 }
 
-// report takes over a load report.
-func (m *Manager) report(e id.Endpoint, r *msg.Report) {
+// handleReport stores a load report and passes it to the routing table.
+func (m *Manager) handleReport(e id.Endpoint, r *msg.Report) {
 	now := time.Now()
 	m.mu.Lock()
-	last, known := m.reports[e]
-	m.reports[e] = ReceivedReport{Report: *r, At: now}
+	last, known := m.lastReports[e]
+	m.lastReports[e] = ReceivedReport{Report: *r, At: now}
 	m.mu.Unlock()
 	m.table.Report(routeReport(r), now)
 	if m.cache != nil && len(r.CacheEvents) > 0 {
 		m.cache.ApplyCacheEvents(e, r.Incarnation, r.CacheEvents)
 	}
-	m.recordChange(last.Report, known, r)
+	m.recordStateChange(last.Report, known, r)
 }
 
-func (m *Manager) recordChange(last msg.Report, known bool, r *msg.Report) {
+func (m *Manager) recordStateChange(last msg.Report, known bool, r *msg.Report) {
 	event := timeline.Event{Endpoint: r.Endpoint, Incarnation: r.Incarnation}
 	switch {
 	case !known || last.Incarnation != r.Incarnation:
--- a/entry/endpoints/select.go
+++ b/entry/endpoints/select.go
@@ -10,38 +10,37 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// placeKey groups the endpoints of a service in a zone.
-type placeKey struct {
+type serviceZone struct {
 	service id.Service
 	zone    id.Zone
 }
 
-// ranked is an endpoint with its place among those of its service.
-type ranked struct {
+// candidate is an endpoint with its position in the order of preference.
+type candidate struct {
 	config.Endpoint
-	rank int
+	position int
 }
 
-// selectUsed returns the endpoints that this host uses. Rendezvous hashing ranks
-// the endpoints of each service in each zone; the first ones are taken until the
-// bound is reached, those of the own zone before those of others. The
-// connections of a node then grow neither with its zone nor with the others.
-func (m *Manager) selectUsed(endpoints []config.Endpoint) []config.Endpoint {
-	groups := make(map[placeKey][]config.Endpoint)
+// selectEndpoints returns the endpoints that this host uses. Rendezvous hashing
+// orders the endpoints of each service in each zone; the first of each are taken
+// up to MaxEndpoints, those of the local zone before others. The number of
+// connections thus depends neither on the size nor on the number of zones.
+func (m *Manager) selectEndpoints(endpoints []config.Endpoint) []config.Endpoint {
+	groups := make(map[serviceZone][]config.Endpoint)
 	for _, e := range endpoints {
-		key := placeKey{service: e.Service, zone: e.Zone}
+		key := serviceZone{service: e.Service, zone: e.Zone}
 		groups[key] = append(groups[key], e)
 	}
-	var all []ranked
+	var all []candidate
 	for key, group := range groups {
-		slices.SortFunc(group, m.byScore)
-		all = append(all, m.rank(key, group)...)
+		slices.SortFunc(group, m.compareScores)
+		all = append(all, m.candidates(key, group)...)
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
-		if a.rank != b.rank {
-			return a.rank - b.rank
+	slices.SortFunc(all, func(a, b candidate) int {
+		if a.position != b.position {
+			return a.position - b.position
 		}
-		return m.byScore(a.Endpoint, b.Endpoint)
+		return m.compareScores(a.Endpoint, b.Endpoint)
 	})
 	out := make([]config.Endpoint, 0, min(len(all), m.config.MaxEndpoints))
 	for _, e := range all[:min(len(all), m.config.MaxEndpoints)] {
@@ -50,22 +49,22 @@
 	return out
 }
 
-// rank numbers the endpoints of a group. Those of another zone come one place
-// later and only up to their bound.
-func (m *Manager) rank(key placeKey, group []config.Endpoint) []ranked {
+// candidates numbers the endpoints of a group. Those of another zone come one
+// position later, and at most RemoteEndpoints of them.
+func (m *Manager) candidates(key serviceZone, group []config.Endpoint) []candidate {
 	offset := 0
 	if key.zone != m.config.Zone {
 		offset = 1
 		group = group[:min(len(group), m.config.RemoteEndpoints)]
 	}
-	out := make([]ranked, len(group))
+	out := make([]candidate, len(group))
 	for i, e := range group {
-		out[i] = ranked{Endpoint: e, rank: i + offset}
+		out[i] = candidate{Endpoint: e, position: i + offset}
 	}
 	return out
 }
 
-func (m *Manager) byScore(a, b config.Endpoint) int {
+func (m *Manager) compareScores(a, b config.Endpoint) int {
 	x, y := m.score(a), m.score(b)
 	switch {
 	case x > y:
--- a/entry/endpoints/select_test.go
+++ b/entry/endpoints/select_test.go
@@ -11,7 +11,7 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// fleetEndpoints returns the endpoints of services with some replicas in each zone.
+// fleetEndpoints returns endpoints of services with some replicas in each zone.
 func fleetEndpoints(services, zones, replicas int) []config.Endpoint {
 	var out []config.Endpoint
 	for s := range services {
@@ -28,13 +28,13 @@
 	return out
 }
 
-func manager(host id.Host) *Manager {
+func newTestManager(host id.Host) *Manager {
 	c := DefaultConfig()
 	c.Zone, c.Host = "z0", host
 	return &Manager{config: c}
 }
 
-func TestSelectUsed(t *testing.T) {
+func TestSelectEndpoints(t *testing.T) {
 	for _, tc := range []struct {
 		name                      string
 		services, zones, replicas int
@@ -45,7 +45,7 @@
 		{"many services in many zones", 32, 10, 4, 48, 32},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			used := manager("h").selectUsed(fleetEndpoints(tc.services, tc.zones, tc.replicas))
+			used := newTestManager("h").selectEndpoints(fleetEndpoints(tc.services, tc.zones, tc.replicas))
 			local := map[id.Service]int{}
 			count := 0
 			for _, e := range used {
@@ -65,7 +65,7 @@
 	uses := map[id.Endpoint]int{}
 	endpoints := fleetEndpoints(1, 1, 120)
 	for h := range 36 {
-		for _, e := range manager(id.Host(fmt.Sprintf("entry-%d", h))).selectUsed(endpoints) {
+		for _, e := range newTestManager(id.Host(fmt.Sprintf("entry-%d", h))).selectEndpoints(endpoints) {
 			uses[e.Name]++
 		}
 	}
@@ -74,10 +74,10 @@
 
 func TestReportsStayWithinTheirBudget(t *testing.T) {
 	for _, n := range []int{1, 19, 48} {
-		m := manager("h")
+		m := newTestManager("h")
 		m.endpoints = make([]config.Endpoint, n)
 		interval := m.reportInterval("z0")
-		rate := float64(n*reportBytes) / interval.Seconds()
+		rate := float64(n*reportWireBytes) / interval.Seconds()
 		assert.Assert(t, rate <= float64(m.config.ReportBudget)+1, "%d endpoints: %.0f bytes/s", n, rate)
 		assert.Assert(t, interval < 2500*time.Millisecond, "%v", interval)
 	}
--- a/entry/endpoints/watcher.go
+++ b/entry/endpoints/watcher.go
@@ -12,15 +12,15 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// watcher keeps a connection to the agent of one endpoint and subscribes to its reports.
+// watcher maintains a connection to the agent of one endpoint and subscribes to its reports.
 type watcher struct {
-	manager *Manager
-	ctx     context.Context
-	cancel  context.CancelFunc
-	changed chan struct{}
-	// settled is closed after the first report or failure.
-	settled     chan struct{}
-	settledOnce sync.Once
+	manager      *Manager
+	ctx          context.Context
+	cancel       context.CancelFunc
+	drainChanged chan struct{}
+	// contacted is closed after the first report or failure.
+	contacted     chan struct{}
+	contactedOnce sync.Once
 
 	// mu is a leaf lock.
 	mu       sync.Mutex
@@ -32,13 +32,13 @@
 	ctx, cancel := context.WithCancel(m.ctx)
 	return &watcher{
 		manager: m, ctx: ctx, cancel: cancel, endpoint: e, version: version,
-		changed: make(chan struct{}, 1), settled: make(chan struct{}),
+		drainChanged: make(chan struct{}, 1), contacted: make(chan struct{}),
 	}
 }
 
-func (w *watcher) settle() { w.settledOnce.Do(func() { close(w.settled) }) }
+func (w *watcher) markContacted() { w.contactedOnce.Do(func() { close(w.contacted) }) }
 
-// update takes over a later configuration of the endpoint.
+// update applies a later configuration of the endpoint.
 func (w *watcher) update(e config.Endpoint, version uint64) {
 	w.mu.Lock()
 	changed := w.endpoint.Drain != e.Drain
@@ -49,7 +49,7 @@
 		return
 	}
 	select {
-	case w.changed <- struct{}{}:
+	case w.drainChanged <- struct{}{}:
 	default:
 	}
 }
@@ -60,8 +60,8 @@
 	return w.endpoint, w.version
 }
 
-// run connects again whenever the connection is lost: at once if a report had
-// arrived on it, otherwise after a pause.
+// run reconnects whenever the connection is lost: at once if it carried a report,
+// otherwise after RedialInterval.
 func (w *watcher) run() {
 	for w.ctx.Err() == nil {
 		endpoint, _ := w.current()
@@ -69,14 +69,14 @@
 		if err == nil && w.subscribe(conn) {
 			continue
 		}
-		w.settle()
-		if !w.pause() {
+		w.markContacted()
+		if !w.waitRedial() {
 			return
 		}
 	}
 }
 
-func (w *watcher) pause() bool {
+func (w *watcher) waitRedial() bool {
 	timer := time.NewTimer(w.manager.config.RedialInterval)
 	defer timer.Stop()
 	select {
@@ -87,8 +87,8 @@
 	}
 }
 
-// subscribe receives reports until the connection or the watcher ends. It
-// returns whether one arrived.
+// subscribe receives reports until the connection or the watcher ends, and returns
+// whether one arrived.
 func (w *watcher) subscribe(conn *link.Conn) bool {
 	endpoint, _ := w.current()
 	interval := w.manager.reportInterval(endpoint.Zone)
@@ -103,21 +103,21 @@
 	for {
 		select {
 		case <-w.ctx.Done():
-			return receiver.heard.Load()
+			return receiver.received.Load()
 		case <-conn.Done():
-			w.manager.lost(endpoint.Name)
-			return receiver.heard.Load()
-		case <-w.changed:
+			w.manager.handleDisconnect(endpoint.Name)
+			return receiver.received.Load()
+		case <-w.drainChanged:
 			w.sendDrain(conn)
 		}
 	}
 }
 
-// sendDrain tells the agent its configured drain state.
+// sendDrain sends the agent its configured drain state.
 func (w *watcher) sendDrain(conn *link.Conn) {
 	endpoint, version := w.current()
 	order := &msg.Order{Drain: &msg.DrainOrder{Drain: endpoint.Drain, Version: version}}
-	call, err := conn.Send(order, ignore{})
+	call, err := conn.Send(order, discardReplies{})
 	if err == nil {
 		call.Release()
 	}
@@ -127,9 +127,10 @@
 type reportReceiver struct {
 	watcher  *watcher
 	endpoint id.Endpoint
-	// incarnation is that of the first report. Replies arrive on one goroutine.
+	// incarnation is that of the first report. It is accessed only by Reply, which runs
+	// on one goroutine.
 	incarnation id.Incarnation
-	heard       atomic.Bool
+	received    atomic.Bool
 }
 
 func (r *reportReceiver) Reply(reply *msg.Reply) {
@@ -142,18 +143,18 @@
 	case r.incarnation == "":
 		r.incarnation = report.Incarnation
 	}
-	r.heard.Store(true)
+	r.received.Store(true)
 	report.Endpoint = r.endpoint
 	report.Incarnation = r.incarnation
-	r.watcher.manager.report(r.endpoint, report)
-	r.watcher.settle()
+	r.watcher.manager.handleReport(r.endpoint, report)
+	r.watcher.markContacted()
 }
 
 func (r *reportReceiver) Lost(bool, error) {}
 
-// ignore is the link.Waiter of orders without replies.
-type ignore struct{}
+// discardReplies is the link.Waiter of orders without replies.
+type discardReplies struct{}
 
-func (ignore) Reply(*msg.Reply) {}
+func (discardReplies) Reply(*msg.Reply) {}
 
-func (ignore) Lost(bool, error) {}
+func (discardReplies) Lost(bool, error) {}
