--- a/entry/caller/actions.go
+++ b/entry/caller/actions.go
@@ -9,34 +9,33 @@
 	"github.com/siskinford/siskinford/core/outcome"
 )
 
-func (a *API) issueTicket(w http.ResponseWriter, r *http.Request, c caller) {
+func (a *API) issueTicket(w http.ResponseWriter, r *http.Request, c requestInfo) {
 	service, p := a.plainService(r, c)
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
 	t, p := a.deps.Actions.IssueTicket(r.Context(), c.team.Name, service.Name)
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
 	writeJSON(w, http.StatusCreated, t)
 }
 
-// inquire answers what is known of the action of a ticket or key.
-func (a *API) inquire(w http.ResponseWriter, r *http.Request, c caller) {
+func (a *API) actionStatus(w http.ResponseWriter, r *http.Request, c requestInfo) {
 	service, p := a.plainService(r, c)
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
-	known, p := a.deps.Actions.Status(r.Context(), c.team.Name, service.Name, chi.URLParam(r, "key"))
+	status, p := a.deps.Actions.Status(r.Context(), c.team.Name, service.Name, chi.URLParam(r, "key"))
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
-	w.Header().Set(outcome.Header, string(known.Outcome))
-	writeJSON(w, http.StatusOK, known)
+	w.Header().Set(outcome.Header, string(status.Outcome))
+	writeJSON(w, http.StatusOK, status)
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/entry/caller/chat.go
+++ b/entry/caller/chat.go
@@ -19,7 +19,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// ChatRequest is the body of a chat completion. Members that are not listed are ignored.
+// ChatRequest is the body of a chat completion request. Other members are ignored.
 type ChatRequest struct {
 	Model         string         `json:"model"`
 	Messages      []ChatMessage  `json:"messages"`
@@ -36,7 +36,7 @@
 	Content string `json:"content"`
 }
 
-// StreamOptions selects parts of a streamed answer.
+// StreamOptions selects optional parts of a streamed completion.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
@@ -58,7 +58,7 @@
 	return l
 }
 
-func (c ChatRequest) tokens(limits Config) int {
+func (c ChatRequest) maxTokens(limits Config) int {
 	switch {
 	case c.MaxCompletionTokens > 0:
 		return c.MaxCompletionTokens
@@ -81,21 +81,21 @@
 	return b.String()
 }
 
-func (a *API) chat(w http.ResponseWriter, r *http.Request, c caller) {
+func (a *API) chat(w http.ResponseWriter, r *http.Request, c requestInfo) {
 	var request ChatRequest
-	if p := a.decode(w, r, &request); p != nil {
-		a.fail(w, r, p)
+	if p := a.decodeJSON(w, r, &request); p != nil {
+		a.writeProblem(w, r, p)
 		return
 	}
 	service, p := a.modelService(c, request)
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
-	call := a.chatCall(c, service, request)
+	call := a.newChatCall(c, service, request)
 	release, p := a.deps.Admitter.Admit(c.team, call)
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
 	if request.Stream {
@@ -106,24 +106,24 @@
 		}
 		return
 	}
-	release(a.wholeChat(w, r, c, request, call))
+	release(a.bufferChat(w, r, c, request, call))
 }
 
-// decode reads a JSON body within the bounds.
-func (a *API) decode(w http.ResponseWriter, r *http.Request, into any) *problem.Problem {
-	body, p := a.body(w, r)
+// decodeJSON reads a JSON body of at most Config.MaxBodyBytes.
+func (a *API) decodeJSON(w http.ResponseWriter, r *http.Request, into any) *problem.Problem {
+	body, p := a.readBody(w, r)
 	if p != nil {
 		return p
 	}
 	if err := json.Unmarshal(body, into); err != nil {
 		p := problem.Newf(problem.BadRequest, "the body is not valid JSON: %v", err)
-		p.Findings = finding.List{{Place: jsonPlace(body, err), Message: err.Error()}}
+		p.Findings = finding.List{{Place: jsonErrorPosition(body, err), Message: err.Error()}}
 		return p
 	}
 	return nil
 }
 
-func (a *API) body(w http.ResponseWriter, r *http.Request) ([]byte, *problem.Problem) {
+func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *problem.Problem) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.config.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -135,7 +135,7 @@
 	return body, nil
 }
 
-func (a *API) modelService(c caller, request ChatRequest) (config.Service, *problem.Problem) {
+func (a *API) modelService(c requestInfo, request ChatRequest) (config.Service, *problem.Problem) {
 	if findings := request.validate(a.config); len(findings) > 0 {
 		p := problem.Newf(problem.BadRequest, "the chat completion is invalid: %v", findings)
 		p.Findings = findings
@@ -151,9 +151,9 @@
 	return service, nil
 }
 
-func (a *API) chatCall(c caller, s config.Service, request ChatRequest) *dispatch.Call {
+func (a *API) newChatCall(c requestInfo, s config.Service, request ChatRequest) *dispatch.Call {
 	prompt := request.prompt()
-	tokens := request.tokens(a.config)
+	tokens := request.maxTokens(a.config)
 	call := &dispatch.Call{
 		Request:      c.request,
 		Team:         c.team.Name,
@@ -170,7 +170,7 @@
 	return call
 }
 
-// ChatCompletion is a whole chat completion.
+// ChatCompletion is a chat completion or one chunk of a streamed one.
 type ChatCompletion struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -188,13 +188,13 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// ChatDelta is the part of a message in one chunk.
+// ChatDelta is the part of the message that a chunk carries.
 type ChatDelta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// ChatUsage counts the tokens of a completion.
+// ChatUsage counts the tokens of a chat completion.
 type ChatUsage struct {
 	PromptTokens     uint32 `json:"prompt_tokens"`
 	CompletionTokens uint32 `json:"completion_tokens"`
@@ -211,16 +211,16 @@
 	}
 }
 
-func answerID(c caller) string { return "chatcmpl-" + strings.TrimPrefix(string(c.request), "req_") }
+func chatID(c requestInfo) string { return "chatcmpl-" + strings.TrimPrefix(string(c.request), "req_") }
 
-// collector keeps the whole answer.
-type collector struct {
+// bufferSink buffers the whole response.
+type bufferSink struct {
 	body   bytes.Buffer
 	tokens uint32
 }
 
 // WriteFrames implements dispatch.Sink.
-func (s *collector) WriteFrames(batch []*msg.Frame) error {
+func (s *bufferSink) WriteFrames(batch []*msg.Frame) error {
 	for _, f := range batch {
 		s.body.Write(f.Data)
 		s.tokens += f.Tokens
@@ -228,16 +228,16 @@
 	return nil
 }
 
-func (a *API) wholeChat(w http.ResponseWriter, r *http.Request, c caller, request ChatRequest, call *dispatch.Call) uint32 {
-	var sink collector
+func (a *API) bufferChat(w http.ResponseWriter, r *http.Request, c requestInfo, request ChatRequest, call *dispatch.Call) uint32 {
+	var sink bufferSink
 	result := a.deps.Dispatcher.Run(r.Context(), call, &sink)
 	if result.Problem != nil {
-		a.fail(w, r, result.Problem)
+		a.writeProblem(w, r, result.Problem)
 		return sink.tokens
 	}
 	reason := result.End.FinishReason
-	answer := ChatCompletion{
-		ID:      answerID(c),
+	completion := ChatCompletion{
+		ID:      chatID(c),
 		Object:  "chat.completion",
 		Created: time.Now().Unix(),
 		Model:   request.Model,
@@ -249,7 +249,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(outcome.Header, string(result.Outcome))
-	a.deps.Metrics.answered(result.Outcome)
-	_ = json.NewEncoder(w).Encode(answer)
+	a.deps.Metrics.countAnswered(result.Outcome)
+	_ = json.NewEncoder(w).Encode(completion)
 	return sink.tokens
 }
--- a/entry/caller/config.go
+++ b/entry/caller/config.go
@@ -1,5 +1,5 @@
-// Package caller is the HTTP API for callers: chat completions, the list of
-// models, plain services and tickets.
+// Package caller implements the HTTP API for callers, the clients that send requests:
+// chat completions, the list of models, plain services and tickets.
 package caller
 
 import (
@@ -8,23 +8,22 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// Config bounds what callers may send.
+// Config limits the requests of callers.
 type Config struct {
-	// MaxBodyBytes bounds the body of a request. Default: 1 MiB.
+	// MaxBodyBytes bounds the request body. Default: 1 MiB.
 	MaxBodyBytes int64
-	// MaxHeaderBytes bounds the header of a request. Default: 32 KiB.
+	// MaxHeaderBytes bounds the request header. Default: 32 KiB.
 	MaxHeaderBytes int
-	// MaxTokens bounds the answer of a chat completion. Default: 8,192.
+	// MaxTokens is the largest max_tokens that a request may set. Default: 8,192.
 	MaxTokens int
-	// DefaultMaxTokens is the bound of an answer whose caller gives none. Default: 256.
+	// DefaultMaxTokens applies to requests without max_tokens. Default: 256.
 	DefaultMaxTokens int
-	// LongRequestTokens is the predicted work in tokens from which a request counts as long. Default: 2,000.
+	// LongRequestTokens is the predicted work from which a request counts as long. Default: 2,000.
 	LongRequestTokens uint32
-	// ReadTimeout bounds the time in which a caller sends its request. Default: 10 s.
+	// ReadTimeout bounds reading a request. Default: 10 s.
 	ReadTimeout time.Duration
 }
 
-// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
 		MaxBodyBytes:      1 << 20,
@@ -49,7 +48,7 @@
 		l.Addf("default-tokens", "%d is not positive", c.DefaultMaxTokens)
 	}
 	if c.MaxTokens < max(c.DefaultMaxTokens, 1) {
-		l.Addf("max-tokens", "%d is below the %d tokens of an answer without a limit of its own", c.MaxTokens, c.DefaultMaxTokens)
+		l.Addf("max-tokens", "%d is below the default of %d tokens", c.MaxTokens, c.DefaultMaxTokens)
 	}
 	if c.ReadTimeout <= 0 {
 		l.Addf("read-timeout", "duration %v is not positive", c.ReadTimeout)
--- a/entry/caller/place.go
+++ b/entry/caller/jsonerror.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// jsonPlace returns line and column of a JSON error in body.
-func jsonPlace(body []byte, err error) string {
+// jsonErrorPosition returns the line and column of a JSON error in body.
+func jsonErrorPosition(body []byte, err error) string {
 	offset := int64(len(body))
 	var syntax *json.SyntaxError
 	var typed *json.UnmarshalTypeError
--- a/entry/caller/metrics.go
+++ b/entry/caller/metrics.go
@@ -9,18 +9,18 @@
 	"github.com/siskinford/siskinford/entry/problem"
 )
 
-// Metrics counts answers by outcome and code.
+// Metrics counts responses by outcome and problem code.
 type Metrics struct {
 	set *metrics.Set
 }
 
-// NewMetrics returns metrics that are registered in set.
+// NewMetrics returns Metrics that are registered in set.
 func NewMetrics(set *metrics.Set) *Metrics { return &Metrics{set: set} }
 
-func (m *Metrics) answered(o outcome.Outcome) {
+func (m *Metrics) countAnswered(o outcome.Outcome) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("siskinford_requests_total{outcome=%q,code=\"\"}", o)).Inc()
 }
 
-func (m *Metrics) failed(p *problem.Problem) {
+func (m *Metrics) countFailed(p *problem.Problem) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("siskinford_requests_total{outcome=%q,code=%q}", p.Outcome, p.Code)).Inc()
 }
--- a/entry/caller/models.go
+++ b/entry/caller/models.go
@@ -6,7 +6,7 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// ModelList is the answer of GET /v1/models.
+// ModelList is the response body of GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
@@ -19,7 +19,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (a *API) models(w http.ResponseWriter, _ *http.Request, c caller) {
+func (a *API) models(w http.ResponseWriter, _ *http.Request, c requestInfo) {
 	list := ModelList{Object: "list", Data: []Model{}}
 	for _, s := range c.catalog.Services() {
 		if s.Type == config.ModelService && permitted(c.team, s.Name) {
--- a/entry/caller/plain.go
+++ b/entry/caller/plain.go
@@ -18,51 +18,51 @@
 )
 
 const (
-	// HeaderIdempotencyKey carries an idempotency key made by the caller, or a ticket.
+	// HeaderIdempotencyKey carries an idempotency key chosen by the caller, or a ticket.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// plainWork is the predicted work of a plain request in tokens.
-	plainWork = 1
-	// ticketPrefix distinguishes tickets from keys made by callers.
+	// plainWorkTokens is the predicted work of a plain request.
+	plainWorkTokens = 1
+	// ticketPrefix distinguishes tickets from keys chosen by callers.
 	ticketPrefix = "skt1."
 )
 
-// hopHeaders are not forwarded.
-var hopHeaders = map[string]bool{
+// unforwardedHeaders are hop-by-hop fields, credentials and fields that net/http sets.
+var unforwardedHeaders = map[string]bool{
 	"Authorization": true, "Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Host": true, "Content-Length": true,
 }
 
-func (a *API) plain(w http.ResponseWriter, r *http.Request, c caller) {
+func (a *API) plain(w http.ResponseWriter, r *http.Request, c requestInfo) {
 	service, p := a.plainService(r, c)
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
-	body, p := a.body(w, r)
+	body, p := a.readBody(w, r)
 	if p != nil {
-		a.fail(w, r, p)
+		a.writeProblem(w, r, p)
 		return
 	}
-	call := plainCall(r, c, service, body)
+	call := newPlainCall(r, c, service, body)
 	release, p := a.deps.Admitter.Admit(c.team, call)
 	if p != nil {
-		a.fail(w, r, keyed(r, p))
+		a.writeProblem(w, r, withActionOutcome(r, p))
 		return
 	}
-	if p := a.bind(r, call); p != nil {
+	if p := a.bindAction(r, call); p != nil {
 		release(0)
-		a.fail(w, r, keyed(r, p))
+		a.writeProblem(w, r, withActionOutcome(r, p))
 		return
 	}
 	broken := a.runPlain(w, r, call)
-	release(plainWork)
+	release(plainWorkTokens)
 	if broken {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (a *API) plainService(r *http.Request, c caller) (config.Service, *problem.Problem) {
+func (a *API) plainService(r *http.Request, c requestInfo) (config.Service, *problem.Problem) {
 	name := id.Service(chi.URLParam(r, "service"))
 	service, ok := c.catalog.Service(name)
 	if !ok || service.Type != config.PlainService {
@@ -74,7 +74,7 @@
 	return service, nil
 }
 
-func plainCall(r *http.Request, c caller, s config.Service, body []byte) *dispatch.Call {
+func newPlainCall(r *http.Request, c requestInfo, s config.Service, body []byte) *dispatch.Call {
 	path := "/" + chi.URLParam(r, "*")
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
@@ -85,9 +85,9 @@
 		Service:     s.Name,
 		Idempotent:  s.Idempotent || r.Method == http.MethodGet || r.Method == http.MethodHead,
 		Deadline:    time.Now().Add(s.Deadline()),
-		Work:        plainWork,
+		Work:        plainWorkTokens,
 		PayloadHash: payloadHash(r.Method, path, body),
-		Plain:       &msg.Plain{Method: r.Method, Path: path, Header: forwarded(r.Header), Body: body},
+		Plain:       &msg.Plain{Method: r.Method, Path: path, Header: forwardedHeaders(r.Header), Body: body},
 	}
 }
 
@@ -98,14 +98,14 @@
 	return d.Sum64()
 }
 
-func forwarded(h http.Header) []msg.Header {
-	named := map[string]bool{}
+func forwardedHeaders(h http.Header) []msg.Header {
+	hopByHop := map[string]bool{}
 	for _, name := range strings.Split(h.Get("Connection"), ",") {
-		named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+		hopByHop[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 	}
 	var out []msg.Header
 	for name, values := range h {
-		if hopHeaders[name] || named[name] {
+		if unforwardedHeaders[name] || hopByHop[name] {
 			continue
 		}
 		for _, v := range values {
@@ -115,17 +115,17 @@
 	return out
 }
 
-// keyed completes the problem of a request with an idempotency key: if nothing
-// is known of the action, it says so.
-func keyed(r *http.Request, p *problem.Problem) *problem.Problem {
+// withActionOutcome sets the outcome of the action to unknown if the request has an
+// idempotency key and the problem states no outcome.
+func withActionOutcome(r *http.Request, p *problem.Problem) *problem.Problem {
 	if r.Header.Get(HeaderIdempotencyKey) != "" && p.ActionOutcome == "" {
 		p.ActionOutcome = outcome.Unknown
 	}
 	return p
 }
 
-// bind fixes where a request with an idempotency key may run.
-func (a *API) bind(r *http.Request, call *dispatch.Call) *problem.Problem {
+// bindAction binds a request with an idempotency key to an endpoint and incarnation.
+func (a *API) bindAction(r *http.Request, call *dispatch.Call) *problem.Problem {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		return nil
@@ -137,35 +137,35 @@
 	return a.deps.Actions.BindKey(r.Context(), call, key)
 }
 
-// runPlain reports whether the answer broke after its head was sent.
+// runPlain returns whether the response broke off after its header was sent.
 func (a *API) runPlain(w http.ResponseWriter, r *http.Request, call *dispatch.Call) (broken bool) {
 	sink := &plainWriter{w: w}
 	result := a.deps.Dispatcher.Run(r.Context(), call, sink)
 	switch {
 	case result.Problem == nil && sink.head != nil:
 		sink.sendHead(result.Outcome)
-		a.deps.Metrics.answered(result.Outcome)
-	case sink.sent:
-		a.deps.Metrics.failed(result.Problem)
+		a.deps.Metrics.countAnswered(result.Outcome)
+	case sink.headSent:
+		a.deps.Metrics.countFailed(result.Problem)
 		return true
 	case result.Problem == nil:
-		a.fail(w, r, problem.Unknownf(problem.AnswerIncomplete, "endpoint %q sent no status", result.Endpoint))
+		a.writeProblem(w, r, problem.Unknownf(problem.AnswerIncomplete, "endpoint %q sent no status", result.Endpoint))
 	default:
-		a.fail(w, r, keyed(r, result.Problem))
+		a.writeProblem(w, r, withActionOutcome(r, result.Problem))
 	}
 	return false
 }
 
-// holdBytes is the size up to which a plain answer is held back until its end, so
-// that its status and outcome are certain when they are sent.
-const holdBytes = 64 << 10
+// maxBufferedBytes is the size up to which a plain response is buffered until its
+// end, so that its status and outcome are certain when they are sent.
+const maxBufferedBytes = 64 << 10
 
-// plainWriter sends the answer of a plain service. It implements dispatch.Sink.
+// plainWriter sends the response of a plain service. It implements dispatch.Sink.
 type plainWriter struct {
-	w    http.ResponseWriter
-	head *msg.Head
-	held []byte
-	sent bool
+	w        http.ResponseWriter
+	head     *msg.Head
+	buffered []byte
+	headSent bool
 }
 
 // WriteFrames implements dispatch.Sink.
@@ -174,28 +174,29 @@
 		if f.Head != nil {
 			p.head = f.Head
 		}
-		p.held = append(p.held, f.Data...)
+		p.buffered = append(p.buffered, f.Data...)
 	}
-	if len(p.held) <= holdBytes || p.head == nil {
+	if len(p.buffered) <= maxBufferedBytes || p.head == nil {
 		return nil
 	}
 	p.sendHead("")
 	return nil
 }
 
-// sendHead sends the status once and then what is held back.
+// sendHead sends the header unless it was sent before, and then the buffered body. o
+// is empty if the outcome is not known yet.
 func (p *plainWriter) sendHead(o outcome.Outcome) {
-	if !p.sent {
-		p.sent = true
+	if !p.headSent {
+		p.headSent = true
 		h := p.w.Header()
 		for _, field := range p.head.Header {
-			if !hopHeaders[http.CanonicalHeaderKey(field.Name)] {
+			if !unforwardedHeaders[http.CanonicalHeaderKey(field.Name)] {
 				h.Add(field.Name, field.Value)
 			}
 		}
 		if o != "" {
 			h.Set(outcome.Header, string(o))
-			h.Set("Content-Length", strconv.Itoa(len(p.held)))
+			h.Set("Content-Length", strconv.Itoa(len(p.buffered)))
 		} else {
 			h.Set("Trailer", outcome.Header)
 		}
@@ -204,6 +205,6 @@
 	if o != "" {
 		p.w.Header().Set(outcome.Header, string(o))
 	}
-	_, _ = p.w.Write(p.held)
-	p.held = p.held[:0]
+	_, _ = p.w.Write(p.buffered)
+	p.buffered = p.buffered[:0]
 }
--- a/entry/caller/redact.go
+++ b/entry/caller/redact.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// minSecretLen is the length from which a segment of a path counts as a ticket
-// or key. Unit: bytes.
+// minSecretLen is the length in bytes from which a path segment is treated as a
+// ticket or key.
 const minSecretLen = 16
 
-// redact replaces what may be a secret of the caller in a text for logs and the
-// time line: the API key, the idempotency key, and long segments of the path.
+// redact removes the caller's API key, idempotency key and long path segments from
+// a text for logs and the timeline.
 func redact(r *http.Request, text string) string {
 	secrets := append(strings.Split(r.URL.Path, "/"), r.Header.Get(HeaderIdempotencyKey))
 	if key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
--- a/entry/caller/sse.go
+++ b/entry/caller/sse.go
@@ -22,44 +22,44 @@
 type eventWriter struct {
 	w       http.ResponseWriter
 	flusher http.Flusher
-	// head and tail surround the JSON text of a token's content.
-	head, tail []byte
-	buf        []byte
-	tokens     uint32
-	started    bool
+	// chunkPrefix and chunkSuffix enclose the JSON text of a frame's content.
+	chunkPrefix, chunkSuffix []byte
+	buf                      []byte
+	tokens                   uint32
+	started                  bool
 }
 
-func newEventWriter(w http.ResponseWriter, c caller, model string) *eventWriter {
+func newEventWriter(w http.ResponseWriter, c requestInfo, model string) *eventWriter {
 	flusher, _ := w.(http.Flusher)
-	encodedModel, _ := json.Marshal(model) // strings always encode
-	head := fmt.Sprintf(`%s{"id":%q,"object":"chat.completion.chunk","created":%d,"model":%s,"choices":[{"index":0,"delta":{"content":`,
-		eventPrefix, answerID(c), time.Now().Unix(), encodedModel)
+	encodedModel, _ := json.Marshal(model) // a string cannot fail to encode
+	chunkPrefix := fmt.Sprintf(`%s{"id":%q,"object":"chat.completion.chunk","created":%d,"model":%s,"choices":[{"index":0,"delta":{"content":`,
+		eventPrefix, chatID(c), time.Now().Unix(), encodedModel)
 	return &eventWriter{
-		w:       w,
-		flusher: flusher,
-		head:    []byte(head),
-		tail:    []byte(`},"finish_reason":null}]}` + eventEnd),
+		w:           w,
+		flusher:     flusher,
+		chunkPrefix: []byte(chunkPrefix),
+		chunkSuffix: []byte(`},"finish_reason":null}]}` + eventEnd),
 	}
 }
 
 // WriteFrames implements dispatch.Sink.
 func (e *eventWriter) WriteFrames(batch []*msg.Frame) error {
-	e.start()
+	e.writeHeader()
 	e.buf = e.buf[:0]
 	for _, f := range batch {
 		content, err := json.Marshal(string(f.Data))
 		if err != nil {
 			return err
 		}
-		e.buf = append(e.buf, e.head...)
+		e.buf = append(e.buf, e.chunkPrefix...)
 		e.buf = append(e.buf, content...)
-		e.buf = append(e.buf, e.tail...)
+		e.buf = append(e.buf, e.chunkSuffix...)
 		e.tokens += f.Tokens
 	}
 	return e.flush()
 }
 
-func (e *eventWriter) start() {
+func (e *eventWriter) writeHeader() {
 	if e.started {
 		return
 	}
@@ -67,7 +67,7 @@
 	h := e.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
-	// The outcome of a streamed answer is known only at its end.
+	// The outcome of a streamed response is known only at its end.
 	h.Set("Trailer", outcome.Header)
 	e.w.WriteHeader(http.StatusOK)
 }
@@ -82,55 +82,56 @@
 	return nil
 }
 
-func (e *eventWriter) event(data []byte) {
+func (e *eventWriter) appendEvent(data []byte) {
 	e.buf = append(e.buf, eventPrefix...)
 	e.buf = append(e.buf, data...)
 	e.buf = append(e.buf, eventEnd...)
 }
 
-// finish sends the last chunks of a complete answer.
-func (e *eventWriter) finish(c caller, request ChatRequest, r dispatch.Result) {
-	e.start()
+// finish sends the last chunks of a complete response.
+func (e *eventWriter) finish(c requestInfo, request ChatRequest, r dispatch.Result) {
+	e.writeHeader()
 	e.buf = e.buf[:0]
 	reason := r.End.FinishReason
 	last := ChatCompletion{
-		ID: answerID(c), Object: "chat.completion.chunk", Created: time.Now().Unix(), Model: request.Model,
+		ID: chatID(c), Object: "chat.completion.chunk", Created: time.Now().Unix(), Model: request.Model,
 		Choices: []ChatChoice{{Delta: &ChatDelta{}, FinishReason: &reason}},
 	}
 	if request.StreamOptions != nil && request.StreamOptions.IncludeUsage {
 		last.Usage = usage(r.End)
 	}
-	data, _ := json.Marshal(last) // the type has no member that can fail
-	e.event(data)
-	e.event([]byte(streamEnd))
+	data, _ := json.Marshal(last) // no field can fail to encode
+	e.appendEvent(data)
+	e.appendEvent([]byte(streamEnd))
 	e.w.Header().Set(outcome.Header, string(r.Outcome))
 	_ = e.flush()
 }
 
-// streamChat returns the number of tokens sent and whether the connection must be reset.
-func (a *API) streamChat(w http.ResponseWriter, r *http.Request, c caller, request ChatRequest, call *dispatch.Call) (tokens uint32, broken bool) {
+// streamChat returns the number of tokens sent, and whether the response broke off so
+// that the connection must be reset.
+func (a *API) streamChat(w http.ResponseWriter, r *http.Request, c requestInfo, request ChatRequest, call *dispatch.Call) (tokens uint32, broken bool) {
 	events := newEventWriter(w, c, request.Model)
 	result := a.deps.Dispatcher.Run(r.Context(), call, events)
 	switch {
 	case result.Problem == nil:
-		a.deps.Metrics.answered(result.Outcome)
+		a.deps.Metrics.countAnswered(result.Outcome)
 		events.finish(c, request, result)
 	case !events.started:
-		a.fail(w, r, result.Problem)
+		a.writeProblem(w, r, result.Problem)
 	default:
 		result.Problem.Request = c.request
-		a.breakStream(events, result)
+		a.abortStream(events, result)
 		broken = true
 	}
 	return events.tokens, broken
 }
 
-// breakStream sends an error event for a stream that cannot be completed. The
-// caller of streamChat then resets the connection, so that the end is never
-// taken for a clean one.
-func (a *API) breakStream(e *eventWriter, r dispatch.Result) {
-	a.deps.Metrics.failed(r.Problem)
+// abortStream sends an error event for a stream that cannot be completed. The HTTP
+// handler then resets the connection, so that the client cannot take the stream
+// for complete.
+func (a *API) abortStream(e *eventWriter, r dispatch.Result) {
+	a.deps.Metrics.countFailed(r.Problem)
 	e.buf = append(e.buf[:0], "event: error\n"...)
-	e.event(r.Problem.JSON())
+	e.appendEvent(r.Problem.JSON())
 	_ = e.flush()
 }
