--- a/entry/operator/answer.go
+++ b/entry/operator/answer.go
@@ -18,8 +18,8 @@
 // maxQueries bounds the queries of one script.
 const maxQueries = 64
 
-// Answer answers a script of queries, or applies a script of commands in the
-// name of an operator. It blocks on other processes and on the platform.
+// Answer runs a script of queries, or applies a script of commands on behalf of an
+// operator. It blocks on other processes and on the platform.
 func (s *Service) Answer(ctx context.Context, q answer.Question, operator string) *answer.Reply {
 	statements, findings := lang.Parse(q.Script)
 	findings = append(findings, checkScript(statements, findings)...)
@@ -31,7 +31,7 @@
 	}
 	reply := &answer.Reply{}
 	for _, statement := range statements {
-		reply.Answers = append(reply.Answers, s.answer(ctx, statement))
+		reply.Answers = append(reply.Answers, s.answerStatement(ctx, statement))
 	}
 	return reply
 }
@@ -58,13 +58,13 @@
 	return l
 }
 
-func (s *Service) answer(ctx context.Context, statement *lang.Statement) answer.Answer {
+func (s *Service) answerStatement(ctx context.Context, statement *lang.Statement) answer.Answer {
 	a := answer.Answer{Statement: statement.Text, AsOf: time.Now()}
 	switch {
 	case statement.Query != nil:
-		s.query(ctx, statement.Query, &a)
+		s.answerQuery(ctx, statement.Query, &a)
 	case statement.Timeline != nil:
-		s.timeline(ctx, statement.Timeline, &a)
+		s.answerTimeline(ctx, statement.Timeline, &a)
 	case statement.Explain.Kind == "request":
 		s.explainRequest(ctx, id.Request(statement.Explain.Name.String()), &a)
 	default:
@@ -73,35 +73,35 @@
 	return a
 }
 
-// from notes where an answer is from.
-func from(a *answer.Answer, t *told) {
-	a.Processes = append(a.Processes, t.Processes...)
+// addSources adds the processes and truncation of a peer reply to an answer.
+func addSources(a *answer.Answer, reply *peerReply) {
+	a.Processes = append(a.Processes, reply.Processes...)
 	slices.Sort(a.Processes)
 	a.Processes = slices.Compact(a.Processes)
-	for _, m := range t.Missing {
+	for _, m := range reply.Missing {
 		if !slices.Contains(a.Missing, m) {
 			a.Missing = append(a.Missing, m)
 		}
 	}
-	a.Truncated = a.Truncated || t.Truncated
+	a.Truncated = a.Truncated || reply.Truncated
 }
 
-// gather returns the rows of a kind. Services and teams are those in force at
-// this process; all other kinds are gathered from the fleet.
-func (s *Service) gather(ctx context.Context, k lang.Kind) *told {
+// gatherKind returns the rows of a kind. Services and teams come from this process's
+// configuration, all other kinds from the whole fleet.
+func (s *Service) gatherKind(ctx context.Context, k lang.Kind) *peerReply {
 	if k == lang.Services || k == lang.Teams {
-		return s.local(ask{Kind: k})
+		return s.gatherLocal(peerQuery{Kind: k})
 	}
-	return s.fleet(ctx, ask{Kind: k})
+	return s.gatherFleet(ctx, peerQuery{Kind: k})
 }
 
-func (s *Service) query(ctx context.Context, q *lang.Query, a *answer.Answer) {
-	t := s.gather(ctx, lang.Kind(q.Kind))
-	from(a, t)
-	a.Sections = []answer.Section{{Title: q.Kind, Table: *q.Apply(t.Rows)}}
+func (s *Service) answerQuery(ctx context.Context, q *lang.Query, a *answer.Answer) {
+	reply := s.gatherKind(ctx, lang.Kind(q.Kind))
+	addSources(a, reply)
+	a.Sections = []answer.Section{{Title: q.Kind, Table: *q.Apply(reply.Rows)}}
 }
 
-func (s *Service) timeline(ctx context.Context, q *lang.Timeline, a *answer.Answer) {
+func (s *Service) answerTimeline(ctx context.Context, q *lang.Timeline, a *answer.Answer) {
 	order := &msg.EventsOrder{}
 	for _, o := range q.Options {
 		switch o.Name {
@@ -118,17 +118,17 @@
 			order.Limit, _ = strconv.Atoi(o.Value) // Checked by the parser.
 		}
 	}
-	a.Sections = []answer.Section{s.events(ctx, order, a)}
+	a.Sections = []answer.Section{s.gatherEvents(ctx, order, a)}
 }
 
-// events gathers events from all processes in order of their stamps.
-func (s *Service) events(ctx context.Context, o *msg.EventsOrder, a *answer.Answer) answer.Section {
-	t := s.fleet(ctx, ask{Events: o})
-	from(a, t)
+// gatherEvents returns the events of all processes in order of their timestamps.
+func (s *Service) gatherEvents(ctx context.Context, o *msg.EventsOrder, a *answer.Answer) answer.Section {
+	reply := s.gatherFleet(ctx, peerQuery{Events: o})
+	addSources(a, reply)
 	section := answer.Section{Title: "events", Table: table.Table{Columns: []string{
 		"at", "logical", "process", "event", "request", "attempt", "endpoint", "incarnation", "duty", "detail",
 	}}}
-	for _, e := range t.Events {
+	for _, e := range reply.Events {
 		section.Table.Rows = append(section.Table.Rows, eventRow(e))
 	}
 	return section
@@ -137,12 +137,12 @@
 func eventRow(e timeline.Event) table.Row {
 	return table.Row{
 		table.Text(e.Stamp.Time().UTC().Format(time.RFC3339Nano)), table.Number(e.Stamp.Logical), table.Text(e.Process), table.Text(e.Kind),
-		text(e.Request), text(e.Attempt), text(e.Endpoint), text(e.Incarnation), text(e.Duty), text(e.Detail),
+		textOrNull(e.Request), textOrNull(e.Attempt), textOrNull(e.Endpoint), textOrNull(e.Incarnation), textOrNull(e.Duty), textOrNull(e.Detail),
 	}
 }
 
-// text returns a text, or an unknown value if it is empty.
-func text[T ~string](x T) table.Value {
+// textOrNull returns a null value for the empty string.
+func textOrNull[T ~string](x T) table.Value {
 	if x == "" {
 		return table.Value{}
 	}
--- a/entry/operator/apply.go
+++ b/entry/operator/apply.go
@@ -19,13 +19,13 @@
 	"github.com/siskinford/siskinford/operate/lang"
 )
 
-// EventConfigChanged tells that an operator's change was accepted.
+// EventConfigChanged is recorded when an operator's change is accepted.
 const EventConfigChanged timeline.Kind = "config.changed"
 
-// base is the version of a configuration that a change is made to.
+// base is the version of a configuration that a change applies to.
 type base struct {
 	version uint64
-	// value is the JSON of the set, empty for version zero.
+	// value is the JSON configuration, empty for version zero.
 	value []byte
 }
 
@@ -36,12 +36,12 @@
 	if len(findings) > 0 {
 		return &answer.Reply{Findings: findings}
 	}
-	b, err := s.base(ctx, kind, q.DryRun)
+	b, err := s.readBase(ctx, kind, q.DryRun)
 	if err != nil {
 		return &answer.Reply{Error: err.Error()}
 	}
 	if q.Seen != 0 && q.Seen != b.version {
-		return s.raced(ctx, kind, q.Seen)
+		return s.lostRaceReply(ctx, kind, q.Seen)
 	}
 	plan, findings, err := change.Make(kind, b.value, statements)
 	if err != nil {
@@ -61,9 +61,9 @@
 	return reply
 }
 
-// base reads a configuration from the platform. A dry run falls back to the
-// version in force when the platform is unavailable.
-func (s *Service) base(ctx context.Context, kind config.Kind, dryRun bool) (base, error) {
+// readBase reads a configuration from the platform. A dry run falls back to the
+// version in force if the platform is unavailable.
+func (s *Service) readBase(ctx context.Context, kind config.Kind, dryRun bool) (base, error) {
 	o, err := s.deps.Store.Get(ctx, config.ObjectKind, string(kind))
 	var absent *objectapi.NotFoundError
 	switch {
@@ -75,10 +75,10 @@
 	case err != nil:
 		return base{}, errors.Wrap(err, "nothing was changed")
 	}
-	return s.decode(kind, o)
+	return s.decodeBase(kind, o)
 }
 
-func (s *Service) decode(kind config.Kind, o objectapi.Object) (base, error) {
+func (s *Service) decodeBase(kind config.Kind, o objectapi.Object) (base, error) {
 	if len(o.Value) == 0 {
 		return base{}, nil
 	}
@@ -101,11 +101,11 @@
 	switch {
 	case err == nil:
 		reply.Plan.State, reply.Plan.Version = answer.Accepted, accepted.Version
-		s.deps.Recorder.Record(timeline.Event{Kind: EventConfigChanged, Detail: describe(p, operator, accepted.Version)})
+		s.deps.Recorder.Record(timeline.Event{Kind: EventConfigChanged, Detail: changeDetail(p, operator, accepted.Version)})
 	case errors.As(err, &findings):
 		reply.Findings = p.Locate(findings)
 	case errors.As(err, &race):
-		*reply = *s.raced(ctx, p.Kind, reply.Plan.Seen)
+		*reply = *s.lostRaceReply(ctx, p.Kind, reply.Plan.Seen)
 	case errors.As(err, &unknown):
 		reply.Plan.State = answer.OutcomeUnknown
 		reply.Error = err.Error()
@@ -114,12 +114,12 @@
 	}
 }
 
-// maxDescribed bounds the changes that are named in an event.
-const maxDescribed = 5
+// maxDetailChanges bounds the changes listed in the detail of an event.
+const maxDetailChanges = 5
 
-func describe(p *change.Plan, operator string, version uint64) string {
-	lines := make([]string, 0, maxDescribed)
-	for _, c := range p.Changes[:min(len(p.Changes), maxDescribed)] {
+func changeDetail(p *change.Plan, operator string, version uint64) string {
+	lines := make([]string, 0, maxDetailChanges)
+	for _, c := range p.Changes[:min(len(p.Changes), maxDetailChanges)] {
 		lines = append(lines, c.String())
 	}
 	if more := len(p.Changes) - len(lines); more > 0 {
@@ -128,8 +128,9 @@
 	return fmt.Sprintf("%s version %d by %s: %s", p.Kind, version, operator, strings.Join(lines, "; "))
 }
 
-// raced tells who changed what since the version that the operator saw.
-func (s *Service) raced(ctx context.Context, kind config.Kind, seen uint64) *answer.Reply {
+// lostRaceReply reports the latest writer and the changes since the version that the
+// operator saw.
+func (s *Service) lostRaceReply(ctx context.Context, kind config.Kind, seen uint64) *answer.Reply {
 	o, err := s.deps.Store.Get(ctx, config.ObjectKind, string(kind))
 	var absent *objectapi.NotFoundError
 	if err != nil && !errors.As(err, &absent) {
@@ -138,12 +139,12 @@
 	race := &answer.Race{Version: o.Version}
 	if envelope, err := config.DecodeEnvelope(o.Value); err == nil {
 		race.Writer, race.WrittenAt = envelope.Writer, envelope.WrittenAt
-		race.Changes, race.Known = s.since(kind, seen, envelope.Value)
+		race.Changes, race.Known = s.changesSince(kind, seen, envelope.Value)
 	}
 	return &answer.Reply{Plan: &answer.Plan{Kind: kind, Seen: seen, State: answer.LostRace, Race: race}}
 }
 
-func (s *Service) since(kind config.Kind, seen uint64, current []byte) ([]change.Change, bool) {
+func (s *Service) changesSince(kind config.Kind, seen uint64, current []byte) ([]change.Change, bool) {
 	value, ok := s.history.get(kind, seen)
 	if !ok {
 		return nil, false
@@ -156,22 +157,22 @@
 	return changes, err == nil
 }
 
-// maxHistory bounds the versions of each kind that are remembered.
-const maxHistory = 4
+// maxHistoryVersions bounds the versions kept of each kind.
+const maxHistoryVersions = 4
 
-// version is a stored value of a kind.
-type version struct {
+// storedVersion is one version of a configuration.
+type storedVersion struct {
 	kind    config.Kind
 	version uint64
 	value   []byte
 }
 
-// history remembers the last versions of each kind. The zero value is ready to
+// history keeps the latest versions of each kind. The zero value is ready to
 // use. It is safe for concurrent use.
 type history struct {
 	// mu is a leaf lock.
 	mu       sync.Mutex
-	versions []version // oldest first
+	versions []storedVersion // oldest first
 }
 
 func (h *history) add(kind config.Kind, number uint64, value []byte) {
@@ -190,10 +191,10 @@
 		}
 		count++
 	}
-	if count >= maxHistory {
+	if count >= maxHistoryVersions {
 		h.versions = append(h.versions[:first], h.versions[first+1:]...)
 	}
-	h.versions = append(h.versions, version{kind: kind, version: number, value: bytes.Clone(value)})
+	h.versions = append(h.versions, storedVersion{kind: kind, version: number, value: bytes.Clone(value)})
 }
 
 func (h *history) get(kind config.Kind, number uint64) ([]byte, bool) {
--- a/entry/operator/events.go
+++ b/entry/operator/events.go
@@ -11,73 +11,73 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// limit returns the bound on events for the bound that was asked for.
-func limit(asked int) int {
-	if asked <= 0 {
+// clampEventLimit limits a requested number of events to MaxEvents. Zero requests the maximum.
+func clampEventLimit(requested int) int {
+	if requested <= 0 {
 		return MaxEvents
 	}
-	return min(asked, MaxEvents)
+	return min(requested, MaxEvents)
 }
 
-func filter(o *msg.EventsOrder) timeline.Filter {
+func eventFilter(o *msg.EventsOrder) timeline.Filter {
 	return timeline.Filter{
-		Since: o.Since, Request: o.Request, Endpoint: o.Endpoint, Kind: timeline.Kind(o.Kind), Limit: limit(o.Limit),
+		Since: o.Since, Request: o.Request, Endpoint: o.Endpoint, Kind: timeline.Kind(o.Kind), Limit: clampEventLimit(o.Limit),
 	}
 }
 
-// zoneAgents gathers the events of the agents of the own zone. Agents that this
-// entry does not reach are asked by another entry of the zone.
-func (s *Service) zoneAgents(ctx context.Context, a ask) *told {
+// gatherAgentEvents gathers events from the agents of the local zone. Another entry of
+// the zone queries the agents that this entry cannot reach.
+func (s *Service) gatherAgentEvents(ctx context.Context, q peerQuery) *peerReply {
 	var wanted []id.Endpoint
 	for _, e := range s.deps.Snapshot().Endpoints() {
-		if e.Zone == s.deps.Zone && (a.Events.Endpoint == "" || a.Events.Endpoint == e.Name) {
+		if e.Zone == s.deps.Zone && (q.Events.Endpoint == "" || q.Events.Endpoint == e.Name) {
 			wanted = append(wanted, e.Name)
 		}
 	}
-	t := s.askAgents(ctx, wanted, a.Events)
-	if len(t.Unreached) == 0 {
-		return t
+	reply := s.queryAgents(ctx, wanted, q.Events)
+	if len(reply.Unreached) == 0 {
+		return reply
 	}
 	for _, p := range s.deps.Members.Live() {
 		if p.Host == s.deps.Host {
 			continue
 		}
-		more, err := s.call(ctx, p.Address, ask{Agents: t.Unreached, Events: a.Events}, 2*processTimeout)
+		more, err := s.queryPeer(ctx, p.Address, peerQuery{Agents: reply.Unreached, Events: q.Events}, 2*processTimeout)
 		if err != nil {
 			continue
 		}
-		t.Missing = more.Missing
-		t.Events = append(t.Events, more.Events...)
-		t.Processes = append(t.Processes, more.Processes...)
+		reply.Missing = more.Missing
+		reply.Events = append(reply.Events, more.Events...)
+		reply.Processes = append(reply.Processes, more.Processes...)
 		break
 	}
-	t.Unreached = nil
-	return t
+	reply.Unreached = nil
+	return reply
 }
 
-// askAgents asks the agents of endpoints for their events.
-func (s *Service) askAgents(ctx context.Context, wanted []id.Endpoint, o *msg.EventsOrder) *told {
-	g := newGathering()
+// queryAgents requests events from the agents of endpoints.
+func (s *Service) queryAgents(ctx context.Context, wanted []id.Endpoint, o *msg.EventsOrder) *peerReply {
+	g := newGatherer()
 	for _, e := range wanted {
 		g.run(func() {
 			ctx, cancel := context.WithTimeout(ctx, processTimeout)
 			defer cancel()
 			events, err := s.deps.Agents.Events(ctx, e, o)
 			if err != nil {
-				g.add(&told{
+				g.add(&peerReply{
 					Unreached: []id.Endpoint{e},
 					Missing:   []answer.Missing{{Process: fmt.Sprintf("agent of endpoint %s", e), Reason: err.Error()}},
 				})
 				return
 			}
-			g.add(&told{Processes: []string{events.Process}, Events: events.Events})
+			g.add(&peerReply{Processes: []string{events.Process}, Events: events.Events})
 		})
 	}
 	g.wg.Wait()
-	return &g.told
+	return &g.reply
 }
 
-// Directory knows where endpoints are reached.
+// Directory resolves endpoints to the addresses of their agents.
 type Directory interface {
 	Address(e id.Endpoint) (string, bool)
 }
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	order := *o
-	order.Limit = limit(o.Limit)
+	order.Limit = clampEventLimit(o.Limit)
 	reply, err := conn.Call(ctx, &msg.Order{Events: &order})
 	if err != nil {
 		return nil, err
--- a/entry/operator/explain.go
+++ b/entry/operator/explain.go
@@ -13,30 +13,30 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// explainRequest tells why a request went where it did and what is known of its outcome.
+// explainRequest explains the choice of the endpoint and the outcome of a request.
 func (s *Service) explainRequest(ctx context.Context, request id.Request, a *answer.Answer) {
-	t := s.fleet(ctx, ask{Request: request})
-	from(a, t)
-	events := s.events(ctx, &msg.EventsOrder{Request: request}, a)
-	summary := t.Rows
+	reply := s.gatherFleet(ctx, peerQuery{Request: request})
+	addSources(a, reply)
+	events := s.gatherEvents(ctx, &msg.EventsOrder{Request: request}, a)
+	summary := reply.Rows
 	if summary == nil {
 		summary = lang.NewTable(lang.Requests)
 	}
-	a.Sections = append(a.Sections, conclusion(requestConclusion(request, summary, events.Table)),
+	a.Sections = append(a.Sections, conclusionSection(requestConclusion(request, summary, events.Table)),
 		answer.Section{Title: "request", Table: *summary})
-	if t.Candidates != nil {
-		a.Sections = append(a.Sections, answer.Section{Title: "endpoints compared", Table: *t.Candidates})
+	if reply.Candidates != nil {
+		a.Sections = append(a.Sections, answer.Section{Title: "endpoints compared", Table: *reply.Candidates})
 	}
 	a.Sections = append(a.Sections, events)
 }
 
-func conclusion(text string) answer.Section {
+func conclusionSection(text string) answer.Section {
 	return answer.Section{Title: "conclusion", Table: table.Table{
 		Columns: []string{"conclusion"}, Rows: []table.Row{{table.Text(text)}},
 	}}
 }
 
-// requestConclusion puts what is known of a request into a sentence.
+// requestConclusion summarizes the state of a request in a sentence.
 func requestConclusion(request id.Request, summary *table.Table, events table.Table) string {
 	if len(summary.Rows) == 0 {
 		if len(events.Rows) == 0 {
@@ -64,26 +64,26 @@
 	}
 }
 
-// explainEndpoint tells why an endpoint receives work or none.
+// explainEndpoint explains why an endpoint receives work or does not.
 func (s *Service) explainEndpoint(ctx context.Context, e id.Endpoint, a *answer.Answer) {
-	configured := s.about(ctx, lang.Endpoints, "name", e, a)
-	views := s.about(ctx, lang.Replicas, "endpoint", e, a)
-	a.Sections = append(a.Sections, conclusion(endpointConclusion(e, configured, views)),
+	configured := s.endpointRows(ctx, lang.Endpoints, "name", e, a)
+	views := s.endpointRows(ctx, lang.Replicas, "endpoint", e, a)
+	a.Sections = append(a.Sections, conclusionSection(endpointConclusion(e, configured, views)),
 		answer.Section{Title: "endpoint", Table: *configured},
 		answer.Section{Title: "as the entries see it", Table: *views},
-		s.events(ctx, &msg.EventsOrder{Endpoint: e, Limit: explainEvents}, a))
+		s.gatherEvents(ctx, &msg.EventsOrder{Endpoint: e, Limit: maxExplainEvents}, a))
 }
 
-// explainEvents bounds the events in the explanation of an endpoint.
-const explainEvents = 20
+// maxExplainEvents bounds the events in the explanation of an endpoint.
+const maxExplainEvents = 20
 
-// about gathers the rows of a kind that concern an endpoint.
-func (s *Service) about(ctx context.Context, k lang.Kind, column string, e id.Endpoint, a *answer.Answer) *table.Table {
-	t := s.fleet(ctx, ask{Kind: k})
-	from(a, t)
-	out := &table.Table{Columns: t.Rows.Columns}
-	i := t.Rows.Column(column)
-	for _, r := range t.Rows.Rows {
+// endpointRows gathers the rows of a kind that refer to an endpoint.
+func (s *Service) endpointRows(ctx context.Context, k lang.Kind, column string, e id.Endpoint, a *answer.Answer) *table.Table {
+	reply := s.gatherFleet(ctx, peerQuery{Kind: k})
+	addSources(a, reply)
+	out := &table.Table{Columns: reply.Rows.Columns}
+	i := reply.Rows.Column(column)
+	for _, r := range reply.Rows.Rows {
 		if r[i].Text == string(e) {
 			out.Rows = append(out.Rows, r)
 		}
--- a/entry/operator/gather.go
+++ b/entry/operator/gather.go
@@ -17,36 +17,37 @@
 )
 
 const (
-	// processTimeout bounds a question to one process.
+	// processTimeout bounds a query to one process.
 	processTimeout = 600 * time.Millisecond
-	// zoneTimeout bounds a question to an entry that gathers for its zone.
+	// zoneTimeout bounds a query to an entry that gathers for its zone.
 	zoneTimeout = 1900 * time.Millisecond
-	// maxZoneContacts bounds the entries of a zone that are tried.
+	// maxZoneContacts bounds the entries of another zone that are tried.
 	maxZoneContacts = 3
-	// maxCalls bounds the questions that are open at the same time.
+	// maxCalls bounds the concurrent queries of one gatherer.
 	maxCalls = 16
-	// maxRows bounds the rows of one answer between entries.
+	// maxRows bounds the rows of a peer reply.
 	maxRows = 8000
-	// maxAnswerBytes bounds an encoded answer between entries.
-	maxAnswerBytes = codec.MaxMessageBytes * 3 / 4
+	// maxReplyBytes bounds an encoded peer reply.
+	maxReplyBytes = codec.MaxMessageBytes * 3 / 4
 	// MaxEvents bounds the events of one answer.
 	MaxEvents = 4000
 )
 
-// gathering collects answers. It is safe for concurrent use.
-type gathering struct {
+// gatherer queries processes concurrently and collects their replies. It is safe for
+// concurrent use.
+type gatherer struct {
 	slots chan struct{}
 	wg    sync.WaitGroup
 
 	// mu is a leaf lock.
-	mu   sync.Mutex
-	told told
+	mu    sync.Mutex
+	reply peerReply
 }
 
-func newGathering() *gathering { return &gathering{slots: make(chan struct{}, maxCalls)} }
+func newGatherer() *gatherer { return &gatherer{slots: make(chan struct{}, maxCalls)} }
 
-// run calls f on a goroutine of its own, of which there is a bounded number.
-func (g *gathering) run(f func()) {
+// run calls f on its own goroutine, at most maxCalls at a time.
+func (g *gatherer) run(f func()) {
 	g.wg.Go(func() {
 		g.slots <- struct{}{}
 		defer func() { <-g.slots }()
@@ -54,25 +55,25 @@
 	})
 }
 
-func (g *gathering) missing(process, format string, args ...any) {
+func (g *gatherer) addMissing(process, format string, args ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.told.Missing = append(g.told.Missing, answer.Missing{Process: process, Reason: fmt.Sprintf(format, args...)})
+	g.reply.Missing = append(g.reply.Missing, answer.Missing{Process: process, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (g *gathering) add(t *told) {
+func (g *gatherer) add(reply *peerReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.told.Processes = append(g.told.Processes, t.Processes...)
-	g.told.Missing = append(g.told.Missing, t.Missing...)
-	g.told.Events = append(g.told.Events, t.Events...)
-	g.told.Unreached = append(g.told.Unreached, t.Unreached...)
-	g.told.Truncated = g.told.Truncated || t.Truncated
-	g.told.Rows = join(g.told.Rows, t.Rows)
-	g.told.Candidates = join(g.told.Candidates, t.Candidates)
+	g.reply.Processes = append(g.reply.Processes, reply.Processes...)
+	g.reply.Missing = append(g.reply.Missing, reply.Missing...)
+	g.reply.Events = append(g.reply.Events, reply.Events...)
+	g.reply.Unreached = append(g.reply.Unreached, reply.Unreached...)
+	g.reply.Truncated = g.reply.Truncated || reply.Truncated
+	g.reply.Rows = appendRows(g.reply.Rows, reply.Rows)
+	g.reply.Candidates = appendRows(g.reply.Candidates, reply.Candidates)
 }
 
-func join(a, b *table.Table) *table.Table {
+func appendRows(a, b *table.Table) *table.Table {
 	if a == nil {
 		return b
 	}
@@ -82,21 +83,21 @@
 	return a
 }
 
-// fleet gathers from all zones.
-func (s *Service) fleet(ctx context.Context, a ask) *told {
-	g := newGathering()
-	g.run(func() { g.add(s.zone(ctx, a)) })
-	forZone := a
+// gatherFleet gathers from all zones.
+func (s *Service) gatherFleet(ctx context.Context, q peerQuery) *peerReply {
+	g := newGatherer()
+	g.run(func() { g.add(s.gatherZone(ctx, q)) })
+	forZone := q
 	forZone.Zone = true
 	for _, zone := range s.otherZones() {
-		g.run(func() { s.askZone(ctx, g, zone, forZone) })
+		g.run(func() { s.queryZone(ctx, g, zone, forZone) })
 	}
 	g.wg.Wait()
-	return finish(a, &g.told)
+	return mergeAndBound(q, &g.reply)
 }
 
-// otherZones returns the contacts of each other zone that is known by the
-// membership or by the configuration.
+// otherZones returns each other zone that is in the membership or the
+// configuration, with its contacts.
 func (s *Service) otherZones() []member.Zone {
 	zones := s.deps.Members.Zones()
 	known := map[id.Zone]bool{s.deps.Zone: true}
@@ -112,71 +113,71 @@
 	return zones
 }
 
-// askZone asks the contacts of a zone in turn until one answers.
-func (s *Service) askZone(ctx context.Context, g *gathering, z member.Zone, a ask) {
+// queryZone queries the contacts of a zone in turn until one replies.
+func (s *Service) queryZone(ctx context.Context, g *gatherer, z member.Zone, q peerQuery) {
 	contacts := z.Contacts
 	if len(contacts) == 0 {
 		contacts = s.deps.Members.Elsewhere()
 	}
 	reason := "no entry of the zone is known"
 	for _, p := range contacts[:min(len(contacts), maxZoneContacts)] {
-		t, err := s.call(ctx, p.Address, a, zoneTimeout)
+		reply, err := s.queryPeer(ctx, p.Address, q, zoneTimeout)
 		if err == nil {
-			g.add(t)
+			g.add(reply)
 			return
 		}
 		reason = fmt.Sprintf("entry %s: %v", p.Host, err)
 	}
-	g.missing("zone "+string(z.Name), "%s", reason)
+	g.addMissing("zone "+string(z.Name), "%s", reason)
 }
 
-// zone gathers from the entries of the own zone, and events also from its agents.
-func (s *Service) zone(ctx context.Context, a ask) *told {
-	a.Zone = false
-	g := newGathering()
-	g.run(func() { g.add(s.local(a)) })
+// gatherZone gathers from the entries of the local zone, and events also from its agents.
+func (s *Service) gatherZone(ctx context.Context, q peerQuery) *peerReply {
+	q.Zone = false
+	g := newGatherer()
+	g.run(func() { g.add(s.gatherLocal(q)) })
 	for _, p := range s.deps.Members.Members() {
 		if p.Host == s.deps.Host {
 			continue
 		}
 		if p.State == member.Dead {
-			g.missing(string(p.Host), "the host is dead")
+			g.addMissing(string(p.Host), "the host is dead")
 			continue
 		}
 		g.run(func() {
-			t, err := s.call(ctx, p.Address, a, processTimeout)
+			reply, err := s.queryPeer(ctx, p.Address, q, processTimeout)
 			if err != nil {
-				g.missing(string(p.Host), "%v", err)
+				g.addMissing(string(p.Host), "%v", err)
 				return
 			}
-			g.add(t)
+			g.add(reply)
 		})
 	}
-	if a.Events != nil {
-		g.run(func() { g.add(s.zoneAgents(ctx, a)) })
+	if q.Events != nil {
+		g.run(func() { g.add(s.gatherAgentEvents(ctx, q)) })
 	}
 	g.wg.Wait()
-	return finish(a, &g.told)
+	return mergeAndBound(q, &g.reply)
 }
 
-// local returns what this process knows itself.
-func (s *Service) local(a ask) *told {
+// gatherLocal returns the data of this process.
+func (s *Service) gatherLocal(q peerQuery) *peerReply {
 	now := time.Now()
-	t := &told{Processes: []string{string(s.deps.Host)}}
+	reply := &peerReply{Processes: []string{string(s.deps.Host)}}
 	switch {
-	case a.Kind != "":
-		t.Rows = s.rows(a.Kind, now)
-	case a.Request != "":
-		t.Rows, t.Candidates = s.deps.Requests.explain(a.Request, s.deps.Host, now)
-	case a.Events != nil:
-		t.Events = timeline.Select(s.deps.Ring, filter(a.Events))
+	case q.Kind != "":
+		reply.Rows = s.rows(q.Kind, now)
+	case q.Request != "":
+		reply.Rows, reply.Candidates = s.deps.Requests.explain(q.Request, s.deps.Host, now)
+	case q.Events != nil:
+		reply.Events = timeline.Select(s.deps.Ring, eventFilter(q.Events))
 	}
-	return t
+	return reply
 }
 
-// call asks another entry.
-func (s *Service) call(ctx context.Context, address string, a ask, timeout time.Duration) (*told, error) {
-	payload, err := codec.Marshal(a)
+// queryPeer queries another entry.
+func (s *Service) queryPeer(ctx context.Context, address string, q peerQuery, timeout time.Duration) (*peerReply, error) {
+	payload, err := codec.Marshal(q)
 	if err != nil {
 		return nil, err
 	}
@@ -186,70 +187,70 @@
 	if err != nil {
 		return nil, err
 	}
-	t := new(told)
-	if err := codec.Unmarshal(data, t); err != nil {
+	reply := new(peerReply)
+	if err := codec.Unmarshal(data, reply); err != nil {
 		return nil, err
 	}
-	return t, nil
+	return reply, nil
 }
 
-// Handle answers the question of another entry. It is a transport.Handler.
+// Handle answers the query of another entry. It is a transport.Handler.
 func (s *Service) Handle(ctx context.Context, payload []byte) ([]byte, error) {
-	var a ask
-	if err := codec.Unmarshal(payload, &a); err != nil {
+	var q peerQuery
+	if err := codec.Unmarshal(payload, &q); err != nil {
 		return nil, err
 	}
-	var t *told
+	var reply *peerReply
 	switch {
-	case len(a.Agents) > 0:
-		t = s.askAgents(ctx, a.Agents, a.Events)
-	case a.Zone:
-		t = s.zone(ctx, a)
+	case len(q.Agents) > 0:
+		reply = s.queryAgents(ctx, q.Agents, q.Events)
+	case q.Zone:
+		reply = s.gatherZone(ctx, q)
 	default:
-		t = finish(a, s.local(a))
+		reply = mergeAndBound(q, s.gatherLocal(q))
 	}
-	return encode(t)
+	return encodeBounded(reply)
 }
 
-// encode encodes an answer and drops rows and events until it fits into a message.
-func encode(t *told) ([]byte, error) {
+// encodeBounded encodes a reply and halves its rows and events until it fits into a message.
+func encodeBounded(reply *peerReply) ([]byte, error) {
 	for {
-		data, err := codec.Marshal(t)
-		if err != nil || len(data) <= maxAnswerBytes {
+		data, err := codec.Marshal(reply)
+		if err != nil || len(data) <= maxReplyBytes {
 			return data, err
 		}
-		t.Truncated = true
-		t.Events = t.Events[len(t.Events)/2:]
-		if t.Rows != nil {
-			t.Rows.Rows = t.Rows.Rows[:len(t.Rows.Rows)/2]
+		reply.Truncated = true
+		reply.Events = reply.Events[len(reply.Events)/2:]
+		if reply.Rows != nil {
+			reply.Rows.Rows = reply.Rows.Rows[:len(reply.Rows.Rows)/2]
 		}
-		if len(t.Events) <= 1 && (t.Rows == nil || len(t.Rows.Rows) <= 1) {
+		if len(reply.Events) <= 1 && (reply.Rows == nil || len(reply.Rows.Rows) <= 1) {
 			return nil, &codec.TooLargeError{Bytes: len(data)}
 		}
 	}
 }
 
-// finish merges rows that are about the same thing and applies the bounds.
-func finish(a ask, t *told) *told {
-	slices.Sort(t.Processes)
-	slices.SortFunc(t.Missing, func(x, y answer.Missing) int { return slices.Compare([]string{x.Process}, []string{y.Process}) })
-	if t.Rows != nil && a.Kind != "" {
-		merge(a.Kind, t.Rows)
-		if len(t.Rows.Rows) > maxRows {
-			t.Rows.Rows = t.Rows.Rows[:maxRows]
-			t.Truncated = true
+// mergeAndBound merges rows with equal keys, sorts the reply and enforces its limits.
+func mergeAndBound(q peerQuery, reply *peerReply) *peerReply {
+	slices.Sort(reply.Processes)
+	slices.SortFunc(reply.Missing, func(x, y answer.Missing) int { return slices.Compare([]string{x.Process}, []string{y.Process}) })
+	if reply.Rows != nil && q.Kind != "" {
+		mergeRows(q.Kind, reply.Rows)
+		if len(reply.Rows.Rows) > maxRows {
+			reply.Rows.Rows = reply.Rows.Rows[:maxRows]
+			reply.Truncated = true
 		}
 	}
-	timeline.Sort(t.Events)
-	if a.Events != nil && len(t.Events) > limit(a.Events.Limit) {
-		t.Events = t.Events[len(t.Events)-limit(a.Events.Limit):]
-		t.Truncated = true
+	timeline.Sort(reply.Events)
+	if q.Events != nil && len(reply.Events) > clampEventLimit(q.Events.Limit) {
+		reply.Events = reply.Events[len(reply.Events)-clampEventLimit(q.Events.Limit):]
+		reply.Truncated = true
 	}
-	return t
+	return reply
 }
 
-// merge keeps one row for each key, the one that knows most, in order of the keys.
-func merge(k lang.Kind, t *table.Table) {
+// mergeRows keeps one row for each key, in key order.
+func mergeRows(k lang.Kind, t *table.Table) {
 	_, keys := lang.Columns(k)
 	kept := make(map[string]int, len(t.Rows))
 	var out []table.Row
@@ -261,7 +262,7 @@
 			out = append(out, r)
 			continue
 		}
-		if better(k, t, r, out[at]) {
+		if supersedes(k, t, r, out[at]) {
 			out[at] = r
 		}
 	}
@@ -277,8 +278,9 @@
 	return string(key)
 }
 
-// better reports whether row a knows more than row b of the same key.
-func better(k lang.Kind, t *table.Table, a, b table.Row) bool {
+// supersedes reports whether row a replaces row b of the same key: it has a newer
+// report or version, is the host's own row, or has a known state.
+func supersedes(k lang.Kind, t *table.Table, a, b table.Row) bool {
 	switch k {
 	case lang.Endpoints:
 		age := t.Column("report_age_ms")
--- a/entry/operator/http.go
+++ b/entry/operator/http.go
@@ -19,41 +19,40 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of a question.
+	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 2 * lang.MaxScriptBytes
-	// questionTimeout bounds the work on a question.
-	questionTimeout = 20 * time.Second
+	// requestTimeout bounds reading and answering a request.
+	requestTimeout = 20 * time.Second
 )
 
-// APIConfig describes the operator API.
+// APIConfig configures the operator API.
 type APIConfig struct {
-	// KeyHashes are pairs NAME=HASH of operators and the SHA-256 of their keys, in
+	// KeyHashes lists NAME=HASH pairs of operators and the SHA-256 of their keys, in
 	// hexadecimal digits and separated by commas. Default: none, which refuses all.
 	KeyHashes string
-	// Rate bounds the questions of all operators. Unit: questions per second. Default: 20.
+	// Rate limits the requests per second of all operators together. Default: 20.
 	Rate int
 }
 
-// DefaultAPIConfig returns the defaults.
 func DefaultAPIConfig() APIConfig { return APIConfig{Rate: 20} }
 
 // Validate reports all values out of range.
 func (c APIConfig) Validate() finding.List {
 	var l finding.List
-	c.parse(&l)
+	c.parseCredentials(&l)
 	if c.Rate <= 0 {
 		l.Addf("operator-rate", "%d is not positive", c.Rate)
 	}
 	return l
 }
 
-// credential is an operator and the hash of the operator's key.
+// credential is an operator's name and the hash of the operator's key.
 type credential struct{ name, hash string }
 
-// hashLen is the length of a hash in hexadecimal digits.
-const hashLen = 64
+// hashHexLen is the length of a SHA-256 hash in hexadecimal digits.
+const hashHexLen = 64
 
-func (c APIConfig) parse(l *finding.List) []credential {
+func (c APIConfig) parseCredentials(l *finding.List) []credential {
 	var out []credential
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(c.KeyHashes, ",") {
@@ -64,7 +63,7 @@
 		switch {
 		case !ok || name == "":
 			l.Addf("operator-key-hash", "an item has not the form NAME=HASH")
-		case len(hash) != hashLen || strings.Trim(hash, "0123456789abcdef") != "":
+		case len(hash) != hashHexLen || strings.Trim(hash, "0123456789abcdef") != "":
 			l.Addf("operator-key-hash", "the hash of operator %q is not a SHA-256 in lower-case hexadecimal digits", name)
 		case seen[hash]:
 			l.Addf("operator-key-hash", "the hash of operator %q is given twice", name)
@@ -76,24 +75,24 @@
 	return out
 }
 
-// API serves operators over HTTP. It is safe for concurrent use.
+// API serves the operator API over HTTP. It is safe for concurrent use.
 type API struct {
 	service     *Service
 	credentials []credential
 	limiter     *rate.Limiter
 }
 
-// NewAPI returns the API of a service.
+// NewAPI returns an API that answers with s.
 func NewAPI(c APIConfig, s *Service) *API {
-	var ignored finding.List // Validate reported them.
-	return &API{service: s, credentials: c.parse(&ignored), limiter: rate.NewLimiter(rate.Limit(c.Rate), c.Rate)}
+	var ignored finding.List // Validate reports the findings.
+	return &API{service: s, credentials: c.parseCredentials(&ignored), limiter: rate.NewLimiter(rate.Limit(c.Rate), c.Rate)}
 }
 
-// Routes adds the routes of the API to r.
-func (a *API) Routes(r chi.Router) { r.Post("/v1/query", a.query) }
+// Routes registers the routes of the API with r.
+func (a *API) Routes(r chi.Router) { r.Post("/v1/query", a.serveQuery) }
 
-// operator returns the name of the operator whose key a request carries.
-func (a *API) operator(r *http.Request) (string, bool) {
+// authenticate returns the name of the operator whose key the request carries.
+func (a *API) authenticate(r *http.Request) (string, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return "", false
@@ -108,34 +107,34 @@
 	return name, found
 }
 
-func (a *API) query(w http.ResponseWriter, r *http.Request) {
-	operator, ok := a.operator(r)
+func (a *API) serveQuery(w http.ResponseWriter, r *http.Request) {
+	operator, ok := a.authenticate(r)
 	if !ok {
-		write(w, http.StatusUnauthorized, &answer.Reply{Error: "the bearer token is not the key of an operator"})
+		writeReply(w, http.StatusUnauthorized, &answer.Reply{Error: "the bearer token is not the key of an operator"})
 		return
 	}
 	if !a.limiter.Allow() {
 		w.Header().Set("Retry-After", "1")
-		write(w, http.StatusTooManyRequests, &answer.Reply{Error: "too many questions"})
+		writeReply(w, http.StatusTooManyRequests, &answer.Reply{Error: "too many questions"})
 		return
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(questionTimeout))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(requestTimeout))
 	r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 	var q answer.Question
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&q); err != nil {
-		write(w, http.StatusBadRequest, &answer.Reply{Error: "the body is not a question: " + err.Error()})
+		writeReply(w, http.StatusBadRequest, &answer.Reply{Error: "the body is not a question: " + err.Error()})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), questionTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	reply := a.service.Answer(ctx, q, operator)
 	if format := answer.Format(r.URL.Query().Get("format")); format != "" {
-		writeFormat(w, status(reply), reply, format)
+		writeFormatted(w, status(reply), reply, format)
 		return
 	}
-	write(w, status(reply), reply)
+	writeReply(w, status(reply), reply)
 }
 
 // status returns the HTTP status of a reply.
@@ -153,16 +152,16 @@
 	return http.StatusOK
 }
 
-func write(w http.ResponseWriter, status int, r *answer.Reply) {
+func writeReply(w http.ResponseWriter, status int, r *answer.Reply) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(r) // The operator has left if it fails.
+	_ = json.NewEncoder(w).Encode(r) // It fails only if the client disconnected.
 }
 
-func writeFormat(w http.ResponseWriter, status int, r *answer.Reply, f answer.Format) {
+func writeFormatted(w http.ResponseWriter, status int, r *answer.Reply, f answer.Format) {
 	var b bytes.Buffer
 	if err := r.Write(&b, f); err != nil {
-		write(w, http.StatusInternalServerError, &answer.Reply{Error: err.Error()})
+		writeReply(w, http.StatusInternalServerError, &answer.Reply{Error: err.Error()})
 		return
 	}
 	w.WriteHeader(status)
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -26,10 +26,10 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// lostAnswer is a store whose writes take effect but are not answered.
-type lostAnswer struct{ objectapi.Store }
+// lostReplyStore is a store whose writes take effect but report an unknown outcome.
+type lostReplyStore struct{ objectapi.Store }
 
-func (s lostAnswer) Put(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
+func (s lostReplyStore) Put(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	_, err := s.Store.Put(ctx, o)
 	return objectapi.Object{}, &objectapi.OutcomeUnknownError{Kind: o.Kind, Name: o.Name, Cause: err}
 }
@@ -43,7 +43,7 @@
 	return s, store
 }
 
-func TestChangesAreMadeToTheSeenVersion(t *testing.T) {
+func TestChangesApplyToTheSeenVersion(t *testing.T) {
 	s, _ := newService(t)
 	reply := s.Answer(t.Context(), answer.Question{Script: "change service s deadline_ms 5", Seen: 1}, "ana")
 	assert.Equal(t, reply.Plan.Version, uint64(2))
@@ -56,9 +56,9 @@
 	assert.Equal(t, reply.Plan.State, answer.Unchanged)
 }
 
-func TestUnknownOutcomeIsNotCalledAccepted(t *testing.T) {
+func TestUnknownOutcomeIsNotReportedAsAccepted(t *testing.T) {
 	s, store := newService(t)
-	s.deps.Store = lostAnswer{store}
+	s.deps.Store = lostReplyStore{store}
 	reply := s.Answer(t.Context(), answer.Question{Script: "delete service r"}, "ana")
 	assert.Equal(t, reply.Plan.State, answer.OutcomeUnknown)
 	assert.Equal(t, status(reply), http.StatusBadGateway)
@@ -79,22 +79,22 @@
 		row[0], row[age] = table.Text("a"), v
 		tab.Rows = append(tab.Rows, row)
 	}
-	merge(lang.Endpoints, tab)
+	mergeRows(lang.Endpoints, tab)
 	assert.Equal(t, len(tab.Rows), 1)
 	assert.Equal(t, tab.Rows[0][age], table.Number(3))
 }
 
-func TestAnswersFitIntoMessages(t *testing.T) {
-	big := &told{Rows: &table.Table{Columns: []string{"x"}}}
+func TestRepliesFitIntoMessages(t *testing.T) {
+	big := &peerReply{Rows: &table.Table{Columns: []string{"x"}}}
 	for range 400 {
 		big.Rows.Rows = append(big.Rows.Rows, table.Row{table.Text(strings.Repeat("x", 10_000))})
 	}
-	data, err := encode(big)
+	data, err := encodeBounded(big)
 	assert.NilError(t, err)
-	assert.Assert(t, len(data) <= maxAnswerBytes && big.Truncated)
+	assert.Assert(t, len(data) <= maxReplyBytes && big.Truncated)
 }
 
-func TestRequestsAreBounded(t *testing.T) {
+func TestRequestLogIsBounded(t *testing.T) {
 	now := func() time.Time { return time.Unix(1, 0) }
 	r := NewRequestLog(3, now)
 	for i := range 10 {
@@ -120,7 +120,7 @@
 		assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &reply), w.Body.String())
 		return w.Code, reply
 	}
-	for range 5 { // Strangers do not use up the operators' rate.
+	for range 5 { // Unauthenticated requests do not count against the rate.
 		code, _ := ask("other", `{"script":"delete service s"}`)
 		assert.Equal(t, code, http.StatusUnauthorized)
 	}
@@ -140,7 +140,7 @@
 		hash: 1, "ana=" + strings.ToUpper(hash): 1, "ana=" + hash + ",luis=" + hash: 1, "a=1,b=2": 2,
 	} {
 		var l finding.List
-		APIConfig{KeyHashes: text, Rate: 1}.parse(&l)
+		APIConfig{KeyHashes: text, Rate: 1}.parseCredentials(&l)
 		assert.Equal(t, len(l), want, text)
 	}
 }
--- a/entry/operator/protocol.go
+++ b/entry/operator/protocol.go
@@ -1,5 +1,5 @@
-// Package operator answers the questions and commands of operators at an entry.
-// It gathers what the other entries and the agents know.
+// Package operator answers the queries and commands of operators at an entry. It
+// gathers data from the other entries and the agents.
 package operator
 
 import (
@@ -20,34 +20,33 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// ask is a question of one entry to another.
-type ask struct {
-	// Kind asks for the rows of a kind.
+// peerQuery is a query of one entry to another.
+type peerQuery struct {
+	// Kind requests the rows of a kind.
 	Kind lang.Kind `cbor:"1,keyasint,omitempty"`
-	// Events asks for events of the time line.
+	// Events requests events of the timeline.
 	Events *msg.EventsOrder `cbor:"2,keyasint,omitempty"`
-	// Request asks for what is known of one request.
+	// Request requests the record of one request.
 	Request id.Request `cbor:"3,keyasint,omitempty"`
-	// Zone asks the receiver to gather from all processes of its zone.
+	// Zone makes the receiver gather from all processes of its zone.
 	Zone bool `cbor:"4,keyasint,omitempty"`
-	// Agents asks the receiver to gather the events of the agents of these endpoints.
+	// Agents makes the receiver gather the events of the agents of these endpoints.
 	Agents []id.Endpoint `cbor:"5,keyasint,omitempty"`
 }
 
-// told answers an ask.
-type told struct {
+// peerReply is the reply to a peerQuery.
+type peerReply struct {
 	Processes  []string         `cbor:"1,keyasint,omitempty"`
 	Missing    []answer.Missing `cbor:"2,keyasint,omitempty"`
 	Rows       *table.Table     `cbor:"3,keyasint,omitempty"`
 	Events     []timeline.Event `cbor:"4,keyasint,omitempty"`
 	Truncated  bool             `cbor:"5,keyasint,omitempty"`
 	Candidates *table.Table     `cbor:"6,keyasint,omitempty"`
-	// Unreached are the endpoints in Agents whose agent did not answer.
+	// Unreached lists the endpoints of peerQuery.Agents whose agent did not reply.
 	Unreached []id.Endpoint `cbor:"7,keyasint,omitempty"`
 }
 
-// Members is what a Service needs to know of the other entries. It is
-// implemented by *member.Runner.
+// Members is a Service's view of the other entries. It is implemented by *member.Runner.
 type Members interface {
 	Self() member.Peer
 	Members() []member.Peer
@@ -56,13 +55,13 @@
 	Elsewhere() []member.Peer
 }
 
-// Agents asks agents for their events. Events blocks until the agent answers
+// Agents requests events from agents. Events blocks until the agent replies
 // or ctx ends.
 type Agents interface {
 	Events(ctx context.Context, e id.Endpoint, o *msg.EventsOrder) (*msg.Events, error)
 }
 
-// Deps are the parts that a Service works with.
+// Deps are the dependencies of a Service.
 type Deps struct {
 	Host id.Host
 	Zone id.Zone
@@ -75,7 +74,7 @@
 	Ring     *timeline.Ring
 	// Recorder receives the events of operators' changes.
 	Recorder timeline.Recorder
-	// Status returns what the routing table knows of the endpoints of a service.
+	// Status returns the routing table's status of the endpoints of a service.
 	Status func(s id.Service, now time.Time) []route.Status
 	// LastReport returns the last load report of an endpoint.
 	LastReport func(e id.Endpoint) (endpoints.ReceivedReport, bool)
@@ -90,11 +89,10 @@
 	history history
 }
 
-// New returns a Service.
 func New(d Deps) *Service { return &Service{deps: d} }
 
-// RecordSnapshot notes a configuration that came into force, so that a later race can
-// tell what was changed since.
+// RecordSnapshot adds a configuration that came into force to the history, so that
+// the reply to a lost race can list the changes since.
 func (s *Service) RecordSnapshot(n *config.Snapshot) {
 	for _, kind := range config.Kinds() {
 		if version := n.Version(kind); version > 0 {
--- a/entry/operator/requests.go
+++ b/entry/operator/requests.go
@@ -14,77 +14,78 @@
 )
 
 const (
-	// DefaultRequestLogSize is the number of recent requests that an entry remembers.
+	// DefaultRequestLogSize is the number of recent requests that an entry keeps.
 	DefaultRequestLogSize = 4096
-	// maxTries bounds the choices remembered of one request.
-	maxTries = 8
+	// maxAttempts bounds the attempts kept of one request.
+	maxAttempts = 8
 )
 
-// try is one choice of an endpoint for a request.
-type try struct {
+// attempt is one choice of an endpoint for a request.
+type attempt struct {
 	choice route.Choice
 	err    error
 	at     time.Time
 }
 
-// record is what is known of one request.
-type record struct {
-	request  id.Request
-	team     id.Team
-	service  id.Service
-	started  time.Time
-	endpoint id.Endpoint
-	tries    []try
-	count    int
-	state    string
-	detail   string
+// requestRecord is the state of one request and its first attempts.
+type requestRecord struct {
+	request      id.Request
+	team         id.Team
+	service      id.Service
+	started      time.Time
+	endpoint     id.Endpoint
+	attempts     []attempt
+	attemptCount int
+	state        string
+	detail       string
 }
 
-// RequestLog remembers the most recent requests of an entry and why each went
-// where it did. It is safe for concurrent use and does not block.
+// RequestLog keeps the most recent requests of an entry and the candidates compared
+// for each attempt. It is safe for concurrent use and does not block.
 type RequestLog struct {
 	now func() time.Time
 
 	// mu is a leaf lock.
-	mu    sync.Mutex
-	byID  map[id.Request]*record
-	order []id.Request // ring of the requests in byID
-	next  int
+	mu   sync.Mutex
+	byID map[id.Request]*requestRecord
+	ring []id.Request // ring of the keys of byID; next is the slot to overwrite
+	next int
 }
 
-// NewRequestLog returns a store of up to size requests.
+// NewRequestLog returns a log of up to size requests.
 func NewRequestLog(size int, now func() time.Time) *RequestLog {
-	return &RequestLog{now: now, byID: make(map[id.Request]*record, size), order: make([]id.Request, size)}
+	return &RequestLog{now: now, byID: make(map[id.Request]*requestRecord, size), ring: make([]id.Request, size)}
 }
 
-// get returns the record of a request, after it made room for a new one. The
-// caller holds r.mu.
-func (r *RequestLog) get(request id.Request) *record {
+// getOrAdd returns the record of a request. A new record replaces the oldest one.
+// The caller holds r.mu.
+func (r *RequestLog) getOrAdd(request id.Request) *requestRecord {
 	if known := r.byID[request]; known != nil {
 		return known
 	}
-	delete(r.byID, r.order[r.next])
-	r.order[r.next] = request
-	r.next = (r.next + 1) % len(r.order)
-	added := &record{request: request, started: r.now()}
+	delete(r.byID, r.ring[r.next])
+	r.ring[r.next] = request
+	r.next = (r.next + 1) % len(r.ring)
+	added := &requestRecord{request: request, started: r.now()}
 	r.byID[request] = added
 	return added
 }
 
-// RecordChoice notes the choice of an endpoint for one try. Err tells why there is none.
+// RecordChoice records the choice of an endpoint for one attempt, or the error if
+// there is none.
 func (r *RequestLog) RecordChoice(c *dispatch.Call, choice route.Choice, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.get(c.Request)
+	k := r.getOrAdd(c.Request)
 	k.team, k.service = c.Team, c.Service
-	k.count++
-	if len(k.tries) < maxTries {
-		k.tries = append(k.tries, try{choice: choice, err: err, at: r.now()})
+	k.attemptCount++
+	if len(k.attempts) < maxAttempts {
+		k.attempts = append(k.attempts, attempt{choice: choice, err: err, at: r.now()})
 	}
 }
 
-// Recorder returns a Recorder that passes events on to next and notes what they
-// tell of requests.
+// Recorder returns a Recorder that passes events on to next and updates the
+// requests that they name.
 func (r *RequestLog) Recorder(next timeline.Recorder) timeline.Recorder {
 	return recorder{requests: r, next: next}
 }
@@ -98,43 +99,43 @@
 func (r recorder) Record(e timeline.Event) {
 	r.next.Record(e)
 	if e.Request != "" {
-		r.requests.note(e)
+		r.requests.recordEvent(e)
 	}
 }
 
-func (r *RequestLog) note(e timeline.Event) {
+func (r *RequestLog) recordEvent(e timeline.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.get(e.Request)
+	k := r.getOrAdd(e.Request)
 	k.state, k.detail = strings.TrimPrefix(string(e.Kind), "request."), e.Detail
 	if e.Endpoint != "" {
 		k.endpoint = e.Endpoint
 	}
 }
 
-// rows returns the requests, the newest first.
+// rows returns the rows of all requests, the newest first.
 func (r *RequestLog) rows(host id.Host, now time.Time) []table.Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]table.Row, 0, len(r.byID))
-	for i := range r.order {
-		at := (r.next - 1 - i + 2*len(r.order)) % len(r.order)
-		if k := r.byID[r.order[at]]; k != nil {
+	for i := range r.ring {
+		at := (r.next - 1 - i + 2*len(r.ring)) % len(r.ring)
+		if k := r.byID[r.ring[at]]; k != nil {
 			out = append(out, k.row(host, now))
 		}
 	}
 	return out
 }
 
-func (k *record) row(host id.Host, now time.Time) table.Row {
+func (k *requestRecord) row(host id.Host, now time.Time) table.Row {
 	return table.Row{
-		table.Text(k.request), table.Text(host), table.Text(k.team), table.Text(k.service), table.Text(k.endpoint), table.Number(k.count),
+		table.Text(k.request), table.Text(host), table.Text(k.team), table.Text(k.service), table.Text(k.endpoint), table.Number(k.attemptCount),
 		table.Text(k.state), table.Text(k.detail), table.Text(k.started.UTC().Format(time.RFC3339Nano)), millis(now.Sub(k.started)),
 	}
 }
 
-// explain returns the row of a request and the endpoints that were compared for
-// each of its tries, or nil if it is not remembered.
+// explain returns the row of a request and the endpoints compared for each of its
+// attempts, or nil if the log does not contain it.
 func (r *RequestLog) explain(request id.Request, host id.Host, now time.Time) (summary, candidates *table.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,17 +148,17 @@
 	return summary, k.candidates()
 }
 
-func (k *record) candidates() *table.Table {
+func (k *requestRecord) candidates() *table.Table {
 	t := &table.Table{Columns: []string{
 		"try", "endpoint", "chosen", "zone", "expected_ms", "predicted_ms", "report_age_ms", "cached_blocks", "open_requests", "why",
 	}}
-	for i, x := range k.tries {
+	for i, x := range k.attempts {
 		t.Rows = append(t.Rows, x.rows(i+1)...)
 	}
 	return t
 }
 
-func (x try) rows(number int) []table.Row {
+func (x attempt) rows(number int) []table.Row {
 	n := table.Number(number)
 	if x.err != nil {
 		return []table.Row{{n, {}, table.Bool(false), {}, {}, {}, {}, {}, {}, table.Text(x.err.Error())}}
--- a/entry/operator/rows.go
+++ b/entry/operator/rows.go
@@ -13,8 +13,7 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// rows returns what this process knows of a kind. Kinds that it knows nothing
-// of have no rows.
+// rows returns this process's rows of a kind, none for kinds that it has no data of.
 func (s *Service) rows(k lang.Kind, now time.Time) *table.Table {
 	t := lang.NewTable(k)
 	switch k {
@@ -68,7 +67,7 @@
 	return out
 }
 
-// statuses returns what the routing table knows of each endpoint that this entry uses.
+// statuses returns the routing table's status of each endpoint that this entry uses.
 func (s *Service) statuses(now time.Time) map[id.Endpoint]route.Status {
 	out := make(map[id.Endpoint]route.Status)
 	for _, service := range s.deps.Snapshot().Services() {
@@ -86,26 +85,26 @@
 	for _, e := range n.Endpoints() {
 		row := table.Row{
 			table.Text(e.Name), table.Text(e.Service), table.Text(e.Zone), table.Text(e.Host), table.Text(e.Address),
-			weight(e), table.Bool(e.Drain),
+			weightValue(e), table.Bool(e.Drain),
 		}
-		row = append(row, s.state(e, statuses), table.Value{}, table.Value{}, table.Value{}, table.Value{}, table.Value{})
+		row = append(row, s.endpointState(e, statuses), table.Value{}, table.Value{}, table.Value{}, table.Value{}, table.Value{})
 		if seen, ok := s.deps.LastReport(e.Name); ok {
-			row = append(row[:8], load(seen, now)...)
+			row = append(row[:8], reportValues(seen, now)...)
 		}
 		out = append(out, append(row, table.Number(n.Version(config.KindEndpoints))))
 	}
 	return out
 }
 
-func (s *Service) state(e config.Endpoint, statuses map[id.Endpoint]route.Status) table.Value {
+func (s *Service) endpointState(e config.Endpoint, statuses map[id.Endpoint]route.Status) table.Value {
 	if status, ok := statuses[e.Name]; ok {
 		return table.Text(status.Reason)
 	}
 	return table.Value{}
 }
 
-// load returns queue, running, slots, step time and age of a report.
-func load(seen endpoints.ReceivedReport, now time.Time) table.Row {
+// reportValues returns queued, running, slots, step time and age of a report.
+func reportValues(seen endpoints.ReceivedReport, now time.Time) table.Row {
 	r := seen.Report
 	step := time.Duration(r.StepTime) * time.Microsecond
 	return table.Row{
@@ -113,15 +112,15 @@
 	}
 }
 
-func weight(e config.Endpoint) table.Value {
+func weightValue(e config.Endpoint) table.Value {
 	if e.Weight == nil {
 		return table.Number(1.0)
 	}
 	return table.Number(*e.Weight)
 }
 
-// millis returns a duration in milliseconds, rounded to microseconds. A negative
-// one, which is the age of what was noted after now was read, counts as zero.
+// millis returns a duration in milliseconds, rounded to microseconds. Negative ages,
+// of data recorded after now was read, become zero.
 func millis(d time.Duration) table.Value {
 	return table.Number(float64(max(d, 0).Microseconds()) / 1000)
 }
@@ -156,8 +155,8 @@
 	return out
 }
 
-// reportTimeout is the age of a report beyond which its host counts as silent.
-const reportTimeout = 3 * time.Second
+// maxReportAge is the age of the last report above which a host is shown as silent.
+const maxReportAge = 3 * time.Second
 
 func (s *Service) hosts(now time.Time) []table.Row {
 	var out []table.Row
@@ -171,7 +170,7 @@
 		state := table.Value{}
 		if seen, ok := s.deps.LastReport(e.Name); ok {
 			state = table.Text(member.Alive.String())
-			if now.Sub(seen.At) > reportTimeout {
+			if now.Sub(seen.At) > maxReportAge {
 				state = table.Text("silent")
 			}
 		}
@@ -195,7 +194,7 @@
 	return out
 }
 
-// duties returns which live entry of the zone this one believes to have each duty.
+// duties returns the live entry of the zone that holds each duty, as computed here.
 func (s *Service) duties() []table.Row {
 	var live []id.Host
 	for _, p := range s.deps.Members.Live() {
