--- a/balance/mapswitch/types.go
+++ b/balance/mapswitch/types.go
@@ -54,6 +54,7 @@
 	Ping
 )
 
+// String returns the operation's name for logs.
 func (o Op) String() string {
 	return [...]string{"none", "prepare", "arm", "disarm", "hold", "release", "ping"}[o]
 }
@@ -194,6 +195,7 @@
 	Settling
 )
 
+// String returns the phase's name for logs.
 func (p Phase) String() string {
 	return [...]string{
 		"learning", "recovering", "idle", "preparing", "holding", "arming", "deciding", "undoing", "releasing", "settling",
