--- a/balance/lockstep/coordinator.go
+++ b/balance/lockstep/coordinator.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Config sets up a coordinator.
+// Config holds the settings of a Coordinator.
 type Config struct {
 	// Ranks is the number of ranks of the group. It has no default.
 	Ranks int
@@ -11,18 +11,18 @@
 	Margin Step
 	// PollTicks is the number of ticks between two polls of all ranks. Default 4.
 	PollTicks int
-	// MaxReportAgeTicks is the greatest age of a report, in ticks, for a change to be
-	// started; a group is not stopped for a rank that does not answer. Default 8.
+	// MaxReportAgeTicks is the greatest age of any rank's report, in ticks, at which a
+	// change may start: the group must not stop for an unresponsive rank. Default 8.
 	MaxReportAgeTicks int
 }
 
-// MaxMargin is the greatest margin in steps.
+// MaxMargin bounds the margin after refusals.
 const MaxMargin Step = 4096
 
 const (
-	defaultMargin     = 64
-	defaultPollTicks  = 4
-	defaultFreshTicks = 8
+	defaultMargin            = 64
+	defaultPollTicks         = 4
+	defaultMaxReportAgeTicks = 8
 )
 
 func (c Config) withDefaults() Config {
@@ -33,12 +33,12 @@
 		c.PollTicks = defaultPollTicks
 	}
 	if c.MaxReportAgeTicks == 0 {
-		c.MaxReportAgeTicks = defaultFreshTicks
+		c.MaxReportAgeTicks = defaultMaxReportAgeTicks
 	}
 	return c
 }
 
-// Phase tells what a coordinator waits for.
+// Phase is the state of a coordinator.
 type Phase string
 
 const (
@@ -48,40 +48,39 @@
 	PhaseStaging Phase = "staging"
 	// PhaseForming waits until every rank is part of a new formation.
 	PhaseForming Phase = "forming"
-	// PhaseChanging waits until every rank has the new map.
+	// PhaseChanging waits until every rank uses the new map.
 	PhaseChanging Phase = "changing"
-	// PhaseSteady waits for nothing.
+	// PhaseSteady means that no change is in progress.
 	PhaseSteady Phase = "steady"
 	// PhaseFenced is final: a higher epoch exists.
 	PhaseFenced Phase = "fenced"
 )
 
-// rankView is what a coordinator knows of one rank in its epoch.
+// rankView is the last reported state of one rank in the coordinator's epoch.
 type rankView struct {
 	report Report
 	joined bool
 	// age is the number of ticks since the last report.
 	age int
-	// sent is the last command, which is repeated on ticks only.
-	sent Command
+	// lastCommand is repeated on ticks only.
+	lastCommand Command
 }
 
 // Coordinator is the state machine that decides on the map of one group. It
-// acts for one lease; its owner makes a new one for a new lease. It is not safe
+// acts for one lease; its owner creates a new one for a new lease. It is not safe
 // for concurrent use.
 type Coordinator struct {
-	cfg      Config
-	epoch    Epoch
-	margin   Step
-	target   Version
-	prepared Decision
-	ranks    []rankView
-	ticks    int
-	phase    Phase
-	staging  Version
-	waiting  []int
-	// cautious keeps changes from being begun.
-	cautious bool
+	cfg           Config
+	epoch         Epoch
+	margin        Step
+	targetMap     Version
+	proposed      Decision
+	ranks         []rankView
+	ticks         int
+	phase         Phase
+	staging       Version
+	waiting       []int
+	changesPaused bool
 }
 
 // NewCoordinator returns a coordinator for the lease with the given fencing number.
@@ -96,17 +95,17 @@
 // Epoch returns the current epoch.
 func (c *Coordinator) Epoch() Epoch { return c.epoch }
 
-// Phase returns what the coordinator waits for.
+// Phase returns the current phase.
 func (c *Coordinator) Phase() Phase { return c.phase }
 
 // Staging returns the map that the ranks are to load in PhaseStaging, zero if
-// the coordinator knows of none and needs SetTargetMap.
+// none is known and SetTargetMap must be called.
 func (c *Coordinator) Staging() Version { return c.staging }
 
-// WaitsFor returns the ranks that have not done yet what the phase needs.
+// WaitsFor returns the ranks that block the current phase.
 func (c *Coordinator) WaitsFor() []int { return slices.Clone(c.waiting) }
 
-// Silent returns the ranks without a recent report.
+// Silent returns the ranks whose last report is older than MaxReportAgeTicks.
 func (c *Coordinator) Silent() []int {
 	var silent []int
 	for i := range c.ranks {
@@ -122,8 +121,8 @@
 	if !c.allJoined() {
 		return Decision{}, false
 	}
-	top := c.topCommitted()
-	return top, c.intact(top)
+	latest := c.latestCommitted()
+	return latest, c.committedEverywhere(latest)
 }
 
 // Report returns the last report of a rank in the current epoch.
@@ -131,12 +130,12 @@
 	return c.ranks[rank].report, c.ranks[rank].joined
 }
 
-// SetTargetMap sets the map that the group shall use. Lower versions than an earlier one are ignored.
-func (c *Coordinator) SetTargetMap(v Version) { c.target = max(c.target, v) }
+// SetTargetMap sets the map that the group shall use. Versions below an earlier one are ignored.
+func (c *Coordinator) SetTargetMap(v Version) { c.targetMap = max(c.targetMap, v) }
 
-// SetChangesPaused keeps the coordinator from beginning a change of the map while
-// cautious is true. It completes what was begun, and forms the group if needed.
-func (c *Coordinator) SetChangesPaused(cautious bool) { c.cautious = cautious }
+// SetChangesPaused keeps the coordinator from starting map changes while paused is
+// true. Changes in progress are completed, and the group is formed if needed.
+func (c *Coordinator) SetChangesPaused(paused bool) { c.changesPaused = paused }
 
 // Receive handles a report and returns commands to send.
 func (c *Coordinator) Receive(r Report) []Command {
@@ -147,15 +146,15 @@
 		c.phase = PhaseFenced
 		return nil
 	}
-	if r.Epoch < c.epoch || !c.accept(r) {
+	if r.Epoch < c.epoch || !c.storeReport(r) {
 		return nil
 	}
-	return c.send(false)
+	return c.pendingCommands(false)
 }
 
-// accept stores a report of the current epoch. A second incarnation of a rank
-// starts the next round, which only the one that is alive can join.
-func (c *Coordinator) accept(r Report) bool {
+// storeReport stores a report of the current epoch. A second incarnation of a rank
+// starts the next round, which only the running one can join.
+func (c *Coordinator) storeReport(r Report) bool {
 	v := &c.ranks[r.Rank]
 	if v.joined && v.report.Incarnation != r.Incarnation {
 		c.nextRound()
@@ -170,7 +169,7 @@
 	return true
 }
 
-// nextRound starts over in the next epoch of the lease.
+// nextRound restarts in the next epoch of the lease.
 func (c *Coordinator) nextRound() {
 	next, ok := c.epoch.Next()
 	if !ok {
@@ -178,14 +177,14 @@
 		return
 	}
 	c.epoch = next
-	c.prepared = Decision{}
+	c.proposed = Decision{}
 	for i := range c.ranks {
 		c.ranks[i].joined = false
 	}
 }
 
-// Tick advances the coordinator's notion of time and returns commands to send,
-// among them those that were not answered yet.
+// Tick advances time by one tick and returns commands to send, including the
+// unanswered ones.
 func (c *Coordinator) Tick() []Command {
 	if c.phase == PhaseFenced {
 		return nil
@@ -194,14 +193,14 @@
 	for i := range c.ranks {
 		c.ranks[i].age++
 	}
-	cmds := c.send(true)
+	cmds := c.pendingCommands(true)
 	if c.ticks%c.cfg.PollTicks == 0 {
 		cmds = c.addPolls(cmds)
 	}
 	return cmds
 }
 
-// addPolls adds a Join for each rank that cmds does not ask to join. Ranks with
+// addPolls adds a Join for each rank that is not sent one in cmds. Ranks with
 // another command are polled too, since a new incarnation ignores that command.
 func (c *Coordinator) addPolls(cmds []Command) []Command {
 	asked := make([]bool, len(c.ranks))
@@ -210,14 +209,14 @@
 	}
 	for i := range c.ranks {
 		if !asked[i] {
-			cmds = append(cmds, c.join(i))
+			cmds = append(cmds, c.joinCommand(i))
 		}
 	}
 	return cmds
 }
 
-// send returns the wanted commands; without repeat only those not sent before.
-func (c *Coordinator) send(repeat bool) []Command {
+// pendingCommands returns the unanswered commands; without repeat only those not sent before.
+func (c *Coordinator) pendingCommands(repeat bool) []Command {
 	if c.phase == PhaseFenced {
 		return nil
 	}
@@ -226,10 +225,10 @@
 	for _, cmd := range c.decide() {
 		c.waiting = append(c.waiting, cmd.Rank)
 		v := &c.ranks[cmd.Rank]
-		if !repeat && v.sent == cmd {
+		if !repeat && v.lastCommand == cmd {
 			continue
 		}
-		v.sent = cmd
+		v.lastCommand = cmd
 		out = append(out, cmd)
 	}
 	return out
--- a/balance/lockstep/decide.go
+++ b/balance/lockstep/decide.go
@@ -1,45 +1,45 @@
 package lockstep
 
-// decide returns the command that each rank is waiting for, at most one per rank.
+// decide returns the command that each rank has to answer, at most one per rank.
 func (c *Coordinator) decide() []Command {
 	if c.phase == PhaseFenced {
 		return nil
 	}
 	if c.allJoined() {
-		c.startOver()
+		c.restartIfBlocked()
 	}
 	if c.phase == PhaseFenced {
 		return nil
 	}
 	if !c.allJoined() {
 		c.phase = PhaseJoining
-		return c.toEach(c.join, func(v *rankView) bool { return !v.joined })
+		return c.commandsFor(c.joinCommand, func(v *rankView) bool { return !v.joined })
 	}
-	top := c.topCommitted()
-	if c.intact(top) {
-		return c.decideIntact(top)
+	latest := c.latestCommitted()
+	if c.committedEverywhere(latest) {
+		return c.decideChange(latest)
 	}
-	if c.partlyCommitted(top) {
-		return c.commit(top)
+	if c.committable(latest) {
+		return c.commit(latest)
 	}
-	return c.decideForm()
+	return c.decideFormation()
 }
 
-// startOver begins the next round if this one cannot make or complete a decision.
-func (c *Coordinator) startOver() {
-	if c.anyFailed() {
+// restartIfBlocked begins the next round if this one cannot make or complete a decision.
+func (c *Coordinator) restartIfBlocked() {
+	if c.promiseFailed() {
 		c.margin = min(2*c.margin, MaxMargin)
 		c.nextRound()
 		return
 	}
-	top := c.topCommitted()
-	broken := !c.intact(top) && !c.partlyCommitted(top)
-	if broken && top.Formation == c.epoch {
-		// The epoch names a formation already.
+	latest := c.latestCommitted()
+	broken := !c.committedEverywhere(latest) && !c.committable(latest)
+	if broken && latest.Formation == c.epoch {
+		// The epoch is already used by a formation.
 		c.nextRound()
 		return
 	}
-	if broken && !c.prepared.IsZero() && !c.prepared.IsFormation() {
+	if broken && !c.proposed.IsZero() && !c.proposed.IsFormation() {
 		c.nextRound()
 	}
 }
@@ -53,53 +53,53 @@
 	return true
 }
 
-// anyFailed reports whether a rank cannot give its promise, or can no longer keep it.
-func (c *Coordinator) anyFailed() bool {
-	if c.prepared.IsZero() {
+// promiseFailed reports whether a rank cannot give its promise, or can no longer keep it.
+func (c *Coordinator) promiseFailed() bool {
+	if c.proposed.IsZero() {
 		return false
 	}
 	for i := range c.ranks {
 		r := &c.ranks[i].report
-		if (r.Refused || r.Diverged) && r.Pending == c.prepared && r.PendingEpoch == c.epoch {
+		if (r.Refused || r.Diverged) && r.Pending == c.proposed && r.PendingEpoch == c.epoch {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Coordinator) topCommitted() Decision {
-	var top Decision
+func (c *Coordinator) latestCommitted() Decision {
+	var latest Decision
 	for i := range c.ranks {
-		if t := c.ranks[i].report.Committed; t.After(top) {
-			top = t
+		if d := c.ranks[i].report.Committed; d.After(latest) {
+			latest = d
 		}
 	}
-	return top
+	return latest
 }
 
-// intact reports whether every rank has committed top.
-func (c *Coordinator) intact(top Decision) bool {
-	if top.IsZero() {
+// committedEverywhere reports whether every rank has committed d.
+func (c *Coordinator) committedEverywhere(d Decision) bool {
+	if d.IsZero() {
 		return false
 	}
 	for i := range c.ranks {
 		r := &c.ranks[i].report
-		if r.Committed != top || r.Diverged {
+		if r.Committed != d || r.Diverged {
 			return false
 		}
 	}
 	return true
 }
 
-// partlyCommitted reports whether every rank has committed or promised top. As
-// a commit needs the promise of every rank, the commit can then be completed.
-func (c *Coordinator) partlyCommitted(top Decision) bool {
-	if top.IsZero() {
+// committable reports whether every rank has committed or promised d. As a commit
+// needs the promise of every rank, the commit can then be completed.
+func (c *Coordinator) committable(d Decision) bool {
+	if d.IsZero() {
 		return false
 	}
 	for i := range c.ranks {
 		r := &c.ranks[i].report
-		if r.Diverged || r.Committed != top && (r.Pending != top || !r.Promised) {
+		if r.Diverged || r.Committed != d && (r.Pending != d || !r.Promised) {
 			return false
 		}
 	}
@@ -107,57 +107,57 @@
 }
 
 // commit completes a decision at the ranks that have not committed it.
-func (c *Coordinator) commit(t Decision) []Command {
+func (c *Coordinator) commit(d Decision) []Command {
 	c.phase = PhaseChanging
-	if t.IsFormation() {
+	if d.IsFormation() {
 		c.phase = PhaseForming
 	}
-	return c.toEach(
-		func(i int) Command { return c.command(i, Commit, t) },
-		func(v *rankView) bool { return v.report.Committed != t },
+	return c.commandsFor(
+		func(i int) Command { return c.command(i, Commit, d) },
+		func(v *rankView) bool { return v.report.Committed != d },
 	)
 }
 
-func (c *Coordinator) decideIntact(top Decision) []Command {
-	if c.prepared == top {
-		c.prepared = Decision{}
+func (c *Coordinator) decideChange(latest Decision) []Command {
+	if c.proposed == latest {
+		c.proposed = Decision{}
 		c.margin = c.cfg.Margin
 	}
-	if !c.prepared.IsZero() {
+	if !c.proposed.IsZero() {
 		return c.prepareOrCommit()
 	}
-	if resume := c.resume(); len(resume) > 0 {
-		return resume
+	if aborts := c.abortPending(); len(aborts) > 0 {
+		return aborts
 	}
-	if c.target <= top.Map || c.cautious || len(c.Silent()) > 0 {
+	if c.targetMap <= latest.Map || c.changesPaused || len(c.Silent()) > 0 {
 		c.phase = PhaseSteady
 		return nil
 	}
-	if !c.stagedEverywhere(c.target) {
-		return c.stage(c.target)
+	if !c.stagedEverywhere(c.targetMap) {
+		return c.stage(c.targetMap)
 	}
-	c.prepared = Decision{
-		Formation: top.Formation, Index: top.Index + 1,
-		Step: max(c.greatestNext(), top.Step) + c.margin, Map: c.target,
+	c.proposed = Decision{
+		Formation: latest.Formation, Index: latest.Index + 1,
+		Step: max(c.maxNextStep(), latest.Step) + c.margin, Map: c.targetMap,
 	}
 	return c.prepareOrCommit()
 }
 
-// resume withdraws promises to earlier coordinators, whose decision can no
+// abortPending withdraws promises to earlier coordinators, whose decision can no
 // longer be committed since every rank has joined this epoch without it.
-func (c *Coordinator) resume() []Command {
+func (c *Coordinator) abortPending() []Command {
 	c.phase = PhaseChanging
-	return c.toEach(
+	return c.commandsFor(
 		func(i int) Command { return c.command(i, Abort, Decision{}) },
 		func(v *rankView) bool { return !v.report.Pending.IsZero() },
 	)
 }
 
-func (c *Coordinator) decideForm() []Command {
-	if !c.prepared.IsZero() {
+func (c *Coordinator) decideFormation() []Command {
+	if !c.proposed.IsZero() {
 		return c.prepareOrCommit()
 	}
-	v := c.formVersion()
+	v := c.formationMap()
 	if v == 0 {
 		c.phase = PhaseStaging
 		c.staging = 0
@@ -166,15 +166,15 @@
 	if !c.stagedEverywhere(v) {
 		return c.stage(v)
 	}
-	c.prepared = Decision{Formation: c.epoch, Map: v}
+	c.proposed = Decision{Formation: c.epoch, Map: v}
 	return c.prepareOrCommit()
 }
 
-// formVersion returns the map for a new formation: the newest that every rank
+// formationMap returns the map for a new formation: the newest that every rank
 // holds, otherwise the newest known.
-func (c *Coordinator) formVersion() Version {
+func (c *Coordinator) formationMap() Version {
 	var held Version
-	known := c.target
+	known := c.targetMap
 	for i := range c.ranks {
 		r := &c.ranks[i].report
 		known = max(known, r.Committed.Map, r.Pending.Map)
@@ -191,31 +191,31 @@
 	return known
 }
 
-// prepareOrCommit asks for the missing promises, or commits if there are none.
+// prepareOrCommit requests the missing promises, or commits if none is missing.
 func (c *Coordinator) prepareOrCommit() []Command {
-	t := c.prepared
-	missing := c.toEach(
-		func(i int) Command { return c.command(i, Prepare, t) },
+	d := c.proposed
+	missing := c.commandsFor(
+		func(i int) Command { return c.command(i, Prepare, d) },
 		func(v *rankView) bool { return !c.promised(&v.report) },
 	)
 	if len(missing) == 0 {
-		return c.commit(t)
+		return c.commit(d)
 	}
 	c.phase = PhaseChanging
-	if t.IsFormation() {
+	if d.IsFormation() {
 		c.phase = PhaseForming
 	}
 	return missing
 }
 
 func (c *Coordinator) promised(r *Report) bool {
-	return r.Promised && !r.Diverged && r.Pending == c.prepared && r.PendingEpoch == c.epoch
+	return r.Promised && !r.Diverged && r.Pending == c.proposed && r.PendingEpoch == c.epoch
 }
 
 func (c *Coordinator) stage(v Version) []Command {
 	c.phase = PhaseStaging
 	c.staging = v
-	return c.toEach(
+	return c.commandsFor(
 		func(i int) Command {
 			cmd := c.command(i, Stage, Decision{})
 			cmd.Map = v
@@ -234,7 +234,7 @@
 	return true
 }
 
-func (c *Coordinator) greatestNext() Step {
+func (c *Coordinator) maxNextStep() Step {
 	var next Step
 	for i := range c.ranks {
 		next = max(next, c.ranks[i].report.Next)
@@ -242,8 +242,8 @@
 	return next
 }
 
-// toEach returns make's command for each rank that needs one.
-func (c *Coordinator) toEach(command func(rank int) Command, needs func(*rankView) bool) []Command {
+// commandsFor returns the command for each rank that needs one.
+func (c *Coordinator) commandsFor(command func(rank int) Command, needs func(*rankView) bool) []Command {
 	var cmds []Command
 	for i := range c.ranks {
 		if needs(&c.ranks[i]) {
@@ -253,13 +253,13 @@
 	return cmds
 }
 
-func (c *Coordinator) join(rank int) Command {
+func (c *Coordinator) joinCommand(rank int) Command {
 	return Command{Kind: Join, Rank: rank, Epoch: c.epoch}
 }
 
-func (c *Coordinator) command(rank int, kind CommandKind, t Decision) Command {
+func (c *Coordinator) command(rank int, kind CommandKind, d Decision) Command {
 	return Command{
 		Kind: kind, Rank: rank, Incarnation: c.ranks[rank].report.Incarnation,
-		Epoch: c.epoch, Decision: t,
+		Epoch: c.epoch, Decision: d,
 	}
 }
--- a/balance/lockstep/engine_test.go
+++ b/balance/lockstep/engine_test.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// witness records which map every engine used at each step.
-type witness struct {
+// invariantChecker records which map every engine used at each step.
+type invariantChecker struct {
 	maps map[stepKey]Version
 	ran  map[rankStep]bool
-	// formation is the greatest formation in which an engine began a step.
+	// formation is the highest formation in which an engine began a step.
 	formation Epoch
 	switches  int
 }
@@ -24,41 +24,41 @@
 	rank int
 }
 
-// splitError reports a broken invariant, as opposed to missing progress.
-type splitError struct{ what string }
+// violation is a broken invariant, as opposed to missing progress.
+type violation struct{ message string }
 
-func (e *splitError) Error() string { return e.what }
+func (e *violation) Error() string { return e.message }
 
-func splitf(format string, args ...any) error {
-	return &splitError{what: fmt.Sprintf(format, args...)}
+func violationf(format string, args ...any) error {
+	return &violation{message: fmt.Sprintf(format, args...)}
 }
 
-func newWitness() *witness {
-	return &witness{maps: map[stepKey]Version{}, ran: map[rankStep]bool{}}
+func newInvariantChecker() *invariantChecker {
+	return &invariantChecker{maps: map[stepKey]Version{}, ran: map[rankStep]bool{}}
 }
 
 // begin records a step and returns an error if it breaks the invariant.
-func (w *witness) begin(rank int, f Epoch, s Step, v Version) error {
+func (c *invariantChecker) begin(rank int, f Epoch, s Step, v Version) error {
 	key := stepKey{f, s}
-	if used, ok := w.maps[key]; ok && used != v {
-		return splitf("step %d of formation %d: rank %d uses map %d, another rank used %d", s, f, rank, v, used)
+	if used, ok := c.maps[key]; ok && used != v {
+		return violationf("step %d of formation %d: rank %d uses map %d, another rank used %d", s, f, rank, v, used)
 	}
-	if f < w.formation {
-		return splitf("rank %d began a step in formation %d after formation %d ran", rank, f, w.formation)
+	if f < c.formation {
+		return violationf("rank %d began a step in formation %d after formation %d ran", rank, f, c.formation)
 	}
-	if w.ran[rankStep{key, rank}] {
-		return splitf("rank %d began step %d of formation %d twice", rank, s, f)
+	if c.ran[rankStep{key, rank}] {
+		return violationf("rank %d began step %d of formation %d twice", rank, s, f)
 	}
-	if s > 0 && w.maps[stepKey{f, s - 1}] != v {
-		w.switches++
+	if s > 0 && c.maps[stepKey{f, s - 1}] != v {
+		c.switches++
 	}
-	w.maps[key] = v
-	w.ran[rankStep{key, rank}] = true
-	w.formation = f
+	c.maps[key] = v
+	c.ran[rankStep{key, rank}] = true
+	c.formation = f
 	return nil
 }
 
-// fakeEngine steps on its own and applies orders.
+// fakeEngine applies orders and runs steps on its own.
 type fakeEngine struct {
 	rank        int
 	state       EngineState
@@ -79,15 +79,15 @@
 	e.state.Order = o
 }
 
-func (e *fakeEngine) step(w *witness) error {
+func (e *fakeEngine) step(checker *invariantChecker) error {
 	v := e.state.Order.MapAt(e.state.Next)
 	if v == 0 || e.state.Order.Formation == 0 {
 		return nil
 	}
 	if !slices.Contains(e.state.Staged, v) {
-		return splitf("rank %d runs map %d that is not staged", e.rank, v)
+		return violationf("rank %d runs map %d that is not staged", e.rank, v)
 	}
-	if err := w.begin(e.rank, e.state.Order.Formation, e.state.Next, v); err != nil {
+	if err := checker.begin(e.rank, e.state.Order.Formation, e.state.Next, v); err != nil {
 		return err
 	}
 	e.state.Next++
--- a/balance/lockstep/explore_test.go
+++ b/balance/lockstep/explore_test.go
@@ -17,7 +17,7 @@
 	settleRounds    = 80
 	fixedSeed       = "20260211"
 	fixedSchedules  = 2000
-	// mutantSchedules is the number of schedules in which a mutant has to be caught.
+	// mutantSchedules is the number of schedules within which a mutant must be detected.
 	mutantSchedules = 5000
 )
 
@@ -41,7 +41,7 @@
 func TestSchedules(t *testing.T) {
 	var total, switches, restarts, rounds, worst int
 	rapid.Check(t, func(t *rapid.T) {
-		// One draw seeds a schedule: the schedule is reproduced by its seed.
+		// A single drawn seed reproduces the schedule.
 		seed := rapid.Uint64().Draw(t, "schedule")
 		n := rapid.IntRange(2, 4).Draw(t, "ranks")
 		draw := drawer(seed)
@@ -54,12 +54,12 @@
 			t.Fatal(err)
 		}
 		total++
-		switches += m.w.switches
+		switches += m.checker.switches
 		restarts += m.restarts
 		rounds += took
 		worst = max(worst, took)
 	})
-	t.Logf("schedules %d, map switches seen by a first rank %d, rank restarts %d, rounds until the newest map took hold: mean %.1f, worst %d",
+	t.Logf("schedules %d, map switches %d, rank restarts %d, rounds until every engine used the newest map: mean %.1f, worst %d",
 		total, switches, restarts, float64(rounds)/float64(max(total, 1)), worst)
 	assert.Assert(t, switches > 0)
 	assert.Assert(t, restarts > 0)
@@ -83,36 +83,36 @@
 	return nil
 }
 
-// firstViolation runs schedules of a mutated model until the witness objects.
+// firstViolation runs schedules of a mutated model until the checker finds a violation.
 func firstViolation(mutate func(*model)) (int, error) {
 	for i := range mutantSchedules {
 		m := newModel(2 + i%2)
 		mutate(m)
 		draw := drawer(uint64(i))
-		var split *splitError
-		if err := explore(m, draw); errors.As(err, &split) {
+		var broken *violation
+		if err := explore(m, draw); errors.As(err, &broken) {
 			return i, err
 		}
 	}
 	return mutantSchedules, nil
 }
 
-// TestMutantsAreCaught shows that the witness finds faults of the protocol.
+// TestMutantsAreCaught checks that the model detects faults of the protocol.
 func TestMutantsAreCaught(t *testing.T) {
 	mutants := []struct {
 		name   string
 		mutate func(*model)
 	}{
 		{"rank promises without stopping its engine", func(m *model) {
-			m.afterReceive = func(r *Rank) { r.held = !r.pending.IsZero() }
+			m.afterReceive = func(r *Rank) { r.promised = !r.pending.IsZero() }
 		}},
 		{"rank obeys lower epochs", func(m *model) {
 			m.beforeReceive = func(r *Rank, c Command) { r.epoch = min(r.epoch, c.Epoch) }
 		}},
-		{"rank commits what it did not promise", func(m *model) {
+		{"rank commits a decision that it did not promise", func(m *model) {
 			m.beforeReceive = func(r *Rank, c Command) {
 				if c.Kind == Commit {
-					r.pending, r.held = c.Decision, true
+					r.pending, r.promised = c.Decision, true
 				}
 			}
 		}},
@@ -141,7 +141,7 @@
 	}
 }
 
-// majority makes the coordinator take the missing promises of a minority as given.
+// majority makes the coordinator count the missing promises of a minority as given.
 func majority(c *Coordinator) {
 	var promised int
 	for i := range c.ranks {
@@ -149,16 +149,17 @@
 			promised++
 		}
 	}
-	if c.prepared.IsZero() || promised <= len(c.ranks)/2 {
+	if c.proposed.IsZero() || promised <= len(c.ranks)/2 {
 		return
 	}
 	for i := range c.ranks {
 		r := &c.ranks[i].report
-		r.Pending, r.PendingEpoch, r.Promised = c.prepared, c.epoch, true
+		r.Pending, r.PendingEpoch, r.Promised = c.proposed, c.epoch, true
 	}
 }
 
-// assumeJoined makes the coordinator believe that the missing ranks look like one that joined.
+// assumeJoined makes the coordinator assume that ranks which have not joined report
+// the same state as one that has.
 func assumeJoined(c *Coordinator) {
 	if c.epoch.Lease() == 1 {
 		return
@@ -177,8 +178,8 @@
 	}
 }
 
-// TestEngineIgnoresFencing explores engines that ignore fencing numbers, with an
-// agent that has one order in flight at a time.
+// TestEngineIgnoresFencing checks that engines without fencing stay consistent if
+// their agent has at most one order in flight.
 func TestEngineIgnoresFencing(t *testing.T) {
 	for i := range 1000 {
 		m := newModel(3)
--- a/balance/lockstep/model_test.go
+++ b/balance/lockstep/model_test.go
@@ -7,7 +7,7 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// packet is a message in flight. Exactly one of the fields is set.
+// packet is a message in flight. Exactly one of cmd, report and order is set.
 type packet struct {
 	cmd    *Command
 	report *Report
@@ -18,33 +18,33 @@
 	rank  int
 }
 
-// model is a group with its network.
+// model simulates a group and its network.
 type model struct {
 	n            int
 	ranks        []*Rank
 	engines      []*fakeEngine
 	coordinators []*Coordinator
-	flight       []packet
-	// late are packets held back for long.
-	late []packet
-	// cutCoordinator and cutRank hold back all packets of a coordinator or rank.
+	inFlight     []packet
+	// delayed are packets that are delivered only after release.
+	delayed []packet
+	// cutCoordinator and cutRank delay all packets of a coordinator or rank.
 	cutCoordinator [maxCoordinators]bool
 	cutRank        []bool
-	w              *witness
+	checker        *invariantChecker
 	incarnations   int
 	target         Version
 	restarts       int
-	// lateOrders lets orders to engines arrive late, twice and out of order.
+	// lateOrders lets orders reach engines late, twice and out of order.
 	lateOrders bool
 
-	// Mutations for tests of the checker.
+	// These hooks inject faults.
 	beforeReceive func(r *Rank, c Command)
 	afterReceive  func(r *Rank)
 	afterReport   func(c *Coordinator)
 }
 
 func newModel(n int) *model {
-	m := &model{n: n, w: newWitness(), lateOrders: true, cutRank: make([]bool, n)}
+	m := &model{n: n, checker: newInvariantChecker(), lateOrders: true, cutRank: make([]bool, n)}
 	for i := range n {
 		m.ranks = append(m.ranks, NewRank(i, m.incarnation()))
 		m.engines = append(m.engines, &fakeEngine{rank: i})
@@ -58,7 +58,7 @@
 	return id.Incarnation(fmt.Sprintf("inc_%032d", m.incarnations))
 }
 
-// addCoordinator starts a coordinator with a new lease; the earlier ones go on unaware.
+// addCoordinator starts a coordinator with a new lease; earlier ones keep running.
 func (m *model) addCoordinator() {
 	cfg := Config{Ranks: m.n, Margin: 4, PollTicks: 2}
 	c := NewCoordinator(cfg, uint64(len(m.coordinators)+1))
@@ -73,14 +73,14 @@
 
 func (m *model) sendCommands(from int, cmds []Command) {
 	for _, c := range cmds {
-		m.flight = append(m.flight, packet{cmd: &c, coordinator: from, rank: c.Rank})
+		m.inFlight = append(m.inFlight, packet{cmd: &c, coordinator: from, rank: c.Rank})
 	}
 }
 
 func (m *model) sendReport(rank int) {
 	for to := range m.coordinators {
 		r := m.ranks[rank].Report()
-		m.flight = append(m.flight, packet{report: &r, coordinator: to, rank: rank})
+		m.inFlight = append(m.inFlight, packet{report: &r, coordinator: to, rank: rank})
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// sync is one pass of an agent: read the engine back and send it what is wanted.
+// sync simulates one cycle of an agent: read the engine's state and send the wanted order.
 func (m *model) sync(rank int) {
 	r, e := m.ranks[rank], m.engines[rank]
 	if v, ok := r.MapToStage(); ok {
@@ -124,8 +124,8 @@
 	}
 	if m.lateOrders {
 		p := packet{order: &order, rank: rank}
-		m.flight = append(m.flight, p)
-		m.holdBack(p)
+		m.inFlight = append(m.inFlight, p)
+		m.delay(p)
 		return
 	}
 	e.apply(order)
@@ -136,11 +136,11 @@
 	m.ranks[rank] = NewRank(rank, m.incarnation())
 }
 
-// restartEngine loses the engine's state. Orders in flight end with its connections.
+// restartEngine discards the engine's state and, as its connections end, the orders in flight to it.
 func (m *model) restartEngine(rank int) {
 	lost := func(p packet) bool { return p.order != nil && p.rank == rank }
-	m.flight = slices.DeleteFunc(m.flight, lost)
-	m.late = slices.DeleteFunc(m.late, lost)
+	m.inFlight = slices.DeleteFunc(m.inFlight, lost)
+	m.delayed = slices.DeleteFunc(m.delayed, lost)
 	m.engines[rank] = &fakeEngine{rank: rank, ignoreFence: m.engines[rank].ignoreFence}
 }
 
@@ -163,7 +163,7 @@
 	actCutRank
 )
 
-// profile gives each action its chances. Faults are absent, rare or frequent.
+// profile returns the actions, each as often as its weight. Faults are absent, rare or frequent.
 func profile(draw func(n int) int) []int {
 	chances := [...]int{
 		actDeliver: 150, actDeliverOldest: 300, actTick: 40, actSync: 75 * (1 + draw(4)),
@@ -192,7 +192,7 @@
 
 const (
 	maxCoordinators = 4
-	maxLate         = 60
+	maxDelayed      = 60
 )
 
 // act performs one random action; draw(n) returns a number below n.
@@ -210,7 +210,7 @@
 	case actSync:
 		m.sync(rank)
 	case actStep:
-		return m.engines[rank].step(m.w)
+		return m.engines[rank].step(m.checker)
 	case actLoad:
 		m.engines[rank].finishLoading()
 	case actTarget:
@@ -233,21 +233,21 @@
 }
 
 func (m *model) actNetwork(act int, draw func(n int) int) {
-	if len(m.flight) == 0 {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := draw(len(m.flight))
+	i := draw(len(m.inFlight))
 	if act == actDeliverOldest {
 		i = 0
 	}
-	p := m.flight[i]
+	p := m.inFlight[i]
 	if act != actDuplicate {
-		m.flight = slices.Delete(m.flight, i, i+1)
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	}
 	switch {
 	case act == actDrop:
 	case act == actDuplicate, act == actDelay, m.isCut(p):
-		m.holdBack(p)
+		m.delay(p)
 	default:
 		m.deliver(p)
 	}
@@ -257,35 +257,35 @@
 	return p.order == nil && (m.cutCoordinator[p.coordinator] || m.cutRank[p.rank])
 }
 
-func (m *model) holdBack(p packet) {
-	if len(m.late) < maxLate {
-		m.late = append(m.late, p)
+func (m *model) delay(p packet) {
+	if len(m.delayed) < maxDelayed {
+		m.delayed = append(m.delayed, p)
 	}
 }
 
-// release delivers a packet that was held back.
+// release delivers a delayed packet.
 func (m *model) release(draw func(n int) int) {
-	if len(m.late) == 0 {
+	if len(m.delayed) == 0 {
 		return
 	}
-	i := draw(len(m.late))
-	p := m.late[i]
-	m.late = slices.Delete(m.late, i, i+1)
+	i := draw(len(m.delayed))
+	p := m.delayed[i]
+	m.delayed = slices.Delete(m.delayed, i, i+1)
 	m.deliver(p)
 }
 
-// drain delivers every message once, in random order, without answers to answers.
+// drain delivers, in random order, as many messages as are in flight at the call.
 func (m *model) drain(draw func(n int) int) {
-	for range len(m.flight) {
+	for range len(m.inFlight) {
 		m.actNetwork(actDeliver, draw)
 	}
 }
 
-// settle runs rounds without faults and returns how many it took until every
-// engine runs the target in one formation.
+// settle runs rounds without faults and returns their number until every engine
+// uses the target map in one formation.
 func (m *model) settle(draw func(n int) int, limit int) (int, error) {
-	m.flight = append(m.flight, m.late...)
-	m.late = nil
+	m.inFlight = append(m.inFlight, m.delayed...)
+	m.delayed = nil
 	m.cutCoordinator = [maxCoordinators]bool{}
 	m.cutRank = make([]bool, m.n)
 	for round := range limit {
@@ -304,15 +304,15 @@
 			return round, err
 		}
 	}
-	return limit, fmt.Errorf("map %d did not take hold in %d rounds: %s", m.target, limit, m.describe())
+	return limit, fmt.Errorf("map %d is not in use everywhere after %d rounds: %s", m.target, limit, m.describe())
 }
 
-// stepTogether lets the engines that lag catch up, as ranks that run in
-// lock-step do, and then lets each run one step, as far as their orders allow.
+// stepTogether lets lagging engines catch up, as ranks in lock-step do, and then
+// runs one step of each, as far as their orders allow.
 func (m *model) stepTogether() error {
 	for _, e := range m.engines {
 		for range m.lag(e) + 1 {
-			if err := e.step(m.w); err != nil {
+			if err := e.step(m.checker); err != nil {
 				return err
 			}
 		}
@@ -347,7 +347,7 @@
 		s += fmt.Sprintf("\nrank %d: %+v engine %+v", i, r.Report(), m.engines[i].state)
 	}
 	for _, c := range m.coordinators {
-		s += fmt.Sprintf("\ncoordinator epoch %d phase %s prepared %+v waits for %v", c.epoch, c.phase, c.prepared, c.waiting)
+		s += fmt.Sprintf("\ncoordinator epoch %d phase %s proposed %+v waits for %v", c.epoch, c.phase, c.proposed, c.waiting)
 	}
 	return s
 }
--- a/balance/lockstep/rank.go
+++ b/balance/lockstep/rank.go
@@ -18,24 +18,23 @@
 	epoch          Epoch
 	committed      Decision
 	committedEpoch Epoch
-	// previous is the map before the committed decision.
-	previous     Version
+	// previousMap is the map before the committed decision.
+	previousMap  Version
 	pending      Decision
 	pendingEpoch Epoch
-	held         bool
+	promised     bool
 	refused      bool
 	diverged     bool
 
 	order EngineOrder
-	// entered is set once the engine was seen in the order's formation.
-	entered bool
-	next    Step
-	staged  []Version
-	stage   Version
+	// entered is set once the engine reported the order's formation.
+	entered  bool
+	nextStep Step
+	staged   []Version
+	stageMap Version
 }
 
-// NewRank returns a rank outside any formation. The incarnation must never have
-// been used before.
+// NewRank returns a rank outside any formation. The incarnation must be new.
 func NewRank(index int, incarnation id.Incarnation) *Rank {
 	return &Rank{index: index, incarnation: incarnation}
 }
@@ -60,13 +59,13 @@
 	}
 	switch c.Kind {
 	case Stage:
-		r.stage = max(r.stage, c.Map)
+		r.stageMap = max(r.stageMap, c.Map)
 	case Prepare:
 		r.prepare(c)
 	case Commit:
 		r.commit(c)
 	case Abort:
-		r.resume(c)
+		r.abort(c)
 	}
 	r.updateOrder()
 	return true
@@ -78,15 +77,15 @@
 	}
 	r.pending = c.Decision
 	r.pendingEpoch = c.Epoch
-	r.held = false
+	r.promised = false
 	r.refused = false
 	if c.Decision.IsFormation() {
-		r.leave()
+		r.leaveFormation()
 	}
 }
 
-// mayPrepare reports whether the target follows the committed one and no other
-// target was prepared in this epoch.
+// mayPrepare reports whether the decision follows the committed one and no other
+// decision was prepared in this epoch.
 func (r *Rank) mayPrepare(c Command) bool {
 	if !r.pending.IsZero() && r.pendingEpoch >= c.Epoch {
 		return false
@@ -99,31 +98,31 @@
 		c.Decision.Step > r.committed.Step
 }
 
-// leave gives up the current formation for good.
-func (r *Rank) leave() {
+// leaveFormation permanently leaves the current formation.
+func (r *Rank) leaveFormation() {
 	r.committed = Decision{}
 	r.committedEpoch = 0
-	r.previous = 0
-	r.next = 0
+	r.previousMap = 0
+	r.nextStep = 0
 	r.entered = false
 	r.diverged = false
 }
 
 func (r *Rank) commit(c Command) {
-	if !r.held || r.pending != c.Decision {
+	if !r.promised || r.pending != c.Decision {
 		return
 	}
-	r.previous = r.committed.Map
+	r.previousMap = r.committed.Map
 	r.committed = r.pending
 	r.committedEpoch = c.Epoch
 	r.clearPending()
 }
 
-func (r *Rank) resume(c Command) {
+func (r *Rank) abort(c Command) {
 	if r.pending.IsZero() || r.pending.IsFormation() || r.pendingEpoch >= c.Epoch {
 		return
 	}
-	// The order that follows needs a fencing number above the withdrawn one.
+	// The next order needs a fencing number above that of the aborted decision.
 	r.committedEpoch = c.Epoch
 	r.clearPending()
 }
@@ -131,26 +130,26 @@
 func (r *Rank) clearPending() {
 	r.pending = Decision{}
 	r.pendingEpoch = 0
-	r.held = false
+	r.promised = false
 	r.refused = false
 }
 
-// Observe takes in the engine's state as read back. It reports whether a new
+// Observe processes the engine's state as read back. It reports whether a new
 // report should be sent.
 func (r *Rank) Observe(s EngineState) bool {
-	before := r.facts()
+	before := r.flags()
 	changed := !slices.Equal(r.staged, s.Staged)
 	r.staged = slices.Clone(s.Staged)
 	if r.order.Formation != 0 {
 		r.observeFormation(s)
 	}
-	return changed || before != r.facts()
+	return changed || before != r.flags()
 }
 
-// facts are the parts of a report that a coordinator waits for.
-type facts struct{ held, refused, diverged bool }
+// reportFlags are the parts of a report that a coordinator waits for.
+type reportFlags struct{ promised, refused, diverged bool }
 
-func (r *Rank) facts() facts { return facts{r.held, r.refused, r.diverged} }
+func (r *Rank) flags() reportFlags { return reportFlags{r.promised, r.refused, r.diverged} }
 
 func (r *Rank) observeFormation(s EngineState) {
 	if s.Order.Formation != r.order.Formation {
@@ -159,10 +158,10 @@
 		return
 	}
 	r.entered = true
-	r.diverged = r.diverged || s.Next < r.next || r.contradicts(s)
-	r.next = max(r.next, s.Next)
+	r.diverged = r.diverged || s.Next < r.nextStep || r.contradicts(s)
+	r.nextStep = max(r.nextStep, s.Next)
 	r.updateOrder()
-	r.checkHold(s)
+	r.decidePromise(s)
 }
 
 // contradicts reports whether the engine's last step ran on a map that was not decided.
@@ -172,25 +171,25 @@
 	}
 	last := s.Next - 1
 	if last < r.committed.Step {
-		return s.LastMap != r.previous
+		return s.LastMap != r.previousMap
 	}
-	promised := r.held && last >= r.pending.Step
-	return promised || s.LastMap != r.committed.Map
+	brokePromise := r.promised && last >= r.pending.Step
+	return brokePromise || s.LastMap != r.committed.Map
 }
 
-// checkHold gives or refuses the promise once the order is in force.
-func (r *Rank) checkHold(s EngineState) {
-	if r.pending.IsZero() || r.held || s.Order != r.order || !r.ready() {
+// decidePromise gives or refuses the promise once the order is in force.
+func (r *Rank) decidePromise(s EngineState) {
+	if r.pending.IsZero() || r.promised || s.Order != r.order || !r.canOrderPending() {
 		return
 	}
-	r.held = s.Next <= r.pending.Step && slices.Contains(r.staged, r.pending.Map)
-	r.refused = !r.held
+	r.promised = s.Next <= r.pending.Step && slices.Contains(r.staged, r.pending.Map)
+	r.refused = !r.promised
 }
 
-// ready reports whether the engine has run a step of the committed decision, so
-// that its order can describe the pending one.
-func (r *Rank) ready() bool {
-	return r.pending.IsFormation() || r.committed.Index == 0 || r.next > r.committed.Step
+// canOrderPending reports whether the engine has run a step of the committed
+// decision, so that its order can describe the pending one.
+func (r *Rank) canOrderPending() bool {
+	return r.pending.IsFormation() || r.committed.Index == 0 || r.nextStep > r.committed.Step
 }
 
 // Order returns the wanted state of the engine, and false if there is none. An
@@ -201,10 +200,10 @@
 
 // MapToStage returns the map whose weights the engine should load, and false if there is none.
 func (r *Rank) MapToStage() (Version, bool) {
-	if r.stage == 0 || slices.Contains(r.staged, r.stage) {
+	if r.stageMap == 0 || slices.Contains(r.staged, r.stageMap) {
 		return 0, false
 	}
-	return r.stage, true
+	return r.stageMap, true
 }
 
 func (r *Rank) updateOrder() {
@@ -223,7 +222,7 @@
 		return EngineOrder{Epoch: r.pendingEpoch, Formation: r.pending.Formation, Map: r.pending.Map}
 	case r.committed.IsZero():
 		return EngineOrder{}
-	case !r.pending.IsZero() && r.ready():
+	case !r.pending.IsZero() && r.canOrderPending():
 		return EngineOrder{
 			Epoch: r.pendingEpoch, Formation: r.committed.Formation,
 			Map: r.committed.Map, SwitchAt: r.pending.Step,
@@ -236,7 +235,7 @@
 	}
 	return EngineOrder{
 		Epoch: r.committedEpoch, Formation: r.committed.Formation,
-		Map: r.previous, SwitchAt: r.committed.Step, Next: r.committed.Map,
+		Map: r.previousMap, SwitchAt: r.committed.Step, Next: r.committed.Map,
 	}
 }
 
@@ -246,8 +245,8 @@
 	return Report{
 		Rank: r.index, Incarnation: r.incarnation, Seq: r.seq, Epoch: r.epoch,
 		Committed: r.committed, Pending: r.pending, PendingEpoch: r.pendingEpoch,
-		Promised: r.held, Refused: r.refused, Diverged: r.diverged,
-		Next: r.next, Staged: slices.Clone(r.staged),
+		Promised: r.promised, Refused: r.refused, Diverged: r.diverged,
+		Next: r.nextStep, Staged: slices.Clone(r.staged),
 	}
 }
 
--- a/balance/lockstep/rank_test.go
+++ b/balance/lockstep/rank_test.go
@@ -14,8 +14,8 @@
 	t.Helper()
 	r := NewRank(0, "inc_1")
 	form := Decision{Formation: testEpoch, Map: 1}
-	receive := func(kind CommandKind, target Decision) {
-		assert.Assert(t, r.Receive(Command{Kind: kind, Incarnation: "inc_1", Epoch: testEpoch, Decision: target}))
+	receive := func(kind CommandKind, decision Decision) {
+		assert.Assert(t, r.Receive(Command{Kind: kind, Incarnation: "inc_1", Epoch: testEpoch, Decision: decision}))
 	}
 	receive(Join, Decision{})
 	receive(Prepare, form)
@@ -26,26 +26,26 @@
 	return r
 }
 
-// hold lets the engine of a prepared rank take the order before step 10.
-func hold(r *Rank) {
+// observeOrder makes the engine of a prepared rank show the order before step 10.
+func observeOrder(r *Rank) {
 	r.Observe(EngineState{Order: r.order, Next: 5, LastMap: 1, Staged: []Version{1, 2}})
 }
 
 func TestRankPromise(t *testing.T) {
 	change := Decision{Formation: testEpoch, Index: 1, Step: 10, Map: 2}
 	other := Decision{Formation: testEpoch, Index: 1, Step: 12, Map: 3}
-	command := func(kind CommandKind, epoch Epoch, target Decision) Command {
-		return Command{Kind: kind, Incarnation: "inc_1", Epoch: epoch, Decision: target}
+	command := func(kind CommandKind, epoch Epoch, decision Decision) Command {
+		return Command{Kind: kind, Incarnation: "inc_1", Epoch: epoch, Decision: decision}
 	}
 	tests := []struct {
 		name string
 		do   func(r *Rank)
 		want func(r Report) bool
 	}{
-		{"holds once the engine shows the order", hold, func(r Report) bool {
+		{"promises once the engine shows the order", observeOrder, func(r Report) bool {
 			return r.Promised && r.Pending == change
 		}},
-		{"does not hold while the engine shows an earlier order", func(r *Rank) {
+		{"does not promise while the engine shows an earlier order", func(r *Rank) {
 			old := r.order
 			old.Turn--
 			r.Observe(EngineState{Order: old, Next: 5, LastMap: 1, Staged: []Version{1, 2}})
@@ -58,46 +58,46 @@
 		}, func(r Report) bool { return !r.Promised && r.Refused }},
 		{"promises one target per epoch", func(r *Rank) {
 			r.Receive(command(Prepare, testEpoch, other))
-			hold(r)
+			observeOrder(r)
 		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"keeps its promise when it joins a higher epoch", func(r *Rank) {
-			hold(r)
+			observeOrder(r)
 			r.Receive(command(Join, testEpoch+1, Decision{}))
 		}, func(r Report) bool { return r.Promised && r.Pending == change && r.Epoch == testEpoch+1 }},
 		{"ignores the commit of a lower epoch", func(r *Rank) {
-			hold(r)
+			observeOrder(r)
 			r.Receive(command(Join, testEpoch+1, Decision{}))
 			r.Receive(command(Commit, testEpoch, change))
 		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"ignores the commit of another target", func(r *Rank) {
-			hold(r)
+			observeOrder(r)
 			r.Receive(command(Commit, testEpoch, other))
 		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"ignores a commit without its promise", func(r *Rank) {
 			r.Receive(command(Commit, testEpoch, change))
 		}, func(r Report) bool { return r.Pending == change }},
-		{"ignores a resume of the epoch that it promised in", func(r *Rank) {
-			hold(r)
+		{"ignores an abort of the epoch that it promised in", func(r *Rank) {
+			observeOrder(r)
 			r.Receive(command(Abort, testEpoch, Decision{}))
 		}, func(r Report) bool { return r.Promised && r.Pending == change }},
-		{"resumes for a higher epoch", func(r *Rank) {
-			hold(r)
+		{"aborts for a higher epoch", func(r *Rank) {
+			observeOrder(r)
 			r.Receive(command(Join, testEpoch+1, Decision{}))
 			r.Receive(command(Abort, testEpoch+1, Decision{}))
 		}, func(r Report) bool { return !r.Promised && r.Pending.IsZero() && r.Committed.Index == 0 }},
 		{"ignores commands for another incarnation", func(r *Rank) {
-			hold(r)
+			observeOrder(r)
 			r.Receive(Command{Kind: Commit, Incarnation: "inc_2", Epoch: testEpoch, Decision: change})
 		}, func(r Report) bool { return r.Promised && r.Pending == change }},
 		{"reports an engine that broke the promise", func(r *Rank) {
-			hold(r)
+			observeOrder(r)
 			r.Observe(EngineState{Order: r.order, Next: 11, LastMap: 1, Staged: []Version{1, 2}})
 		}, func(r Report) bool { return r.Diverged }},
 		{"reports an engine that lost its state", func(r *Rank) {
 			r.Observe(EngineState{})
 		}, func(r Report) bool { return r.Diverged }},
 		{"commits with its promise", func(r *Rank) {
-			hold(r)
+			observeOrder(r)
 			r.Receive(command(Commit, testEpoch, change))
 		}, func(r Report) bool { return !r.Diverged && r.Committed == change && r.Pending.IsZero() }},
 	}
@@ -125,9 +125,9 @@
 // roundTrip delivers all messages without faults and counts them.
 func (m *model) roundTrip(t *testing.T, count *traffic) {
 	t.Helper()
-	for len(m.flight) > 0 {
-		p := m.flight[0]
-		m.flight = m.flight[1:]
+	for len(m.inFlight) > 0 {
+		p := m.inFlight[0]
+		m.inFlight = m.inFlight[1:]
 		switch {
 		case p.cmd != nil:
 			count.add(t, *p.cmd)
@@ -157,7 +157,7 @@
 			m.sync(i)
 			m.engines[i].finishLoading()
 			m.sync(i)
-			assert.NilError(t, m.engines[i].step(m.w))
+			assert.NilError(t, m.engines[i].step(m.checker))
 		}
 		m.roundTrip(t, count)
 	}
@@ -166,7 +166,7 @@
 		round(&forming, i%stepsPerPoll == 0)
 	}
 	m.newTarget()
-	m.sendCommands(0, m.coordinators[0].send(false))
+	m.sendCommands(0, m.coordinators[0].pendingCommands(false))
 	for !m.settled() {
 		round(&change, false)
 	}
--- a/balance/lockstep/types.go
+++ b/balance/lockstep/types.go
@@ -29,7 +29,7 @@
 // time; zero means no map.
 type Version uint64
 
-// NewVersion returns the version of the n-th map that the holder of a lease makes.
+// NewVersion returns the version of the n-th map that is created under a lease.
 func NewVersion(lease uint64, n uint16) Version {
 	return Version(lease<<roundBits | uint64(n))
 }
@@ -40,8 +40,8 @@
 // Never is a step that no group reaches.
 const Never Step = math.MaxUint64
 
-// Decision is one decision on the map of a group: from Step on, the formation
-// uses Map until the decision with the next Index.
+// Decision selects the map of a group: from Step on, the formation uses Map until
+// the decision with the next Index.
 type Decision struct {
 	// Formation is the epoch in which the group was formed. Zero means none.
 	Formation Epoch `cbor:"1,keyasint,omitempty"`
@@ -51,33 +51,33 @@
 	Map   Version `cbor:"4,keyasint,omitempty"`
 }
 
-// IsZero reports whether t is no decision.
-func (t Decision) IsZero() bool { return t == Decision{} }
+// IsZero reports whether d is unset.
+func (d Decision) IsZero() bool { return d == Decision{} }
 
-// IsFormation reports whether t forms a group, as opposed to changing its map.
-func (t Decision) IsFormation() bool { return !t.IsZero() && t.Index == 0 }
+// IsFormation reports whether d forms a group, as opposed to changing its map.
+func (d Decision) IsFormation() bool { return !d.IsZero() && d.Index == 0 }
 
-// After reports whether t was decided later than u.
-func (t Decision) After(u Decision) bool {
-	if t.Formation != u.Formation {
-		return t.Formation > u.Formation
+// After reports whether d was made later than other.
+func (d Decision) After(other Decision) bool {
+	if d.Formation != other.Formation {
+		return d.Formation > other.Formation
 	}
-	return t.Index > u.Index
+	return d.Index > other.Index
 }
 
-// CommandKind tells what a coordinator asks of a rank.
+// CommandKind is the kind of a Command.
 type CommandKind uint8
 
 const (
-	// Join asks for the promise to ignore lower epochs, and for a report.
+	// Join requests a report and the promise to ignore lower epochs.
 	Join CommandKind = iota + 1
-	// Stage asks to load the weights of a map.
+	// Stage requests loading the weights of a map.
 	Stage
-	// Prepare asks for the promise not to begin the target's step on the old map.
+	// Prepare requests the promise not to begin the decision's step on the old map.
 	Prepare
-	// Commit tells that every rank gave the promise.
+	// Commit announces that every rank gave the promise.
 	Commit
-	// Abort withdraws a promise that was given in a lower epoch.
+	// Abort cancels a promise that was given in a lower epoch.
 	Abort
 )
 
@@ -85,7 +85,7 @@
 type Command struct {
 	Kind CommandKind `cbor:"1,keyasint"`
 	Rank int         `cbor:"2,keyasint"`
-	// Incarnation is the run of the agent that the command is for. Join is for any.
+	// Incarnation identifies the agent process that the command is for. Join is for any.
 	Incarnation id.Incarnation `cbor:"3,keyasint,omitempty"`
 	Epoch       Epoch          `cbor:"4,keyasint"`
 	// Decision is set for Prepare and Commit.
@@ -94,27 +94,27 @@
 	Map Version `cbor:"6,keyasint,omitempty"`
 }
 
-// Report is a message from a rank to a coordinator. It always holds the whole state.
+// Report is a message from a rank to a coordinator. It always holds the full state.
 type Report struct {
 	Rank        int            `cbor:"1,keyasint"`
 	Incarnation id.Incarnation `cbor:"2,keyasint"`
 	// Seq counts the reports of an incarnation.
 	Seq uint64 `cbor:"3,keyasint"`
-	// Epoch is the greatest epoch that the rank joined.
+	// Epoch is the highest epoch that the rank joined.
 	Epoch Epoch `cbor:"4,keyasint"`
 	// Committed is the latest decision, zero for a rank outside any formation.
 	Committed Decision `cbor:"5,keyasint,omitempty"`
-	// Pending is the decision that the rank was asked to promise, and PendingEpoch by whom.
+	// Pending is the decision that the rank was asked to promise in PendingEpoch.
 	Pending      Decision `cbor:"6,keyasint,omitempty"`
 	PendingEpoch Epoch    `cbor:"7,keyasint,omitempty"`
-	// Promised is the promise: the engine will not begin the step of Pending without a commit.
+	// Promised means that the engine will not begin the step of Pending without a commit.
 	Promised bool `cbor:"8,keyasint,omitempty"`
-	// Refused tells that the engine was past the step of Pending already, or
-	// does not hold the weights of its map.
+	// Refused means that the engine was already past the step of Pending, or lacks
+	// the weights of its map.
 	Refused bool `cbor:"9,keyasint,omitempty"`
-	// Diverged tells that the engine ran a step against its orders.
+	// Diverged means that the engine ran a step against its orders.
 	Diverged bool `cbor:"10,keyasint,omitempty"`
-	// Next is the next step of the engine as last read.
+	// Next is the next step of the engine when last read.
 	Next Step `cbor:"11,keyasint,omitempty"`
 	// Staged are the maps whose weights the engine holds, in ascending order.
 	Staged []Version `cbor:"12,keyasint,omitempty"`
@@ -163,7 +163,7 @@
 	return o.Turn < p.Turn
 }
 
-// EngineState is what an engine reports when it is read back.
+// EngineState is the state that an engine reports.
 type EngineState struct {
 	// Order is the order in force, zero for an engine outside any formation.
 	Order EngineOrder
