--- a/entry/server/config.go
+++ b/entry/server/config.go
@@ -1,5 +1,5 @@
-// Package server is the entry: it serves callers and operators and connects the
-// libraries of an entry host.
+// Package server implements the entry process: it serves callers and operators and
+// connects the components of an entry.
 package server
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/siskinford/siskinford/wire/link"
 )
 
-// Config describes one entry.
+// Config configures an entry.
 type Config struct {
 	// Host is the name of this machine. Required.
 	Host id.Host
@@ -31,21 +31,21 @@
 	OperatorListen string
 	// PeerListen is the UDP address for other entries. Default: 127.0.0.1:8082.
 	PeerListen string
-	// PeerAddress is the address under which other entries reach PeerListen.
+	// PeerAddress is the address at which other entries reach PeerListen.
 	// Default: the address that PeerListen is bound to.
 	PeerAddress string
 	// Policy is the routing policy. Default: predicted-time.
 	Policy route.Policy
-	// ReadyDelay is the time between the first failing answer of /readyz and the
-	// end of accepting connections at shutdown. Default: 0.
+	// ReadyDelay is the time at shutdown between the first failing response of /readyz
+	// and the closing of the listener for callers. Default: 0.
 	ReadyDelay time.Duration
-	// Admission refuses requests that cannot meet their deadline and holds teams
-	// to their share while others wait. Default: true.
+	// Admission refuses requests that cannot meet their deadline and limits teams to
+	// their share under contention. Default: true.
 	Admission bool
-	// KeyRetention is the age at which an idempotency key made by a caller
+	// KeyRetention is the age at which an idempotency key chosen by a caller
 	// expires. It must be below the agents' retention of actions. Default: 30 min.
 	KeyRetention time.Duration
-	// Events is the number of events that the time line keeps. Default: 20,000.
+	// Events is the number of events that the timeline keeps. Default: 20,000.
 	Events    int
 	Operator  operator.APIConfig
 	Caller    caller.Config
@@ -56,7 +56,6 @@
 	Link      link.Config
 }
 
-// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
 		CallerListen:   "127.0.0.1:8080",
--- a/entry/server/duties.go
+++ b/entry/server/duties.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// claimsDuty is the key of the duty to expire claims.
+	// claimsDuty is the key of the duty to remove expired claims.
 	claimsDuty = "claims"
-	// expireInterval is the time between two expirations of claims.
+	// expireInterval is the mean time between two removals of expired claims.
 	expireInterval = time.Minute
-	// expireTimeout bounds one expiration.
+	// expireTimeout bounds one removal.
 	expireTimeout = 30 * time.Second
 )
 
-// newGroups returns the coordinators of the groups of ranks. The membership must
-// be known before the first configuration is applied.
+// newGroups returns the manager of the coordinators of rank groups. The membership
+// must exist before the first configuration is applied.
 func (s *Server) newGroups() *groups.Manager {
 	c := s.config.Groups
 	c.Host = s.config.Host
@@ -39,8 +39,8 @@
 	return out
 }
 
-// expireClaims removes expired claims at an interval until ctx ends, on the one
-// host of the zone that has the duty.
+// expireClaims removes expired claims at random intervals until ctx ends, on the one
+// host of the zone that holds the duty.
 func (s *Server) expireClaims(ctx context.Context) {
 	for {
 		sleep(ctx, expireInterval/2+rand.N(expireInterval))
@@ -48,12 +48,12 @@
 			return
 		}
 		if s.node.members.Duty(claimsDuty) {
-			s.expireOnce(ctx)
+			s.expireClaimsOnce(ctx)
 		}
 	}
 }
 
-func (s *Server) expireOnce(ctx context.Context) {
+func (s *Server) expireClaimsOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, expireTimeout)
 	defer cancel()
 	if err := s.claims.Expire(ctx); err != nil {
--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -18,28 +18,27 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// node is the entry's part in the fleet: membership, spread of configurations
-// and the host list.
+// node is the entry's membership, configuration replication and host list.
 type node struct {
 	pool     *link.Pool
 	server   *link.Server
 	members  *member.Runner
 	spreader *spread.Spreader
 	hosts    *hosts.Watcher
-	// operators carries operators' questions to other entries.
+	// operators carries operators' queries to other entries.
 	operators transport.Caller
 }
 
-// startNode listens for other entries and joins the fleet.
+// startNode listens for other entries and joins the membership.
 func (s *Server) startNode() error {
 	n := &s.node
-	n.pool = link.NewPool(s.peerConfig(), func() *tls.Config { return s.deps.Keys.Client(keys.RoleEntry) })
-	s.exposeTraffic("entries", n.pool)
+	n.pool = link.NewPool(s.peerLinkConfig(), func() *tls.Config { return s.deps.Keys.Client(keys.RoleEntry) })
+	s.registerTrafficMetrics("entries", n.pool)
 	mux := transport.NewMux(peer.NewCaller(n.pool), s.metrics)
 	n.operators = mux.Caller(transport.Operators)
 	var err error
 	handler := peer.NewServer(mux.Handle, s.selectEvents)
-	n.server, err = link.Listen(s.config.PeerListen, s.deps.Keys.Server(keys.RoleEntry), s.peerConfig(), handler)
+	n.server, err = link.Listen(s.config.PeerListen, s.deps.Keys.Server(keys.RoleEntry), s.peerLinkConfig(), handler)
 	if err != nil {
 		return err
 	}
@@ -72,8 +71,8 @@
 	return nil
 }
 
-// peerConfig returns the bounds of connections between entries.
-func (s *Server) peerConfig() link.Config {
+// peerLinkConfig returns the configuration of links between entries.
+func (s *Server) peerLinkConfig() link.Config {
 	c := link.PeerConfig()
 	c.Clock = s.config.Link.Clock
 	return c
@@ -90,28 +89,28 @@
 		OnNote: func(from member.Peer, zone id.Zone, note []byte) {
 			s.node.spreader.OnNote(from, zone, note)
 		},
-		OnChange: s.memberChanged,
+		OnChange: s.recordMemberChange,
 	}, mux.Caller(transport.Membership), time.Now)
 }
 
-func (s *Server) memberChanged(c member.Change) {
+func (s *Server) recordMemberChange(c member.Change) {
 	s.events.Record(timeline.Event{
 		Kind: "host." + timeline.Kind(c.Peer.State.String()), Detail: string(c.Peer.Host),
 	})
 }
 
-// setLeaving takes endpoints on leaving hosts out of use.
+// setLeaving stops routing to endpoints on leaving hosts.
 func (s *Server) setLeaving(leaving map[id.Host]bool) { s.endpoints.SetLeaving(leaving) }
 
 // PeerAddress returns the UDP address for other entries.
 func (s *Server) PeerAddress() string { return s.node.server.Address() }
 
-// maxEvents bounds the events of one answer.
-const maxEvents = 5000
+// maxReplyEvents bounds the events of one reply.
+const maxReplyEvents = 5000
 
-// selectEvents answers a question for the time line of this process.
+// selectEvents returns events of this process's timeline.
 func (s *Server) selectEvents(o *msg.EventsOrder) *msg.Events {
 	return &msg.Events{Process: string(s.config.Host), Events: timeline.Select(s.deps.Ring, timeline.Filter{
-		Since: o.Since, Request: o.Request, Endpoint: o.Endpoint, Kind: timeline.Kind(o.Kind), Limit: min(o.Limit, maxEvents),
+		Since: o.Since, Request: o.Request, Endpoint: o.Endpoint, Kind: timeline.Kind(o.Kind), Limit: min(o.Limit, maxReplyEvents),
 	})}
 }
--- a/entry/server/limits.go
+++ b/entry/server/limits.go
@@ -5,7 +5,7 @@
 	"github.com/siskinford/siskinford/fleet/transport"
 )
 
-// connectLimits lets this entry exchange demands and grants with others.
+// connectLimits starts the exchange of demands and grants with other entries.
 func (s *Server) connectLimits(mux *transport.Mux) error {
 	err := s.limits.Connect(limits.Deps{
 		Store: s.deps.Store, Members: s.node.members, Caller: mux.Caller(transport.Limits), Metrics: s.metrics,
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// newLimits returns the enforcement of the teams' limits, without teams.
+// newLimits returns the limiter of the teams' token rates, without teams.
 func (s *Server) newLimits() (*limits.Limits, error) {
 	c := s.config.Limits
 	c.Zone = s.config.Zone
--- a/entry/server/operator.go
+++ b/entry/server/operator.go
@@ -11,13 +11,13 @@
 
 func (s *Server) operatorHandler() http.Handler {
 	r := chi.NewRouter()
-	ops.Routes(r, s.metrics, s.unready)
+	ops.Routes(r, s.metrics, s.unreadyReason)
 	operator.NewAPI(s.config.Operator, s.operator).Routes(r)
 	return r
 }
 
-// unready returns why the entry does not accept requests, or the empty text.
-func (s *Server) unready() string {
+// unreadyReason returns why the entry does not accept requests, or "" if it does.
+func (s *Server) unreadyReason() string {
 	switch {
 	case s.stopping.Load():
 		return "shutting down"
@@ -27,7 +27,7 @@
 	return ""
 }
 
-// Ready reports whether the configuration is known and each endpoint was asked for its load.
+// Ready reports whether the configuration is complete and every endpoint in use was contacted.
 func (s *Server) Ready() bool {
 	return s.holder.Current().Complete() && s.endpoints.AllContacted()
 }
--- a/entry/server/ask.go
+++ b/entry/server/operatordeps.go
@@ -17,7 +17,7 @@
 	return operator.New(operator.Deps{
 		Host: s.config.Host, Zone: s.config.Zone, Store: s.deps.Store, Ring: s.deps.Ring, Recorder: s.events,
 		Snapshot: func() *config.Snapshot { return s.holder.Current() },
-		Members:  lateMembers{s}, Caller: lateCaller{s},
+		Members:  lazyMembers{s}, Caller: lazyCaller{s},
 		Agents:     operator.LinkAgents{Directory: s.endpoints, Pool: s.pool},
 		Status:     s.table.Status,
 		LastReport: func(e id.Endpoint) (endpoints.ReceivedReport, bool) { return s.endpoints.LastReport(e) },
@@ -26,24 +26,24 @@
 	})
 }
 
-// lateMembers and lateCaller reach parts of the node that exist once it listens.
-// Questions arrive only afterwards.
-type lateMembers struct{ s *Server }
+// lazyMembers and lazyCaller defer to the node, which is created after the service
+// that uses them but before the first query arrives.
+type lazyMembers struct{ s *Server }
 
-func (l lateMembers) Self() member.Peer        { return l.s.node.members.Self() }
-func (l lateMembers) Members() []member.Peer   { return l.s.node.members.Members() }
-func (l lateMembers) Live() []member.Peer      { return l.s.node.members.Live() }
-func (l lateMembers) Zones() []member.Zone     { return l.s.node.members.Zones() }
-func (l lateMembers) Elsewhere() []member.Peer { return l.s.node.members.Elsewhere() }
+func (l lazyMembers) Self() member.Peer        { return l.s.node.members.Self() }
+func (l lazyMembers) Members() []member.Peer   { return l.s.node.members.Members() }
+func (l lazyMembers) Live() []member.Peer      { return l.s.node.members.Live() }
+func (l lazyMembers) Zones() []member.Zone     { return l.s.node.members.Zones() }
+func (l lazyMembers) Elsewhere() []member.Peer { return l.s.node.members.Elsewhere() }
 
-type lateCaller struct{ s *Server }
+type lazyCaller struct{ s *Server }
 
 // Call implements transport.Caller.
-func (l lateCaller) Call(ctx context.Context, address string, payload []byte) ([]byte, error) {
+func (l lazyCaller) Call(ctx context.Context, address string, payload []byte) ([]byte, error) {
 	return l.s.node.operators.Call(ctx, address, payload)
 }
 
 // Abandon implements transport.Caller.
-func (l lateCaller) Abandon(address string) { l.s.node.operators.Abandon(address) }
+func (l lazyCaller) Abandon(address string) { l.s.node.operators.Abandon(address) }
 
-var _ transport.Caller = lateCaller{}
+var _ transport.Caller = lazyCaller{}
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -33,7 +33,7 @@
 	"github.com/siskinford/siskinford/wire/link"
 )
 
-// Deps are the parts that an entry works with.
+// Deps are the dependencies of an entry.
 type Deps struct {
 	Store objectapi.Store
 	Keys  *keys.Ring
@@ -65,14 +65,14 @@
 	callerListener   net.Listener
 	operatorListener net.Listener
 
-	ctx      context.Context // ends background work and requests that are cut off
+	ctx      context.Context // ends background work and the requests cancelled by Shutdown
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 	stopping atomic.Bool
 	inFlight atomic.Int64
 }
 
-// New returns an entry. Start must be called to serve.
+// New returns an entry that is not started.
 func New(c Config, d Deps) (*Server, error) {
 	if err := c.Validate().Err(); err != nil {
 		return nil, err
@@ -82,17 +82,16 @@
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
 	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
 	s.events = s.requests.Recorder(timeline.Logged{Ring: d.Ring, Log: d.Log})
-	s.holder = spread.NewHolder(s.configured)
-	if err := s.provision(); err != nil {
+	s.holder = spread.NewHolder(s.applySnapshot)
+	if err := s.initComponents(); err != nil {
 		cancel()
 		return nil, err
 	}
 	return s, nil
 }
 
-// provision creates the parts of the entry in the order in which they depend on
-// each other.
-func (s *Server) provision() error {
+// initComponents creates the components of the entry in order of their dependencies.
+func (s *Server) initComponents() error {
 	c := s.config
 	s.newEndpoints()
 	s.operator = s.newOperator()
@@ -114,10 +113,10 @@
 }
 
 // newEndpoints creates the connections to agents and the routing table that
-// their reports feed.
+// their reports update.
 func (s *Server) newEndpoints() {
 	s.pool = link.NewPool(s.config.Link, func() *tls.Config { return s.deps.Keys.Client(keys.RoleAgent) })
-	s.exposeTraffic("agents", s.pool)
+	s.registerTrafficMetrics("agents", s.pool)
 	prefixes := prefix.NewIndex(prefix.Config{})
 	s.table = route.NewTable(route.Config{Prefixes: prefixes})
 	c := s.config.Endpoints
@@ -126,8 +125,8 @@
 	s.endpoints = endpoints.New(c, s.table, endpoints.PrefixSink{Index: prefixes}, s.pool, s.events)
 }
 
-// configured hands a new configuration to the parts that depend on it.
-func (s *Server) configured(n *config.Snapshot) {
+// applySnapshot passes a new configuration to the components that depend on it.
+func (s *Server) applySnapshot(n *config.Snapshot) {
 	s.endpoints.Update(n.Endpoints(), n.Version(config.KindEndpoints))
 	s.operator.RecordSnapshot(n)
 	s.admission.Update(n.Teams(), n.Services())
@@ -153,7 +152,7 @@
 		Metrics:  caller.NewMetrics(s.metrics),
 	})
 	return &http.Server{
-		Handler:           s.counted(api.Handler()),
+		Handler:           s.countInFlight(api.Handler()),
 		ReadHeaderTimeout: s.config.Caller.ReadTimeout,
 		ReadTimeout:       s.config.Caller.ReadTimeout,
 		MaxHeaderBytes:    s.config.Caller.MaxHeaderBytes,
@@ -161,13 +160,13 @@
 	}
 }
 
-// catalog returns the configuration in force once all kinds are known.
+// catalog returns the configuration in force, or false until it has all kinds.
 func (s *Server) catalog() (caller.Catalog, bool) {
 	snapshot := s.holder.Current()
 	return snapshot, snapshot.Complete()
 }
 
-func (s *Server) counted(next http.Handler) http.Handler {
+func (s *Server) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
@@ -175,7 +174,7 @@
 	})
 }
 
-// Start listens and begins to serve.
+// Start opens the listeners and begins to serve.
 func (s *Server) Start() error {
 	var err error
 	if s.callerListener, err = net.Listen("tcp", s.config.CallerListen); err != nil {
@@ -194,7 +193,7 @@
 	s.wg.Go(func() { _ = s.operators.Serve(s.operatorListener) })
 	s.deps.Ring.Record(timeline.Event{Kind: "entry.started", Detail: s.CallerAddress()})
 	s.deps.Log.Info().Str("event", "entry.started").Str("callers", s.CallerAddress()).
-		Str("operators", s.OperatorAddress()).Str("peers", s.PeerAddress()).Msg("entry serves")
+		Str("operators", s.OperatorAddress()).Str("peers", s.PeerAddress()).Msg("entry started")
 	return nil
 }
 
@@ -207,8 +206,8 @@
 // Reload reads the key material again.
 func (s *Server) Reload() error { return s.deps.Keys.Reload() }
 
-// Shutdown stops accepting requests and waits for those in flight. When ctx ends
-// first, they are cut off, and each is told what is known of its outcome.
+// Shutdown stops accepting requests and waits for those in flight. If ctx ends first,
+// they are cancelled, and each is answered with what is known of its outcome.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.events.Record(timeline.Event{Kind: "entry.stopping"})
@@ -219,7 +218,7 @@
 	if err != nil {
 		err = errors.Newf("%d requests were cut off", s.inFlight.Load())
 		s.cancel()
-		s.awaitCutOff()
+		s.awaitCutOffRequests()
 	}
 	s.cancel()
 	_ = s.operators.Close()
@@ -233,11 +232,11 @@
 	return err
 }
 
-// cutOffWait bounds the time in which requests that are cut off get their answer.
-const cutOffWait = 2 * time.Second
+// cutOffTimeout bounds the time for answering cancelled requests.
+const cutOffTimeout = 2 * time.Second
 
-func (s *Server) awaitCutOff() {
-	ctx, cancel := context.WithTimeout(context.Background(), cutOffWait)
+func (s *Server) awaitCutOffRequests() {
+	ctx, cancel := context.WithTimeout(context.Background(), cutOffTimeout)
 	defer cancel()
 	_ = s.callers.Shutdown(ctx)
 }
--- a/entry/server/traffic.go
+++ b/entry/server/traffic.go
@@ -6,8 +6,8 @@
 	"github.com/siskinford/siskinford/wire/link"
 )
 
-// exposeTraffic registers the bytes and packets of the links to one kind of peer.
-func (s *Server) exposeTraffic(peer string, p *link.Pool) {
+// registerTrafficMetrics registers the bytes and packets of the links to one kind of peer.
+func (s *Server) registerTrafficMetrics(peer string, p *link.Pool) {
 	for direction, read := range map[string]func(link.Traffic) (bytes, packets uint64){
 		"sent":     func(t link.Traffic) (uint64, uint64) { return t.SentBytes, t.SentPackets },
 		"received": func(t link.Traffic) (uint64, uint64) { return t.ReceivedBytes, t.ReceivedPackets },
