--- a/entry/coordinator/coordinator_test.go
+++ b/entry/coordinator/coordinator_test.go
@@ -20,7 +20,7 @@
 
 func (l *fakeLease) FencingToken() (uint64, bool) { return l.token, l.held }
 
-func (l *fakeLease) CoversChange() bool       { return !l.expiring }
+func (l *fakeLease) CoversChange() bool      { return !l.expiring }
 func (l *fakeLease) MarkFenced(token uint64) { l.fenced = append(l.fenced, token) }
 
 type sentOrders struct{ orders []groupmsg.Order }
