--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,4 +1,4 @@
-// Package balance groups the policies for decisions under load. Each policy is
-// a package of its own, works on explicit state and an explicit clock, and
+// Package balance groups the packages for load balancing, admission control and
+// rate limiting. Each works on explicit state, takes the time as an argument and
 // performs no input or output.
 package balance
