--- a/balance/route/baseline.go
+++ b/balance/route/baseline.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// roundRobin picks the ready endpoints of the zone in turn. It regards no load and no weight.
+// roundRobin rotates through the ready endpoints of the zone. It ignores load and weight.
 type roundRobin struct{ table *Table }
 
 func (p *roundRobin) Pick(r Request) (Choice, error) {
 	return p.table.pickFrom(r, func(z *zoneSet, usable func(*member) bool) *member {
 		n := uint64(len(z.ready))
-		first := z.load.next.Add(1)
+		first := z.load.roundRobin.Add(1)
 		for i := range n {
 			if m := z.ready[(first+i)%n]; usable(m) {
 				return m
@@ -19,7 +19,7 @@
 }
 
 // leastConnections picks the ready endpoint of the zone with the fewest own
-// requests in flight for its weight, the first in turn among equals.
+// requests in flight relative to its weight, rotating among equals.
 type leastConnections struct{ table *Table }
 
 func (p *leastConnections) Pick(r Request) (Choice, error) {
@@ -27,7 +27,7 @@
 		var best *member
 		var least float64
 		n := uint64(len(z.ready))
-		first := z.load.next.Add(1)
+		first := z.load.roundRobin.Add(1)
 		for i := range n {
 			m := z.ready[(first+i)%n]
 			open := float64(m.state.openCount.Load()) / m.Weight
@@ -39,10 +39,10 @@
 	})
 }
 
-// pickFrom applies a baseline to the request's zone, then to the others in order of name.
+// pickFrom applies a baseline policy to the request's zone, then to the others by name.
 func (t *Table) pickFrom(r Request, pick func(*zoneSet, func(*member) bool) *member) (Choice, error) {
 	now := t.clock(r.Now)
-	for range maxPasses {
+	for range maxRebuilds {
 		s := t.view.Load().services[r.Service]
 		if s == nil {
 			break
@@ -57,12 +57,12 @@
 		}
 		m := s.pickZone(r, usable, pick)
 		if m != nil {
-			return t.chosen(m, r, now), nil
+			return t.singleChoice(m, r, now), nil
 		}
 		if !expired {
 			break
 		}
-		t.rebuild(r.Service, now)
+		t.rebuildReadySet(r.Service, now)
 	}
 	return Choice{}, t.noEndpoint(r, now)
 }
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// chosen returns a choice that no other endpoint was compared with.
-func (t *Table) chosen(m *member, r Request, now time.Duration) Choice {
+// singleChoice returns the choice of an endpoint without comparison.
+func (t *Table) singleChoice(m *member, r Request, now time.Duration) Choice {
 	c := comparison{t: t, r: r, now: now}
 	c.append(m, m.Weight, m.Zone != r.Zone)
 	return c.choice()
--- a/balance/route/bench_test.go
+++ b/balance/route/bench_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestPickDoesNotAllocate holds for every size of the fleet.
+// TestPickDoesNotAllocate checks small and large fleets.
 func TestPickDoesNotAllocate(t *testing.T) {
 	for _, n := range []int{16, 1200} {
 		picker := mustNew(t, PredictedTime, benchTable(n))
--- a/balance/route/experiment_test.go
+++ b/balance/route/experiment_test.go
@@ -43,9 +43,9 @@
 	return c
 }
 
-// routing returns the scenarios that compare the policies.
+// routing returns the scenarios for the comparison of the policies.
 func routing(length time.Duration) []scenario {
-	base := scenario{duration: length, load: constant(0.8), slow: -1, liar: -1}
+	base := scenario{duration: length, load: constant(0.8), slow: -1, misreporting: -1}
 	with := base.with
 	return []scenario{
 		with("steady 0.8", func(*scenario) {}),
@@ -56,12 +56,12 @@
 		with("slow x5, not reported", func(c *scenario) { c.slow = 4; c.hidden = true; c.load = constant(0.7) }),
 		with("lag 250 ms", func(c *scenario) { c.lag = 250 * time.Millisecond }),
 		with("lag 1 s", func(c *scenario) { c.lag = time.Second }),
-		with("reports lost 20 %", func(c *scenario) { c.lostPart = 0.2 }),
+		with("reports lost 20 %", func(c *scenario) { c.lostFraction = 0.2 }),
 		with("4 entries per zone", func(c *scenario) { c.perZone = 4 }),
 		with("4 entries per zone, lag 1 s", func(c *scenario) { c.perZone = 4; c.lag = time.Second }),
 		with("4 entries per zone, slow x5", func(c *scenario) { c.perZone = 4; c.slow = 4; c.load = constant(0.7) }),
-		with("4 entries per zone, liar", func(c *scenario) { c.perZone = 4; c.liar = 4 }),
-		with("liar", func(c *scenario) { c.liar = 4 }),
+		with("4 entries per zone, liar", func(c *scenario) { c.perZone = 4; c.misreporting = 4 }),
+		with("liar", func(c *scenario) { c.misreporting = 4 }),
 		with("zone lost at the crest", func(c *scenario) {
 			c.load = swing(0.15, length/4, length/2)
 			c.lostZone = "c"
@@ -119,7 +119,7 @@
 	t.Log("\n" + b.String())
 }
 
-// comparePolicies runs a scenario under each policy, at the same time.
+// comparePolicies runs a scenario under each policy in parallel.
 func comparePolicies(c scenario) map[route.Policy]*result {
 	policies := route.Policies()
 	list := make([]*result, len(policies))
@@ -139,7 +139,7 @@
 	return out
 }
 
-// TestExperimentRouting asserts the orderings between the policies that hold at every run.
+// TestExperimentRouting checks the orderings of the policies that hold in all scenarios.
 func TestExperimentRouting(t *testing.T) {
 	var rows []string
 	for _, c := range routing(experimentLength()) {
@@ -165,7 +165,7 @@
 
 // admission returns the scenarios at twice the capacity.
 func admission(length time.Duration) []scenario {
-	base := scenario{duration: length, load: constant(2), slow: -1, liar: -1, policy: route.PredictedTime}
+	base := scenario{duration: length, load: constant(2), slow: -1, misreporting: -1, policy: route.PredictedTime}
 	with := base.with
 	return []scenario{
 		with("unbounded queue", func(*scenario) {}),
@@ -173,7 +173,7 @@
 		with("unbounded queue, heavy tail", func(c *scenario) { c.heavy = true }),
 		with("admission, heavy tail", func(c *scenario) { c.heavy, c.admit = true, true }),
 		with("admission, lag 1 s", func(c *scenario) { c.admit = true; c.lag = time.Second }),
-		with("admission, liar", func(c *scenario) { c.admit = true; c.liar = 4 }),
+		with("admission, liar", func(c *scenario) { c.admit = true; c.misreporting = 4 }),
 		with("admission, swing 0.5 to 2", func(c *scenario) {
 			c.admit = true
 			c.load = swing(0.5, length/4, length/4)
@@ -181,15 +181,15 @@
 	}
 }
 
-// capacity returns what the unbounded queue serves, with all slots in use.
+// capacity returns the requests served from an unbounded queue with all slots in use.
 func capacity(c scenario) int {
-	c.admit, c.lag, c.liar, c.load = false, 0, -1, constant(2)
+	c.admit, c.lag, c.misreporting, c.load = false, 0, -1, constant(2)
 	return overSeeds(c).served
 }
 
 func TestExperimentAdmission(t *testing.T) {
 	var rows []string
-	length := max(experimentLength(), 40*time.Second) // in which an unbounded queue outgrows the deadline
+	length := max(experimentLength(), 40*time.Second) // by then an unbounded queue exceeds the deadline
 	unbounded := 0                                    // answers within the deadline without admission
 	served := map[bool]int{}                          // capacity without and with the heavy tail
 	for _, c := range admission(length) {
@@ -213,10 +213,10 @@
 	table(t, "scenario\tarrivals\tgoodput % of capacity\tp50\tp95\tp99\trefused\taccepted but late", rows)
 }
 
-// TestExperimentTeams offers twice the capacity. The fair part of each team is
-// its demand or its part by weight of what the others leave.
+// TestExperimentTeams offers twice the capacity. The fair share of each team is its
+// demand or its weighted share of what the others leave (max-min fairness).
 func TestExperimentTeams(t *testing.T) {
-	base := scenario{duration: max(experimentLength(), 40*time.Second), load: constant(2), slow: -1, liar: -1, policy: route.PredictedTime, admit: true}
+	base := scenario{duration: max(experimentLength(), 40*time.Second), load: constant(2), slow: -1, misreporting: -1, policy: route.PredictedTime, admit: true}
 	full := capacity(base)
 	var rows []string
 	for _, c := range []struct {
@@ -247,7 +247,7 @@
 	for _, policy := range route.Policies() {
 		for _, budget := range []bool{false, true} {
 			c := scenario{
-				duration: experimentLength(), load: constant(0.5), slow: -1, liar: -1, policy: policy,
+				duration: experimentLength(), load: constant(0.5), slow: -1, misreporting: -1, policy: policy,
 				failing: 1.0 / 3, budget: budget,
 			}
 			r := overSeeds(c)
--- a/balance/route/feedback_test.go
+++ b/balance/route/feedback_test.go
@@ -64,7 +64,7 @@
 	assert.Assert(t, g.value(4*time.Second, time.Second) < 0.2)
 }
 
-func TestDoubtAboutOtherZonesGrowsWithAge(t *testing.T) {
+func TestOtherZonesPenaltyGrowsWithReportAge(t *testing.T) {
 	for _, age := range []time.Duration{0, 2 * time.Second} {
 		table, list := testTable(3, "a", "b")
 		for _, e := range list {
--- a/balance/route/predicted.go
+++ b/balance/route/predicted.go
@@ -3,48 +3,48 @@
 import "time"
 
 const (
-	// maxChoices bounds the random candidates from one zone.
-	maxChoices = 8
+	// maxRandomCandidates bounds the random candidates from one zone.
+	maxRandomCandidates = 8
 	// maxCandidates bounds the candidates of one pick: two zones and a prefix holder.
-	maxCandidates = 2*maxChoices + 1
-	// marginPart is the part of a report's age by which two predictions may
-	// differ and still count as equal.
-	marginPart = 8
-	// remoteDoubtAge is the age of a report at which an endpoint in another zone
-	// must be better by that age.
-	remoteDoubtAge = 50 * time.Millisecond
-	// silenceFactor scales the time for which reports are overdue to a rank.
-	silenceFactor = 4
-	// maxPasses bounds how often one pick lists the ready endpoints anew.
-	maxPasses = 3
+	maxCandidates = 2*maxRandomCandidates + 1
+	// marginDivisor divides a report's age into the difference below which two
+	// scores count as equal.
+	marginDivisor = 8
+	// remotePenaltyAge is the report age at which the penalty of an endpoint in
+	// another zone equals the age.
+	remotePenaltyAge = 50 * time.Millisecond
+	// overduePenaltyFactor scales the time for which a report is overdue to a penalty.
+	overduePenaltyFactor = 4
+	// maxRebuilds bounds how often one pick rebuilds the ready set.
+	maxRebuilds = 3
 )
 
-// predictedTime compares a few random endpoints by predicted time to first token.
+// predictedTime picks the best of a few random endpoints by predicted time to first token.
 type predictedTime struct{ table *Table }
 
-// candidate is one endpoint under comparison.
+// candidate is one endpoint under comparison; the lowest score wins.
 type candidate struct {
 	m      *member
 	cached int
 	remote bool
 	prediction
-	rank time.Duration
-	age  time.Duration
+	score time.Duration
+	age   time.Duration
 }
 
 // comparison collects the candidates of one pick.
 type comparison struct {
-	t       *Table
-	r       Request
-	now     time.Duration
-	list    [maxCandidates]candidate
-	n       int
-	expired bool
+	t          *Table
+	r          Request
+	now        time.Duration
+	candidates [maxCandidates]candidate
+	n          int
+	expired    bool
 }
 
 func (p *predictedTime) Pick(r Request) (Choice, error) {
 	now := p.table.clock(r.Now)
-	for range maxPasses {
+	for range maxRebuilds {
 		s := p.table.view.Load().services[r.Service]
 		if s == nil {
 			break
@@ -52,7 +52,7 @@
 		c := comparison{t: p.table, r: r, now: now}
 		c.collect(s)
 		if c.expired {
-			p.table.rebuild(r.Service, now)
+			p.table.rebuildReadySet(r.Service, now)
 			continue
 		}
 		if c.n == 0 {
@@ -63,37 +63,38 @@
 	return Choice{}, p.table.noEndpoint(r, now)
 }
 
-// collect draws candidates from the request's zone, then from another zone if
-// that promises to be better by more than the round trip.
+// collect samples candidates from the request's zone, and from another zone if its
+// average wait is lower by more than the round trip.
 func (c *comparison) collect(s *serviceSet) {
 	own := s.zone(c.r.Zone)
 	if own != nil {
-		c.drawFrom(own, false)
+		c.sampleZone(own, false)
 	}
 	c.addHolder(s)
 	if c.n == 0 {
-		c.drawElsewhere(s)
+		c.sampleOtherZones(s)
 		return
 	}
-	best := c.list[c.best()].rank
+	best := c.candidates[c.best()].score
 	if best <= c.t.cfg.RoundTrip || len(s.zones) < 2 {
 		return
 	}
 	if z, wait := c.otherZone(s); z != nil && wait+c.t.cfg.RoundTrip < best {
-		c.drawFrom(z, true)
+		c.sampleZone(z, true)
 	}
 }
 
-// drawElsewhere draws from the other zones, the least loaded first, until one has a candidate.
-func (c *comparison) drawElsewhere(s *serviceSet) {
+// sampleOtherZones samples the other zones until one has a candidate, starting with
+// the less loaded of two.
+func (c *comparison) sampleOtherZones(s *serviceSet) {
 	if z, _ := c.otherZone(s); z != nil {
-		c.drawFrom(z, true)
+		c.sampleZone(z, true)
 	}
 	for _, z := range s.zones {
 		if c.n > 0 {
 			return
 		}
-		c.drawFrom(z, z.name != c.r.Zone)
+		c.sampleZone(z, z.name != c.r.Zone)
 	}
 }
 
@@ -110,7 +111,7 @@
 			continue
 		}
 		seen++
-		wait := z.load.mean(c.now, c.t.cfg.MaxReportAge)
+		wait := z.load.meanWait(c.now, c.t.cfg.MaxReportAge)
 		if best == nil || wait < least {
 			best, least = z, wait
 		}
@@ -118,11 +119,11 @@
 	return best, least
 }
 
-// drawFrom adds distinct random candidates of a zone.
-func (c *comparison) drawFrom(z *zoneSet, remote bool) {
+// sampleZone adds distinct random candidates of a zone.
+func (c *comparison) sampleZone(z *zoneSet, remote bool) {
 	n := len(z.ready)
 	for range min(c.t.cfg.RandomCandidates, n) {
-		i := z.draw.index(n, c.t.cfg.Rand())
+		i := z.sampler.index(n, c.t.cfg.Rand())
 		for range min(n, c.n+len(c.r.Exclude)+1) {
 			if m := z.ready[i]; c.usable(m) {
 				c.add(m, z.maxWeight, remote)
@@ -140,7 +141,7 @@
 		return false
 	}
 	for i := range c.n {
-		if c.list[i].m == m {
+		if c.candidates[i].m == m {
 			return false
 		}
 	}
@@ -157,7 +158,7 @@
 		return
 	}
 	m := c.t.view.Load().members[name]
-	if m == nil || m.Service != c.r.Service || !m.state.listed.Load() || !c.usable(m) {
+	if m == nil || m.Service != c.r.Service || !m.state.inReadySet.Load() || !c.usable(m) {
 		return
 	}
 	c.add(m, s.zone(m.Zone).maxWeight, m.Zone != c.r.Zone)
@@ -172,42 +173,42 @@
 	c.append(m, maxWeight, remote)
 }
 
-// append appends a candidate that has reported. Its wait is scaled by its weight
-// relative to the zone's greatest, so that under load the backlogs relate as the
-// weights.
+// append appends a candidate that has reported. Its wait is divided by its weight
+// relative to the zone's greatest, so that backlogs under load are proportional to
+// the weights.
 func (c *comparison) append(m *member, maxWeight float64, remote bool) {
 	k := candidate{m: m, remote: remote}
 	if c.t.cfg.Prefixes != nil && len(c.r.PromptBlocks) > 0 {
 		k.cached = c.t.cfg.Prefixes.Match(c.r.PromptBlocks, m.Name)
 	}
 	k.prediction = c.t.predict(m, len(c.r.PromptBlocks), k.cached, c.now)
-	k.rank = k.expected()
+	k.score = k.expected()
 	if m.Weight < maxWeight {
-		k.rank = k.prefill + time.Duration(float64(k.rank-k.prefill)*maxWeight/m.Weight)
+		k.score = k.prefill + time.Duration(float64(k.score-k.prefill)*maxWeight/m.Weight)
 	}
 	l := m.state.load.Load()
-	k.age = max(c.now-l.taken, 0)
-	k.rank += silenceFactor * l.overdue(c.now)
+	k.age = max(c.now-l.measured, 0)
+	k.score += overduePenaltyFactor * l.overdue(c.now)
 	if remote {
-		k.rank += c.t.cfg.RoundTrip + remoteDoubt(k.age)
+		k.score += c.t.cfg.RoundTrip + remotePenalty(k.age)
 	}
-	c.list[c.n] = k
+	c.candidates[c.n] = k
 	c.n++
 }
 
-// remoteDoubt returns by how much an endpoint in another zone must be better.
-// It grows with the square of the report's age, as meanwhile the entries of all
-// zones may have chosen the endpoint.
-func remoteDoubt(age time.Duration) time.Duration {
-	return time.Duration(float64(age) * float64(age) / float64(remoteDoubtAge))
+// remotePenalty returns the score penalty of an endpoint in another zone. It grows
+// with the square of the report's age, since the entries of all zones may have
+// chosen the endpoint since then.
+func remotePenalty(age time.Duration) time.Duration {
+	return time.Duration(float64(age) * float64(age) / float64(remotePenaltyAge))
 }
 
-// best returns the candidate of least rank. Ranks that differ by less than the
-// reports' age makes certain count as equal; then own requests in flight decide.
+// best returns the candidate of least score. Scores that differ by less than the
+// uncertainty due to the reports' age are equal; then own requests in flight decide.
 func (c *comparison) best() int {
 	best := 0
 	for i := 1; i < c.n; i++ {
-		if c.better(&c.list[i], &c.list[best]) {
+		if c.better(&c.candidates[i], &c.candidates[best]) {
 			best = i
 		}
 	}
@@ -215,8 +216,8 @@
 }
 
 func (c *comparison) better(a, b *candidate) bool {
-	margin := max(a.age, b.age) / marginPart
-	if diff := a.rank - b.rank; diff < -margin || diff > margin || a.remote != b.remote {
+	margin := max(a.age, b.age) / marginDivisor
+	if diff := a.score - b.score; diff < -margin || diff > margin || a.remote != b.remote {
 		return diff < 0
 	}
 	openA := float64(a.m.state.openCount.Load()) * b.m.Weight
@@ -228,7 +229,7 @@
 }
 
 func (c *comparison) choice() Choice {
-	k := &c.list[c.best()]
+	k := &c.candidates[c.best()]
 	out := Choice{
 		Endpoint:     k.m.Name,
 		Incarnation:  k.m.state.load.Load().incarnation,
@@ -251,7 +252,7 @@
 func (c *comparison) explain() []Candidate {
 	out := make([]Candidate, 0, c.n)
 	for i := range c.n {
-		k := &c.list[i]
+		k := &c.candidates[i]
 		out = append(out, Candidate{
 			Endpoint:     k.m.Name,
 			Zone:         k.m.Zone,
--- a/balance/route/prefix_bench_test.go
+++ b/balance/route/prefix_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// BenchmarkPickWithPrefixes picks for a prompt of 32 blocks of which some endpoints hold a part.
+// BenchmarkPickWithPrefixes picks for a prompt of 32 blocks that some endpoints partly hold.
 func BenchmarkPickWithPrefixes(b *testing.B) {
 	for _, c := range []struct{ n, holders int }{{16, 1}, {16, 16}, {120, 4}, {120, 120}, {1200, 4}, {1200, 1200}} {
 		n := c.n
--- a/balance/route/route.go
+++ b/balance/route/route.go
@@ -7,42 +7,42 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Endpoint is the configured part of an endpoint.
+// Endpoint is the configuration of an endpoint.
 type Endpoint struct {
 	Name    id.Endpoint
 	Service id.Service
 	Zone    id.Zone
-	// Weight scales the share of work. An endpoint of weight 0 receives none.
+	// Weight scales the endpoint's share of requests. Weight 0 receives none.
 	Weight float64
-	// Draining is true if the operators or the host list ask the endpoint to leave.
+	// Draining is true if operators or the host list drain the endpoint.
 	Draining bool
 }
 
-// Report is the load of one endpoint as it reported it.
+// Report is a load report of one endpoint.
 type Report struct {
 	Endpoint    id.Endpoint
 	Incarnation id.Incarnation
-	// Seq counts the reports of an incarnation. Older reports are dropped.
+	// Seq counts the reports of an incarnation. Out-of-order reports are dropped.
 	Seq      uint64
 	Draining bool
 	Healthy  bool
-	// Queued and Running count attempts, the token counts are predicted work.
+	// Queued and Running count attempts. The token counts are predictions.
 	Queued        uint32
 	Running       uint32
 	QueuedTokens  uint64
 	RunningTokens uint64
-	// Slots is the number of attempts that run at the same time.
+	// Slots is the number of attempts that can run at the same time.
 	Slots uint32
 	// StepTime is the time per token of a running attempt.
 	StepTime time.Duration
-	// Age is the time since the load was taken, transit included.
+	// Age is the time since the load was measured, transit included.
 	Age time.Duration
 }
 
-// Request describes the work to place.
+// Request describes the request to place.
 type Request struct {
 	Service id.Service
-	// Zone is the zone of the entry that asks.
+	// Zone is the zone of the calling entry.
 	Zone id.Zone
 	// Work is the predicted number of tokens, prompt and answer.
 	Work uint32
@@ -51,24 +51,24 @@
 	// Exclude lists endpoints that must not be picked.
 	Exclude []id.Endpoint
 	Now     time.Time
-	// Explain asks for Choice.Candidates, which costs an allocation.
+	// Explain fills in Choice.Candidates, which costs an allocation.
 	Explain bool
 }
 
-// Choice is the endpoint picked for a request. It comes from a Picker or from Table.Bound.
+// Choice is the endpoint picked for a request by a Picker or by Table.PinnedChoice.
 type Choice struct {
 	Endpoint    id.Endpoint
 	Incarnation id.Incarnation
 	Zone        id.Zone
-	// Work is the predicted work of the request in tokens.
+	// Work is the predicted number of tokens, as in Request.
 	Work uint32
-	// Predicted is the time to first token from the load alone. Pass it to Observe unchanged.
+	// Predicted is the time to first token by the load alone. Pass it to Observe unchanged.
 	Predicted time.Duration
-	// Expected is Predicted corrected by the error of earlier predictions.
+	// Expected is Predicted corrected by the average error of earlier predictions.
 	Expected time.Duration
 	// CachedBlocks is the expected prefix hit in blocks.
 	CachedBlocks int
-	// Candidates are the endpoints compared, if the request asked to explain.
+	// Candidates are the endpoints compared, if Request.Explain is set.
 	Candidates []Candidate
 
 	state   *state
@@ -77,7 +77,7 @@
 	prefill time.Duration
 }
 
-// Candidate is one endpoint that a policy compared.
+// Candidate is one endpoint that a policy compared, for explanations.
 type Candidate struct {
 	Endpoint     id.Endpoint
 	Zone         id.Zone
@@ -98,12 +98,12 @@
 	Pick(r Request) (Choice, error)
 }
 
-// PrefixIndex tells which endpoints hold the prefix of a prompt. Pick calls both
-// methods; they must not block.
+// PrefixIndex predicts prefix cache hits. Pick calls both methods; they must not
+// block.
 type PrefixIndex interface {
 	// Match returns how many leading blocks the endpoint is expected to hold.
 	Match(blocks []uint64, e id.Endpoint) int
-	// Holder returns an endpoint that is expected to hold many leading blocks.
+	// Holder returns an endpoint that is expected to hold a long prefix.
 	Holder(blocks []uint64) (id.Endpoint, bool)
 }
 
@@ -113,7 +113,7 @@
 const (
 	// PredictedTime picks the least predicted time to first token of a few random endpoints.
 	PredictedTime Policy = "predicted-time"
-	// RoundRobin picks the ready endpoints of the zone in turn.
+	// RoundRobin rotates through the ready endpoints of the zone.
 	RoundRobin Policy = "round-robin"
 	// LeastConnections picks the ready endpoint of the zone with the fewest own requests in flight.
 	LeastConnections Policy = "least-connections"
--- a/balance/route/route_test.go
+++ b/balance/route/route_test.go
@@ -141,8 +141,8 @@
 	assert.Equal(t, c.Incarnation, id.Incarnation("i2"))
 }
 
-// TestOwnDispatchesCorrectReport checks that a report replaces only the
-// dispatches that it can know of.
+// TestOwnDispatchesCorrectReport checks that a report replaces only the dispatches
+// that preceded the measurement of its load.
 func TestOwnDispatchesCorrectReport(t *testing.T) {
 	table, _ := testTable(1, "a")
 	table.Report(idle("a-0", 1), epoch)
@@ -167,8 +167,8 @@
 	assert.Equal(t, s.openCount.Load(), int64(9), "the end of an earlier incarnation's request does not count")
 }
 
-// TestNoHerding dispatches a burst between two rounds of reports of which one
-// endpoint reports idle and the others nearly so.
+// TestNoHerding dispatches a burst between two rounds of reports, while one endpoint
+// is reported as idle and the others as half busy.
 func TestNoHerding(t *testing.T) {
 	table, _ := testTable(8, "a")
 	for i := range 8 {
@@ -189,7 +189,7 @@
 	assert.Assert(t, got["a-3"] <= 8, "%v", got)
 }
 
-func TestLiarIsFoundByItsOpenRequests(t *testing.T) {
+func TestMisreportingEndpointIsDetectedByOpenRequests(t *testing.T) {
 	table, _ := testTable(2, "a")
 	table.Report(idle("a-0", 1), epoch)
 	table.Report(busy("a-1", 1, 2), epoch)
@@ -198,7 +198,7 @@
 	now := epoch
 	for i := range 40 {
 		now = now.Add(50 * time.Millisecond)
-		table.Report(idle("a-0", uint64(i+2)), now) // Its reports deny its backlog.
+		table.Report(idle("a-0", uint64(i+2)), now) // Reports no load in spite of its backlog.
 		table.Report(busy("a-1", uint64(i+2), 2), now)
 		c, err := picker.Pick(request(now))
 		assert.NilError(t, err)
@@ -238,7 +238,7 @@
 	assert.Assert(t, seen["a-0"], "an old error no longer keeps work away")
 }
 
-func TestZoneComesFirst(t *testing.T) {
+func TestOwnZoneIsPreferred(t *testing.T) {
 	tests := []struct {
 		name   string
 		queued uint32 // in the own zone
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestZoneSummaryKeepsWorkAtHome(t *testing.T) {
+func TestBusyZoneSummaryKeepsWorkInOwnZone(t *testing.T) {
 	table, list := testTable(3, "a", "b")
 	for _, e := range list {
 		r := idle(e.Name, 1)
@@ -279,11 +279,11 @@
 		}
 		table.Report(r, epoch)
 	}
-	home, ok := table.SummarizeZone("s", "a")
+	own, ok := table.SummarizeZone("s", "a")
 	assert.Assert(t, ok)
-	assert.Equal(t, home.Ready, 3)
-	assert.Assert(t, home.Wait > 0)
-	table.SetZoneSummary(ZoneSummary{Service: "s", Zone: "b", Ready: 300, Wait: 2 * home.Wait}, epoch)
+	assert.Equal(t, own.Ready, 3)
+	assert.Assert(t, own.Wait > 0)
+	table.SetZoneSummary(ZoneSummary{Service: "s", Zone: "b", Ready: 300, Wait: 2 * own.Wait}, epoch)
 	picker := mustNew(t, PredictedTime, table)
 	c, err := picker.Pick(request(epoch))
 	assert.NilError(t, err)
@@ -342,8 +342,9 @@
 	})
 }
 
-// TestRemovedEndpoint checks that state of a removed endpoint does not leak into its successor.
-func TestRemovedEndpoint(t *testing.T) {
+// TestReaddedEndpointStartsWithFreshState guards against state that survives the
+// removal of an endpoint and affects a later one of the same name.
+func TestReaddedEndpointStartsWithFreshState(t *testing.T) {
 	table, list := testTable(2, "a")
 	table.Report(idle("a-0", 1), epoch)
 	table.Report(idle("a-1", 1), epoch)
--- a/balance/route/sim_arrivals_test.go
+++ b/balance/route/sim_arrivals_test.go
@@ -36,8 +36,8 @@
 	s.try(s.pickEntry(), j)
 }
 
-// pickEntry draws an entry in the zone of a random endpoint, so that the
-// zones' loads relate as their capacities, or any entry if they shall not.
+// pickEntry returns a random entry in the zone of a random endpoint, so that the
+// zones' loads are proportional to their capacities, or any entry if s.uneven is set.
 func (s *sim) pickEntry() *frontend {
 	for {
 		f := s.frontends[s.rng.IntN(len(s.frontends))]
@@ -50,11 +50,11 @@
 	}
 }
 
-// pickTeam draws a team by its part.
+// pickTeam returns a random team with the probability of its fraction.
 func (s *sim) pickTeam() id.Team {
 	x := s.rng.Float64()
 	for _, t := range s.teams {
-		if x -= t.part; x < 0 {
+		if x -= t.fraction; x < 0 {
 			return t.name
 		}
 	}
@@ -65,10 +65,10 @@
 // one of 48 long conversations.
 func (s *sim) prompt() []uint64 {
 	if s.prefixes && s.rng.IntN(5) > 0 {
-		talk := uint64(s.rng.IntN(48))
+		conversation := uint64(s.rng.IntN(48))
 		blocks := make([]uint64, 8+s.rng.IntN(16))
 		for i := range blocks {
-			blocks[i] = talk<<16 + uint64(i) + 1
+			blocks[i] = conversation<<16 + uint64(i) + 1
 		}
 		return blocks
 	}
--- a/balance/route/sim_backend_test.go
+++ b/balance/route/sim_backend_test.go
@@ -44,7 +44,7 @@
 func (s *sim) receive(b *backend, r *run) {
 	switch {
 	case b.lost:
-		s.after(simGiveUp, func() { s.lose(r) })
+		s.after(simLostTimeout, func() { s.lose(r) })
 	case b.failing:
 		s.after(s.distance(r.entry, r.c), func() { s.refuse(r) })
 	default:
@@ -60,7 +60,7 @@
 	s.result.failed++
 }
 
-// refuse handles an endpoint's refusal, which is known as not run.
+// refuse handles an endpoint's refusal, after which the request has not run.
 func (s *sim) refuse(r *run) {
 	r.entry.table.Finished(r.c, s.clock())
 	r.entry.table.Failed(r.c, s.clock())
@@ -121,7 +121,7 @@
 func (s *sim) end(b *backend, r *run) {
 	delete(b.running, r)
 	if b.lost {
-		s.after(simGiveUp, func() { r.entry.table.Finished(r.c, s.clock()) })
+		s.after(simLostTimeout, func() { r.entry.table.Finished(r.c, s.clock()) })
 		return
 	}
 	s.after(s.distance(r.entry, r.c), func() { r.entry.table.Finished(r.c, s.clock()) })
@@ -135,7 +135,7 @@
 		}
 		b.lost = true
 		for _, r := range b.queue {
-			s.after(simGiveUp, func() { s.lose(r) })
+			s.after(simLostTimeout, func() { s.lose(r) })
 		}
 		b.queue = nil
 	}
@@ -191,13 +191,13 @@
 	for q := range b.running {
 		r.RunningTokens += uint64(max(q.ends-s.now, 0) / b.step)
 	}
-	if b.index == s.liar {
+	if b.index == s.misreporting {
 		r.Queued, r.Running, r.QueuedTokens, r.RunningTokens = 0, 0, 0, 0
 	}
 	changes := b.events
 	b.events = nil
 	for _, f := range s.frontends {
-		if s.rng.Float64() < s.lostPart {
+		if s.rng.Float64() < s.lostFraction {
 			continue
 		}
 		lost := s.gaps && s.rng.IntN(50) == 0
--- a/balance/route/sim_test.go
+++ b/balance/route/sim_test.go
@@ -15,8 +15,8 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// The model below runs in virtual time: endpoints with slots and a FIFO queue,
-// entries with a table each, and reports that are late, lost or wrong.
+// A discrete-event simulation in virtual time: endpoints with slots and a FIFO
+// queue, entries with a table each, and reports that are late, lost or wrong.
 
 const (
 	simService     = id.Service("s")
@@ -26,7 +26,7 @@
 	simSlots       = 8
 	simNetwork     = time.Millisecond
 	simCrossZone   = 1500 * time.Microsecond
-	simGiveUp      = 2 * time.Second // after which an answer from a lost endpoint is given up
+	simLostTimeout = 2 * time.Second // after which a request to a lost endpoint fails
 	simReportEvery = 100 * time.Millisecond
 	simWarmUp      = 1500 * time.Millisecond // until the most delayed reports have arrived
 )
@@ -42,18 +42,18 @@
 	load     func(t time.Duration) float64 // offered load relative to capacity
 	heavy    bool                          // 3 in 100 requests are 50 times longer
 
-	lag      time.Duration // of reports
-	lostPart float64       // of reports
-	slow     int           // endpoint that is slower by a factor of 5, -1 for none
-	hidden   bool          // the slow endpoint reports the usual step time
-	liar     int           // endpoint that always reports idle, -1 for none
-	failing  float64       // part of the endpoints that refuse all work
-	lostZone id.Zone       // lost at half time
-	perZone  int           // entries in each zone, 1 if zero
-	choices  int           // random candidates, the default if zero
-	uneven   bool          // a second entry in the first zone doubles that zone's load
-	prefixes bool
-	gaps     bool // cache events are lost now and then
+	lag          time.Duration // of reports
+	lostFraction float64       // of reports
+	slow         int           // endpoint that is slower by a factor of 5, -1 for none
+	hidden       bool          // the slow endpoint reports the usual step time
+	misreporting int           // endpoint that always reports idle, -1 for none
+	failing      float64       // fraction of the endpoints that refuse all requests
+	lostZone     id.Zone       // lost at half time
+	perZone      int           // entries in each zone, 1 if zero
+	choices      int           // random candidates, the default if zero
+	uneven       bool          // a second entry in the first zone doubles that zone's load
+	prefixes     bool
+	gaps         bool // some cache events are lost
 
 	admit    bool
 	deadline time.Duration
@@ -61,11 +61,11 @@
 	budget   bool
 }
 
-// team offers a part of the load.
+// team offers a fraction of the load.
 type team struct {
-	name   id.Team
-	weight float64
-	part   float64
+	name     id.Team
+	weight   float64
+	fraction float64
 }
 
 // job is one request.
@@ -111,7 +111,8 @@
 	budget *retry.Budget
 }
 
-// result is what one run measured. Late first tokens count, those after the end as well.
+// result holds the measurements of one run, including first tokens that are late or
+// come after the end of the arrivals.
 type result struct {
 	first     []time.Duration // time to first token, of arrivals that got one
 	arrivals  int
@@ -164,7 +165,7 @@
 		s.deadline = 2 * time.Second
 	}
 	if len(s.teams) == 0 {
-		s.teams = []team{{name: "t", weight: 1, part: 1}}
+		s.teams = []team{{name: "t", weight: 1, fraction: 1}}
 	}
 	var endpoints []route.Endpoint
 	for i := range 16 {
--- a/balance/route/state.go
+++ b/balance/route/state.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// historyWidth is the time that one bucket of the dispatch history covers.
-	historyWidth = 20 * time.Millisecond
-	// historyLen is the number of buckets; older reports are corrected by all of them.
-	historyLen = 64
-	// errorWeight is the weight of a new observation in the average prediction error.
+	// historyBucketTime is the time that one bucket of the dispatch history covers.
+	historyBucketTime = 20 * time.Millisecond
+	// historyBuckets is the number of buckets; older reports are corrected by all of them.
+	historyBuckets = 64
+	// errorWeight is the weight of an observation in the average prediction error.
 	errorWeight = 0.25
 	// failurePenalty is added to the prediction error for each failure.
 	failurePenalty = time.Second
-	// maxFailurePenalty bounds the prediction error that failures cause.
+	// maxFailurePenalty bounds the prediction error after a failure.
 	maxFailurePenalty = 8 * time.Second
-	// overdueIntervals is the number of report intervals after which an endpoint counts as silent.
+	// overdueIntervals is the number of report intervals after which a report is overdue.
 	overdueIntervals = 3
 )
 
@@ -29,78 +29,78 @@
 	seq         uint64
 	draining    bool
 	healthy     bool
-	count       int64 // queued and running
+	requests    int64 // queued and running
 	tokens      int64 // queued and running
 	slots       int64
-	step        time.Duration
-	taken       time.Duration // when the load was taken, on the table's clock
+	stepTime    time.Duration
+	measured    time.Duration // when the load was measured, on the table's clock
 	received    time.Duration // when the report arrived
 	interval    time.Duration // average time between reports, zero after the first
 }
 
-// bucket sums the entry's own starts less its ends in one interval of time.
+// bucket counts the entry's own starts minus ends in one interval of time.
 type bucket struct {
 	index  int64
 	count  int32
 	tokens int64
 }
 
-// state is what an entry learned about an endpoint. It outlives changes of the
-// endpoint's configuration. Pick reads only the atomic fields.
+// state is the observed state of an endpoint. It outlives changes of the endpoint's
+// configuration. Pick reads only the atomic fields.
 type state struct {
 	load atomic.Pointer[load]
-	// netCount and netTokens are own starts less own ends since the load was taken.
+	// netCount and netTokens are own starts minus ends since the load was measured.
 	netCount  atomic.Int64
 	netTokens atomic.Int64
 	// openCount and openTokens are own requests in flight.
 	openCount  atomic.Int64
 	openTokens atomic.Int64
-	// errorNanos is the average of observed less predicted time to first token,
+	// errorNanos is the average of observed minus predicted time to first token,
 	// errorAt the time of the last observation.
 	errorNanos atomic.Int64
 	errorAt    atomic.Int64
-	// listed is true while the view lists the endpoint as ready. Guarded by Table.mu for writes.
-	listed atomic.Bool
+	// inReadySet is true while the view has the endpoint as ready. Table.mu guards writes.
+	inReadySet atomic.Bool
 
-	// mu guards the fields below and all writes of the fields above. It is taken
-	// after Table.mu, never before it.
-	mu       sync.Mutex
-	previous id.Incarnation
-	history  [historyLen]bucket
-	zone     *zoneLoad
-	counted  bool
-	removed  bool          // no longer configured
-	wait     time.Duration // part of the zone's sum while counted
-	others   int64         // part of the zone's sum while counted
+	// mu guards the fields below and all writes of the fields above. Lock order:
+	// Table.mu before state.mu.
+	mu                  sync.Mutex
+	previousIncarnation id.Incarnation
+	history             [historyBuckets]bucket
+	zone                *zoneLoad
+	inZoneSums          bool
+	removed             bool          // no longer configured
+	wait                time.Duration // in the zone's sum while inZoneSums
+	peerRequests        int64         // in the zone's sum while inZoneSums
 }
 
-// setLoad records a report and tells whether it was newer than the last one.
-func (s *state) setLoad(l *load) bool {
+// applyReport stores a report unless it is older than the last one.
+func (s *state) applyReport(l *load) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.load.Load()
-	if l.incarnation == s.previous && s.previous != "" {
+	if l.incarnation == s.previousIncarnation && s.previousIncarnation != "" {
 		return false
 	}
 	if old != nil && old.incarnation == l.incarnation && l.seq <= old.seq {
 		return false
 	}
 	if old != nil && old.incarnation != l.incarnation {
-		s.previous = old.incarnation
+		s.previousIncarnation = old.incarnation
 		s.reset()
 	}
 	if old != nil && old.incarnation == l.incarnation {
 		l.interval = averageInterval(old, l.received)
 	}
-	count, tokens := s.since(l.taken)
+	count, tokens := s.dispatchedSince(l.measured)
 	s.netCount.Store(count)
 	s.netTokens.Store(tokens)
 	s.load.Store(l)
 	return true
 }
 
-// fail adds a penalty to the error of predictions.
-func (s *state) fail(inc id.Incarnation, now time.Duration) {
+// addFailurePenalty adds the penalty of a failure to the prediction error.
+func (s *state) addFailurePenalty(inc id.Incarnation, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load.Load()
@@ -112,7 +112,7 @@
 	s.errorAt.Store(int64(now))
 }
 
-// averageInterval averages the time between reports over the last few.
+// averageInterval returns the moving average of the time between reports.
 func averageInterval(old *load, received time.Duration) time.Duration {
 	gap := received - old.received
 	if old.interval == 0 {
@@ -121,7 +121,7 @@
 	return old.interval + (gap-old.interval)/4
 }
 
-// overdue returns how much longer than usual an endpoint has been silent.
+// overdue returns for how long the next report has been overdue.
 func (l *load) overdue(now time.Duration) time.Duration {
 	if l.interval == 0 {
 		return 0
@@ -129,17 +129,17 @@
 	return max(now-l.received-overdueIntervals*l.interval, 0)
 }
 
-// reset forgets what belongs to an earlier incarnation.
+// reset drops the state of an earlier incarnation.
 func (s *state) reset() {
-	s.history = [historyLen]bucket{}
+	s.history = [historyBuckets]bucket{}
 	s.openCount.Store(0)
 	s.openTokens.Store(0)
 	s.errorNanos.Store(0)
 }
 
-// since sums the history after a point in time.
-func (s *state) since(taken time.Duration) (count, tokens int64) {
-	first := int64(taken / historyWidth)
+// dispatchedSince sums the dispatch history after the measurement of a load.
+func (s *state) dispatchedSince(measured time.Duration) (count, tokens int64) {
+	first := int64(measured / historyBucketTime)
 	for i := range s.history {
 		b := &s.history[i]
 		if b.index > first {
@@ -150,16 +150,16 @@
 	return count, tokens
 }
 
-// add records own starts (count 1) and ends (count -1) of an incarnation.
-func (s *state) add(inc id.Incarnation, count int32, tokens int64, now time.Duration) {
+// recordDispatch records a start (count 1) or an end (count -1) at an incarnation.
+func (s *state) recordDispatch(inc id.Incarnation, count int32, tokens int64, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load.Load()
 	if l == nil || l.incarnation != inc {
 		return
 	}
-	index := int64(now / historyWidth)
-	b := &s.history[uint64(index)%historyLen]
+	index := int64(now / historyBucketTime)
+	b := &s.history[uint64(index)%historyBuckets]
 	if b.index != index {
 		*b = bucket{index: index}
 	}
@@ -171,8 +171,8 @@
 	s.openTokens.Add(tokens)
 }
 
-// observe averages the error of a prediction.
-func (s *state) observe(inc id.Incarnation, miss, now time.Duration) {
+// observeError adds the error of a prediction to the average.
+func (s *state) observeError(inc id.Incarnation, miss, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load.Load()
@@ -184,79 +184,79 @@
 	s.errorAt.Store(int64(now))
 }
 
-// settle adds the endpoint to its zone's sums if it is ready, or takes it out.
-// The callback is called with the state locked.
-func (s *state) settle(zone *zoneLoad, evaluate func() (ready bool, wait time.Duration)) {
+// updateZoneSums adds a ready endpoint to the sums of its zone and removes any other.
+// It calls evaluate with the state locked.
+func (s *state) updateZoneSums(zone *zoneLoad, evaluate func() (ready bool, wait time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.uncount()
+	s.leaveZoneSums()
 	ready, wait := evaluate()
 	if !ready || s.removed {
 		return
 	}
-	s.zone, s.counted, s.wait = zone, true, wait
-	s.others = max(s.load.Load().count+s.netCount.Load()-s.openCount.Load(), 0)
-	zone.add(1, s.wait, s.others)
+	s.zone, s.inZoneSums, s.wait = zone, true, wait
+	s.peerRequests = max(s.load.Load().requests+s.netCount.Load()-s.openCount.Load(), 0)
+	zone.add(1, s.wait, s.peerRequests)
 }
 
-// uncount takes the endpoint out of its zone's sums.
-func (s *state) uncount() {
-	if s.counted {
-		s.zone.add(-1, -s.wait, -s.others)
+// leaveZoneSums removes the endpoint from the sums of its zone.
+func (s *state) leaveZoneSums() {
+	if s.inZoneSums {
+		s.zone.add(-1, -s.wait, -s.peerRequests)
 	}
-	s.counted = false
+	s.inZoneSums = false
 }
 
-// remove takes an endpoint that is no longer configured out of its zone's sums for good.
+// remove permanently removes an endpoint that is no longer configured from the sums.
 func (s *state) remove() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.uncount()
+	s.leaveZoneSums()
 	s.removed = true
-	s.listed.Store(false)
+	s.inReadySet.Store(false)
 }
 
 // zoneLoad sums the predicted waits of a zone's ready endpoints for one service.
 type zoneLoad struct {
-	ready atomic.Int64
-	nanos atomic.Int64
-	// others sums the requests of other entries.
-	others atomic.Int64
-	// summary is set while another entry reports the zone.
+	ready     atomic.Int64
+	waitNanos atomic.Int64
+	// peerRequests is the sum of the requests of other entries.
+	peerRequests atomic.Int64
+	// summary is the last summary of the zone from another entry, or nil.
 	summary atomic.Pointer[zoneSummary]
-	// next counts the picks of the round robin policy.
-	next atomic.Uint64
+	// roundRobin counts the picks of the baseline policies.
+	roundRobin atomic.Uint64
 }
 
-// zoneSummary is a ZoneSummary with the time it was taken on the table's clock.
+// zoneSummary is a ZoneSummary with its time on the table's clock.
 type zoneSummary struct {
-	wait  time.Duration
-	taken time.Duration
+	wait     time.Duration
+	computed time.Duration
 }
 
-func (z *zoneLoad) add(count int64, wait time.Duration, others int64) {
+func (z *zoneLoad) add(count int64, wait time.Duration, peerRequests int64) {
 	z.ready.Add(count)
-	z.nanos.Add(int64(wait))
-	z.others.Add(others)
+	z.waitNanos.Add(int64(wait))
+	z.peerRequests.Add(peerRequests)
 }
 
-// meanOthers returns the average number of other entries' requests at an endpoint.
-func (z *zoneLoad) meanOthers() float64 {
+// meanPeerRequests returns the average number of other entries' requests at an endpoint.
+func (z *zoneLoad) meanPeerRequests() float64 {
 	n := z.ready.Load()
 	if n <= 0 {
 		return 0
 	}
-	return float64(z.others.Load()) / float64(n)
+	return float64(z.peerRequests.Load()) / float64(n)
 }
 
-// mean returns the average wait, from a fresh summary before own reports.
-func (z *zoneLoad) mean(now, maxAge time.Duration) time.Duration {
-	if s := z.summary.Load(); s != nil && now-s.taken <= maxAge {
+// meanWait returns the average wait, preferring a fresh summary to own reports.
+func (z *zoneLoad) meanWait(now, maxAge time.Duration) time.Duration {
+	if s := z.summary.Load(); s != nil && now-s.computed <= maxAge {
 		return s.wait
 	}
 	n := z.ready.Load()
 	if n <= 0 {
 		return 0
 	}
-	return time.Duration(z.nanos.Load() / n)
+	return time.Duration(z.waitNanos.Load() / n)
 }
--- a/balance/route/status.go
+++ b/balance/route/status.go
@@ -6,25 +6,25 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Status is what a Table knows of one endpoint.
+// Status is the state of one endpoint, for operators.
 type Status struct {
 	Endpoint    id.Endpoint
 	Zone        id.Zone
 	Incarnation id.Incarnation
-	// Reason is ReasonReady or tells why the endpoint receives no new work.
+	// Reason is ReasonReady or why the endpoint receives no new requests.
 	Reason Reason
 	// Wait is the predicted time until a new request starts.
 	Wait time.Duration
-	// PredictionError is the current correction by the error of earlier predictions.
+	// PredictionError is the decayed average error of earlier predictions.
 	PredictionError time.Duration
-	// ReportAge is the time since the load was taken. Zero if there is no report.
+	// ReportAge is the time since the load was measured, zero without a report.
 	ReportAge time.Duration
 	// OpenRequests and OpenTokens count the entry's own requests in flight.
 	OpenRequests int
 	OpenTokens   int64
 }
 
-// Status returns the state of all configured endpoints of a service, for operators.
+// Status returns the state of all configured endpoints of a service.
 func (t *Table) Status(service id.Service, now time.Time) []Status {
 	s := t.view.Load().services[service]
 	if s == nil {
@@ -39,24 +39,24 @@
 
 func (t *Table) status(m *member, now time.Duration) Status {
 	out := Status{
-		Endpoint:     m.Name,
-		Zone:         m.Zone,
-		Reason:       t.reason(m, now),
-		Wait:         t.wait(m, now),
-		PredictionError:        t.missed(m.state, now),
-		OpenRequests: int(m.state.openCount.Load()),
-		OpenTokens:   m.state.openTokens.Load(),
+		Endpoint:        m.Name,
+		Zone:            m.Zone,
+		Reason:          t.reason(m, now),
+		Wait:            t.wait(m, now),
+		PredictionError: t.predictionError(m.state, now),
+		OpenRequests:    int(m.state.openCount.Load()),
+		OpenTokens:      m.state.openTokens.Load(),
 	}
 	if l := m.state.load.Load(); l != nil {
 		out.Incarnation = l.incarnation
-		out.ReportAge = now - l.taken
+		out.ReportAge = now - l.measured
 	}
 	return out
 }
 
-// PinnedChoice returns the choice for a request that may run only at one incarnation
-// of one endpoint, ready or not. It is false if the table does not know the
-// incarnation as the endpoint's last one.
+// PinnedChoice returns the choice for a request that may run only at one
+// incarnation of one endpoint, ready or not. It returns false if that is not the
+// incarnation of the endpoint's last report.
 func (t *Table) PinnedChoice(r Request, e id.Endpoint, inc id.Incarnation) (Choice, bool) {
 	m := t.view.Load().members[e]
 	if m == nil || m.Service != r.Service {
@@ -66,5 +66,5 @@
 	if l == nil || l.incarnation != inc {
 		return Choice{}, false
 	}
-	return t.chosen(m, r, t.clock(r.Now)), true
+	return t.singleChoice(m, r, t.clock(r.Now)), true
 }
--- a/balance/route/table.go
+++ b/balance/route/table.go
@@ -13,27 +13,26 @@
 type Config struct {
 	// Start is the origin of the table's clock. Default: the time of NewTable.
 	Start time.Time
-	// MaxReportAge is the age beyond which an endpoint is not ready. Unit: duration. Default: 3 s.
+	// MaxReportAge bounds the age of a ready endpoint's report. Unit: duration. Default: 3 s.
 	MaxReportAge time.Duration
-	// RandomCandidates is the number of random candidates. Unit: endpoints. Default: 4. Range: 2 to 8.
+	// RandomCandidates is the number of endpoints sampled per zone. Default: 4. Range: 2 to 8.
 	RandomCandidates int
 	// RoundTrip is added to the predicted time of endpoints in other zones.
 	// Unit: duration. Default: 3 ms.
 	RoundTrip time.Duration
-	// ErrorDecayTime is the time after which an observed prediction error is forgotten.
-	// Unit: duration. Default: 4 s.
+	// ErrorDecayTime is the time in which an observed prediction error decays to
+	// zero. Unit: duration. Default: 4 s.
 	ErrorDecayTime time.Duration
-	// ReportHalfWeightAge is the age at which a report of other entries' requests counts
-	// half. Unit: duration. Default: 250 ms.
+	// ReportHalfWeightAge is the age at which the other entries' requests in a report
+	// have half their weight. Unit: duration. Default: 250 ms.
 	ReportHalfWeightAge time.Duration
 	// BlockTokens is the length of a prefix block. Unit: tokens. Default: 64.
 	BlockTokens int
-	// PrefillTokensPerStep is the speed of reading a prompt that is not cached.
-	// Unit: tokens per step. Default: 256.
+	// PrefillTokensPerStep is the prefill rate of uncached prompt tokens. Default: 256.
 	PrefillTokensPerStep int
-	// StepTime is assumed for endpoints that report none. Unit: duration. Default: 20 ms.
+	// StepTime applies to endpoints that report none. Unit: duration. Default: 20 ms.
 	StepTime time.Duration
-	// Prefixes gives expected prefix hits. Default: none expected.
+	// Prefixes predicts prefix cache hits. Default: no hits.
 	Prefixes PrefixIndex
 	// Rand returns uniform random numbers and is safe for concurrent use.
 	// Default: the runtime's generator.
@@ -49,7 +48,7 @@
 	setDefault(&c.RandomCandidates, 4)
 	setDefault(&c.BlockTokens, 64)
 	setDefault(&c.PrefillTokensPerStep, 256)
-	c.RandomCandidates = min(max(c.RandomCandidates, 2), maxChoices)
+	c.RandomCandidates = min(max(c.RandomCandidates, 2), maxRandomCandidates)
 	if c.Start.IsZero() {
 		c.Start = time.Now()
 	}
@@ -87,46 +86,46 @@
 
 func (t *Table) clock(now time.Time) time.Duration { return now.Sub(t.cfg.Start) }
 
-// SetEndpoints replaces the configured endpoints. State of endpoints that remain is kept.
+// SetEndpoints replaces the configured endpoints. Endpoints that remain keep their state.
 func (t *Table) SetEndpoints(endpoints []Endpoint, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.clock(now)
-	v := t.view.Load().configured(endpoints)
+	v := t.view.Load().withEndpoints(endpoints)
 	for name := range v.services {
-		v = t.relisted(v, name, at)
+		v = t.withReadySet(v, name, at)
 	}
 	t.view.Store(v)
 }
 
-// rebuild lists the ready endpoints of a service anew.
-func (t *Table) rebuild(s id.Service, now time.Duration) {
+// rebuildReadySet recomputes the ready endpoints of a service.
+func (t *Table) rebuildReadySet(s id.Service, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.view.Store(t.relisted(t.view.Load(), s, now))
+	t.view.Store(t.withReadySet(t.view.Load(), s, now))
 }
 
-// Report records a load report. Reports of unknown endpoints, of an earlier
-// incarnation, late and repeated ones are dropped; the result is then false.
+// Report records a load report. It returns false for a report that it drops: of an
+// unknown endpoint or earlier incarnation, out of order or repeated.
 func (t *Table) Report(r Report, now time.Time) bool {
 	m := t.view.Load().members[r.Endpoint]
 	if m == nil {
 		return false
 	}
 	at := t.clock(now)
-	if !m.state.setLoad(t.newLoad(r, at)) {
+	if !m.state.applyReport(t.newLoad(r, at)) {
 		return false
 	}
-	t.settle(m, at)
-	if (t.reason(m, at) == ReasonReady) != m.state.listed.Load() {
-		t.rebuild(m.Service, at)
+	t.updateZoneSums(m, at)
+	if (t.reason(m, at) == ReasonReady) != m.state.inReadySet.Load() {
+		t.rebuildReadySet(m.Service, at)
 	}
 	return true
 }
 
-// settle updates the endpoint's part in the load of its zone.
-func (t *Table) settle(m *member, now time.Duration) {
-	m.state.settle(m.zone, func() (bool, time.Duration) {
+// updateZoneSums updates the endpoint's contribution to the load of its zone.
+func (t *Table) updateZoneSums(m *member, now time.Duration) {
+	m.state.updateZoneSums(m.zone, func() (bool, time.Duration) {
 		return t.reason(m, now) == ReasonReady, t.wait(m, now)
 	})
 }
@@ -137,28 +136,28 @@
 		seq:         r.Seq,
 		draining:    r.Draining,
 		healthy:     r.Healthy,
-		count:       int64(r.Queued) + int64(r.Running),
+		requests:    int64(r.Queued) + int64(r.Running),
 		tokens:      int64(r.QueuedTokens) + int64(r.RunningTokens),
 		slots:       max(int64(r.Slots), 1),
-		step:        r.StepTime,
-		taken:       now - r.Age,
+		stepTime:    r.StepTime,
+		measured:    now - r.Age,
 		received:    now,
 	}
-	if l.step <= 0 {
-		l.step = t.cfg.StepTime
+	if l.stepTime <= 0 {
+		l.stepTime = t.cfg.StepTime
 	}
 	return l
 }
 
-// Expire takes endpoints whose reports have become too old out of the ready set.
-// A timer calls it; Pick does the same for the services that it meets.
+// Expire removes endpoints whose reports are too old from the ready sets. A timer
+// calls it; Pick does the same for its service.
 func (t *Table) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.clock(now)
 	v := t.view.Load()
 	for name := range v.services {
-		v = t.relisted(v, name, at)
+		v = t.withReadySet(v, name, at)
 	}
 	t.view.Store(v)
 }
@@ -166,40 +165,40 @@
 // Started records that a request was dispatched to the choice's endpoint.
 func (t *Table) Started(c Choice, now time.Time) {
 	if c.state != nil {
-		c.state.add(c.Incarnation, 1, int64(c.Work), t.clock(now))
-		c.gain.started(c.Work)
+		c.state.recordDispatch(c.Incarnation, 1, int64(c.Work), t.clock(now))
+		c.gain.recordWork(c.Work)
 	}
 }
 
-// Finished records that a started request ended, whatever its outcome.
+// Finished records that a started request ended with any outcome.
 func (t *Table) Finished(c Choice, now time.Time) {
 	if c.state != nil {
-		c.state.add(c.Incarnation, -1, -int64(c.Work), t.clock(now))
+		c.state.recordDispatch(c.Incarnation, -1, -int64(c.Work), t.clock(now))
 	}
 }
 
-// Observe records the time to first token of a started request. Callers also
-// report a request that was given up, with the time it had waited.
+// Observe records the time to first token of a started request. For an abandoned
+// request, callers pass the time that it had waited.
 func (t *Table) Observe(c Choice, firstToken time.Duration, now time.Time) {
 	if c.state == nil {
 		return
 	}
-	c.state.observe(c.Incarnation, firstToken-c.Predicted, t.clock(now))
+	c.state.observeError(c.Incarnation, firstToken-c.Predicted, t.clock(now))
 	if c.rawWait > 0 {
 		c.gain.observe(c.rawWait, max(firstToken-c.prefill, 0), t.clock(now))
 	}
 }
 
-// Failed records that the endpoint refused a request or did not answer, so that
-// an endpoint that fails fast does not attract work by looking idle. It is
-// called besides Finished and instead of Observe.
+// Failed records that the endpoint refused a request or did not answer, so that an
+// endpoint that fails fast does not attract requests by looking idle. It is called
+// in addition to Finished and instead of Observe.
 func (t *Table) Failed(c Choice, now time.Time) {
 	if c.state != nil {
-		c.state.fail(c.Incarnation, t.clock(now))
+		c.state.addFailurePenalty(c.Incarnation, t.clock(now))
 	}
 }
 
-// reason tells whether an endpoint may receive work.
+// reason returns ReasonReady or why an endpoint may not receive requests.
 func (t *Table) reason(m *member, now time.Duration) Reason {
 	l := m.state.load.Load()
 	switch {
@@ -211,7 +210,7 @@
 		return ReasonNoReport
 	case l.draining:
 		return ReasonDraining
-	case now-l.taken > t.cfg.MaxReportAge:
+	case now-l.measured > t.cfg.MaxReportAge:
 		return ReasonStaleReport
 	case !l.healthy:
 		return ReasonUnhealthy
--- a/balance/route/view.go
+++ b/balance/route/view.go
@@ -35,7 +35,7 @@
 	load      *zoneLoad
 	ready     []*member
 	maxWeight float64
-	draw      aliasTable
+	sampler   aliasTable
 }
 
 func (s *serviceSet) zone(name id.Zone) *zoneSet {
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// configured returns a view of the given endpoints with the state of v.
-// Zones have no ready endpoints until relisted fills them.
-func (v *view) configured(endpoints []Endpoint) *view {
+// withEndpoints returns a view of the given endpoints with the state of v.
+// Zones have no ready endpoints until withReadySet adds them.
+func (v *view) withEndpoints(endpoints []Endpoint) *view {
 	next := &view{
 		members:  make(map[id.Endpoint]*member, len(endpoints)),
 		services: map[id.Service]*serviceSet{},
@@ -80,7 +80,7 @@
 	return next
 }
 
-// addZone returns the named zone of s. Its load is taken from an earlier set if that has the zone.
+// addZone returns the named zone of s, adding it if necessary with its load from old.
 func (s *serviceSet) addZone(old *serviceSet, name id.Zone) *zoneSet {
 	if z := s.zone(name); z != nil {
 		return z
@@ -101,8 +101,8 @@
 	return z
 }
 
-// relisted returns v with the ready endpoints of one service listed anew. Table.mu is held.
-func (t *Table) relisted(v *view, service id.Service, now time.Duration) *view {
+// withReadySet returns v with recomputed ready endpoints of one service. Table.mu is held.
+func (t *Table) withReadySet(v *view, service id.Service, now time.Duration) *view {
 	old := v.services[service]
 	if old == nil {
 		return v
@@ -113,8 +113,8 @@
 	}
 	for _, m := range s.members {
 		ready := t.reason(m, now) == ReasonReady
-		m.state.listed.Store(ready)
-		t.settle(m, now)
+		m.state.inReadySet.Store(ready)
+		t.updateZoneSums(m, now)
 		if ready {
 			z := s.zone(m.Zone)
 			z.ready = append(z.ready, m)
@@ -122,18 +122,18 @@
 		}
 	}
 	for _, z := range s.zones {
-		z.draw = newAliasTable(z.ready)
+		z.sampler = newAliasTable(z.ready)
 	}
 	next := &view{members: v.members, services: maps.Clone(v.services)}
 	next.services[service] = s
 	return next
 }
 
-// aliasTable draws an index with a probability proportional to its weight in
+// aliasTable samples an index with a probability proportional to its weight in
 // constant time, by Vose's alias method. It is empty if all weights are equal.
 type aliasTable struct {
 	keep  []float64 // probability of the index itself
-	alias []int32   // index drawn otherwise
+	alias []int32   // index sampled otherwise
 }
 
 func newAliasTable(members []*member) aliasTable {
@@ -168,12 +168,12 @@
 		}
 	}
 	for _, i := range small {
-		a.keep[i] = 1 // Rounding left it without a partner.
+		a.keep[i] = 1 // Left over due to rounding.
 	}
 	return a
 }
 
-// index returns one of n indices for 64 random bits.
+// index maps 64 random bits to one of n indices.
 func (a aliasTable) index(n int, bits uint64) int {
 	i := int(uint64(uint32(bits)) * uint64(n) >> 32)
 	if a.keep == nil {
--- a/balance/route/zone.go
+++ b/balance/route/zone.go
@@ -10,11 +10,11 @@
 type ZoneSummary struct {
 	Service id.Service
 	Zone    id.Zone
-	// Ready counts the endpoints that may receive work.
+	// Ready counts the endpoints that may receive requests.
 	Ready int
 	// Wait is the average predicted time until a request starts.
 	Wait time.Duration
-	// Age is the time since the summary was taken, transit included.
+	// Age is the time since the summary was computed, transit included.
 	Age time.Duration
 }
 
@@ -31,14 +31,14 @@
 	}
 	out.Ready = len(z.ready)
 	if n := z.load.ready.Load(); n > 0 {
-		out.Wait = time.Duration(z.load.nanos.Load() / n)
+		out.Wait = time.Duration(z.load.waitNanos.Load() / n)
 	}
 	return out, true
 }
 
-// SetZoneSummary records another zone's summary. While it is fresh it stands in
-// for the average of the reports that this entry has from the zone. An entry
-// then needs the reports of only a few endpoints of that zone.
+// SetZoneSummary records another zone's summary. While it is fresh it replaces the
+// average of this entry's reports from the zone, so that an entry needs the reports
+// of only a few endpoints of that zone.
 func (t *Table) SetZoneSummary(r ZoneSummary, now time.Time) {
 	s := t.view.Load().services[r.Service]
 	if s == nil {
@@ -48,5 +48,5 @@
 	if z == nil {
 		return
 	}
-	z.load.summary.Store(&zoneSummary{wait: r.Wait, taken: t.clock(now) - r.Age})
+	z.load.summary.Store(&zoneSummary{wait: r.Wait, computed: t.clock(now) - r.Age})
 }
