--- a/entry/expertmaps/bench_test.go
+++ b/entry/expertmaps/bench_test.go
@@ -17,12 +17,12 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// BenchmarkSecond is a second of a coordinator's work without the network: each pass,
-// every rank tells its state, the sampled ones send samples, and orders are answered.
-func BenchmarkSecond(b *testing.B) {
+// BenchmarkSessionSecond is one second of a session's work without the network: in each
+// pass, every rank reports its state and the sampled ones send samples.
+func BenchmarkSessionSecond(b *testing.B) {
 	for _, size := range []int{16, 72, 288} {
 		b.Run(fmt.Sprintf("ranks=%d", size), func(b *testing.B) {
-			f := newFeed(b, size, 12, 144, 3+16/size*6)
+			f := newFakeRanks(b, size, 12, 144, 3+16/size*6)
 			for b.Loop() {
 				for range 12 {
 					f.pass()
@@ -32,8 +32,8 @@
 	}
 }
 
-// feed plays the ranks of a group to a session.
-type feed struct {
+// fakeRanks simulates the ranks of a group.
+type fakeRanks struct {
 	session *session
 	group   *group
 	links   []*ranklink.Link
@@ -43,10 +43,10 @@
 	rng     *rand.Rand
 }
 
-// TestManyRanksTakeLinearTime names the pattern "a large group whose ranks answer nothing":
-// work that grows with the square of the ranks took minutes for this second.
+// TestManyRanksTakeLinearTime guards against work that grows with the square of the number
+// of ranks; with 288 ranks that answer no orders it took minutes per second.
 func TestManyRanksTakeLinearTime(t *testing.T) {
-	f := newFeed(t, 288, 12, 144, 3)
+	f := newFakeRanks(t, 288, 12, 144, 3)
 	began := time.Now()
 	for range 12 {
 		f.pass()
@@ -54,16 +54,16 @@
 	assert.Assert(t, time.Since(began) < 30*time.Second, "took %v", time.Since(began))
 }
 
-func newFeed(b testing.TB, size, sets, experts, places int) *feed {
+func newFakeRanks(b testing.TB, size, sets, experts, places int) *fakeRanks {
 	ctx, cancel := context.WithCancel(b.Context())
 	b.Cleanup(cancel)
 	s := &session{
-		cfg: Config{}.withDefaults(), of: "g", lease: 7, log: zerolog.Nop(), set: metrics.NewSet(),
+		cfg: Config{}.withDefaults(), name: "g", token: 7, log: zerolog.Nop(), set: metrics.NewSet(),
 		engine: &routes.Engine{Slots: 10, Experts: &routes.Experts{Sets: sets, PerSet: experts, Places: places, MaxNew: 2}},
 		links:  make(map[id.Endpoint]*ranklink.Link), layouts: make(map[*ranklink.Link]relay.Layout),
-		groups: make(map[id.Group]*group), asked: make(map[uint64]asked),
+		groups: make(map[id.Group]*group), pending: make(map[uint64]pendingOrder),
 	}
-	f := &feed{session: s, rng: rand.New(rand.NewPCG(1, 1)), levels: make([]byte, sets*experts)}
+	f := &fakeRanks{session: s, rng: rand.New(rand.NewPCG(1, 1)), levels: make([]byte, sets*experts)}
 	for i := range f.levels {
 		f.levels[i] = relay.Level(uint64(f.rng.IntN(400)))
 	}
@@ -88,8 +88,8 @@
 	return f
 }
 
-// pass plays one pass. Orders are neither sent nor answered, so that changes stay under way.
-func (f *feed) pass() {
+// pass simulates one pass. Orders stay unanswered, so that changes stay in progress.
+func (f *fakeRanks) pass() {
 	for range 6 {
 		f.now += 15 * time.Millisecond
 		f.session.advance(f.now)
--- a/entry/expertmaps/coordinator.go
+++ b/entry/expertmaps/coordinator.go
@@ -1,6 +1,6 @@
-// Package expertmaps decides on the expert maps of the groups of ranks that a
-// service reaches directly. The entry that holds the lease of a group samples its ranks,
-// plans, and changes the map; safety rests on package mapswitch, not on the lease.
+// Package expertmaps decides on the expert maps of groups of ranks that the entry reaches
+// without an agent. The entry that holds the lease of a group samples its ranks, plans and
+// switches the map; safety rests on package mapswitch, not on the lease.
 package expertmaps
 
 import (
@@ -20,41 +20,39 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// Config holds the settings of a Coordinator. Zero values select the defaults.
+// Config configures a Coordinator. Zero values select the defaults.
 type Config struct {
-	// StateInterval is the interval at which relays look at their rank during a
-	// change, and always at ranks that are sampled. Default: 15 ms, a quarter of a
-	// short pass.
+	// StateInterval is the interval at which relays poll their rank during a change, and
+	// always at sampled ranks. Default: 15 ms, a quarter of a short pass.
 	StateInterval time.Duration
-	// IdleStateInterval is the interval at which relays look at the other ranks while no
-	// change is under way. Default: 60 ms.
+	// IdleStateInterval is the poll interval of the other ranks between changes. Default:
+	// 60 ms.
 	IdleStateInterval time.Duration
-	// SampleInterval is the least interval between samples of a rank. Default: 40 ms,
-	// so that each pass is sampled.
+	// SampleInterval is the minimum interval between samples of a rank. Default: 40 ms, so
+	// that each pass is sampled.
 	SampleInterval time.Duration
-	// SampledSlots is the number of slots at the ranks of a group that are sampled;
-	// the others run requests of the same kind. Default: 192, with which maps of a
-	// group of 16 ranks follow the demand.
+	// SampledSlots is the number of slots at the sampled ranks of a group; the other ranks
+	// run the same kind of requests. Default: 192, with which maps of a group of 16 ranks
+	// follow the demand.
 	SampledSlots int
-	// DemandTimeConstant is the time constant of the estimate of demand. Default: 1 s.
+	// DemandTimeConstant is the time constant of the demand estimate. Default: 1 s.
 	DemandTimeConstant time.Duration
-	// MaxDemandAge is the age from which on an estimate is not planned with. Default: 1 s.
+	// MaxDemandAge is the maximum age of an estimate used for planning. Default: 1 s.
 	MaxDemandAge time.Duration
-	// PlanInterval is the least time between two plans. Default: 40 ms.
+	// PlanInterval is the minimum time between plans. Default: 40 ms.
 	PlanInterval time.Duration
-	// ReplanHoldoff is the time for which a map that was good enough is kept while demand
-	// stays much the same. Default: 1 s.
+	// ReplanHoldoff is the time without new plans after one that was not worth its cost,
+	// unless the demand changes. Default: 1 s.
 	ReplanHoldoff time.Duration
-	// MaxCopiesPerRank bounds the experts that a rank copies for one change. Default: 1.
+	// MaxCopiesPerRank bounds the experts that a rank copies in one change. Default: 1.
 	MaxCopiesPerRank int
-	// MinTotalGain is the least gain of a copy, see expertmap.Round, times the number
-	// of ranks: a copy costs as much in a large group, but all ranks gain by it.
-	// It holds for groups that are busy; idle ones need up to three times as much.
-	// Default: 0.64, where copies cost about what they gain.
+	// MinTotalGain is the minimum gain of a copy (see expertmap.Round) times the number of
+	// ranks: a copy costs the same in a large group, but all ranks gain. Idle groups need up
+	// to 1.5 times as much. Default: 0.64, where copies cost about what they gain.
 	MinTotalGain float64
-	// MinSkewReduction is the least reduction of the skew that is worth a change. Default: 0.04.
+	// MinSkewReduction is the minimum reduction of the skew by a change. Default: 0.04.
 	MinSkewReduction float64
-	// LeaseTTL is the time for which a renewal of the lease lasts. Default: 2.4 s.
+	// LeaseTTL is the validity of a renewed lease. Default: 2.4 s.
 	LeaseTTL time.Duration
 }
 
@@ -80,56 +78,54 @@
 	}
 }
 
-// Peers tells what an entry knows of the holders of leases.
+// Peers reports the state of lease holders as other entries announce it.
 type Peers interface {
-	// Acting reports that the holder lately said that it performs a duty.
+	// Acting reports whether the holder recently announced that it performs the duty.
 	Acting(holder string, d duty.Name) bool
-	// Gone reports that the holder has ended.
+	// Gone reports whether the holder has ended.
 	Gone(holder string) bool
-	// Claimed returns the highest fencing number that another entry in touch
-	// claims for a duty, zero for none.
+	// Claimed returns the highest fencing token that a reachable entry announces for the
+	// duty, zero for none.
 	Claimed(d duty.Name) uint64
 }
 
-// DutyName names the duty to decide on the maps of a group of a service.
+// DutyName returns the name of the duty to decide on the maps of a group of a service.
 func DutyName(s id.Service, g id.Group) duty.Name {
 	return duty.Name("experts." + string(s) + "." + string(g))
 }
 
-// Options are the parts of an entry that a Coordinator works with.
+// Options are the dependencies of a Coordinator.
 type Options struct {
 	Config  Config
 	Service id.Service
-	// Group is the group to decide on.
-	Group id.Group
-	// Holder identifies this start of the entry.
+	Group   id.Group
+	// Holder identifies this process as a lease holder; it differs after a restart.
 	Holder string
 	Store  objectapi.Store
-	// Peers tells what is known of other holders.
-	Peers Peers
-	// Engine describes the engines of the service, which are ranks of groups.
+	Peers  Peers
+	// Engine describes the engines of the service.
 	Engine *routes.Engine
-	// List returns the endpoints that are ranks of the group, or may be. The first
-	// ones are preferred for samples.
+	// List returns the endpoints that are or may be ranks of the group, in order of
+	// preference for sampling.
 	List func() []ranklink.Endpoint
-	// Source is the address of this host from which relays are reached.
+	// Source is the local address for connections to relays.
 	Source netip.Addr
-	// EngineClient returns a client for a rank that has no relay.
+	// EngineClient returns a client for a rank without a relay.
 	EngineClient func(address string) relay.Engine
 	Log          zerolog.Logger
-	// Metrics receives how the maps follow the demand.
+	// Metrics receives the time that maps take to follow the demand.
 	Metrics *metrics.Set
 }
 
-// Coordinator takes the lease of a group's maps and decides while it holds it.
+// Coordinator competes for the lease of a group's maps and decides while it holds it.
 type Coordinator struct {
-	opt     Options
-	duty    duty.Name
-	lease   *duty.Lease
-	claimed atomic.Uint64
+	opt   Options
+	duty  duty.Name
+	lease *duty.Lease
+	token atomic.Uint64
 }
 
-// New returns a coordinator. Run must be called for it to work.
+// New returns a coordinator that is started by Run.
 func New(o Options) (*Coordinator, error) {
 	o.Config = o.Config.withDefaults()
 	name := DutyName(o.Service, o.Group)
@@ -144,34 +140,34 @@
 }
 
 const (
-	// leaseSteps is the number of times that a lease is looked at within its TTL.
-	leaseSteps = 8
-	// renewTurns and observeTurns are the numbers of steps of which one renews the
-	// own lease, or observes that of a holder that acts.
-	renewTurns   = 3
-	observeTurns = 24
+	// leaseStepsPerTTL is the number of lease checks within the TTL.
+	leaseStepsPerTTL = 8
+	// renewEverySteps and observeEverySteps are the numbers of checks per renewal of the own
+	// lease and per read of an acting holder's lease.
+	renewEverySteps   = 3
+	observeEverySteps = 24
 )
 
-// Run works until ctx ends, and then gives up the lease.
+// Run works until ctx ends, then releases the lease.
 func (c *Coordinator) Run(ctx context.Context) {
 	var stop context.CancelFunc = func() {}
 	var running uint64
-	tick := time.NewTicker(c.opt.Config.LeaseTTL / leaseSteps)
+	tick := time.NewTicker(c.opt.Config.LeaseTTL / leaseStepsPerTTL)
 	defer tick.Stop()
-	for turn := 0; ; turn++ {
-		if err := c.step(ctx, turn); err != nil && ctx.Err() == nil {
+	for n := 0; ; n++ {
+		if err := c.stepLease(ctx, n); err != nil && ctx.Err() == nil {
 			c.opt.Log.Warn().Err(err).Str("event", "lease.unclear").Str("service", string(c.opt.Service)).Str("group", string(c.opt.Group)).Send()
 		}
-		epoch := c.authority(running)
-		if epoch != running {
+		token := c.currentToken(running)
+		if token != running {
 			stop()
-			stop = c.start(ctx, epoch)
-			running = epoch
+			stop = c.startSession(ctx, token)
+			running = token
 		}
 		select {
 		case <-ctx.Done():
 			stop()
-			c.claimed.Store(0)
+			c.token.Store(0)
 			c.release()
 			return
 		case <-tick.C:
@@ -179,59 +175,58 @@
 	}
 }
 
-// authority returns the fencing number under which to act, zero for none. A
-// holder whose renewals fail acts on while nobody is known to have taken the
-// lease: while the platform is away nobody can take it, and two coordinators at
-// a time do no harm.
-func (c *Coordinator) authority(running uint64) uint64 {
-	if epoch, held := c.lease.Valid(time.Now()); held {
-		c.claimed.Store(epoch)
-		return epoch
+// currentToken returns the fencing token to act under, zero for none. A holder whose
+// renewals fail keeps acting while no other holder is known: the lease cannot be acquired
+// while the platform is down, and two coordinators at a time do no harm.
+func (c *Coordinator) currentToken(running uint64) uint64 {
+	if token, held := c.lease.Valid(time.Now()); held {
+		c.token.Store(token)
+		return token
 	}
 	if running != 0 && c.lease.Holder() == c.opt.Holder && c.opt.Peers.Claimed(c.duty) <= running {
 		return running
 	}
-	c.claimed.Store(0)
+	c.token.Store(0)
 	return 0
 }
 
-// FencingToken returns the fencing number under which the coordinator acts, zero for none.
-func (c *Coordinator) FencingToken() uint64 { return c.claimed.Load() }
+// FencingToken returns the token the coordinator acts under, zero for none.
+func (c *Coordinator) FencingToken() uint64 { return c.token.Load() }
 
-// step takes, renews or observes the lease. It is renewed with each third step,
-// and observed now and then only while its holder says that it acts.
-func (c *Coordinator) step(ctx context.Context, turn int) error {
+// stepLease acquires, renews or reads the lease. Every third check renews it; while its
+// holder announces that it acts, it is read only every observeEverySteps.
+func (c *Coordinator) stepLease(ctx context.Context, n int) error {
 	holder := c.lease.Holder()
 	_, held := c.lease.Valid(time.Now())
 	switch {
-	case held && turn%renewTurns != 0:
+	case held && n%renewEverySteps != 0:
 		return nil
-	case holder != "" && holder != c.opt.Holder && c.opt.Peers.Acting(holder, c.duty) && turn%observeTurns != 0:
+	case holder != "" && holder != c.opt.Holder && c.opt.Peers.Acting(holder, c.duty) && n%observeEverySteps != 0:
 		return nil
 	}
 	return c.lease.Step(ctx)
 }
 
-// start runs a session for a lease. Epoch zero means that it is not held.
-func (c *Coordinator) start(ctx context.Context, epoch uint64) context.CancelFunc {
+// startSession runs a session under a token. Zero means that the lease was lost.
+func (c *Coordinator) startSession(ctx context.Context, token uint64) context.CancelFunc {
 	log := c.opt.Log.With().Str("service", string(c.opt.Service)).Str("group", string(c.opt.Group)).Logger()
-	if epoch == 0 {
+	if token == 0 {
 		log.Info().Str("event", "lease.lost").Str("holder", c.lease.Holder()).Send()
 		return func() {}
 	}
-	log.Info().Str("event", "lease.held").Uint64("lease", epoch).Send()
+	log.Info().Str("event", "lease.held").Uint64("lease", token).Send()
 	ctx, cancel := context.WithCancel(ctx)
 	s := &session{
-		cfg: c.opt.Config, of: c.opt.Group, engine: c.opt.Engine, lease: epoch, log: log, set: c.opt.Metrics, list: c.opt.List, direct: c.opt.EngineClient, source: c.opt.Source,
+		cfg: c.opt.Config, name: c.opt.Group, engine: c.opt.Engine, token: token, log: log, set: c.opt.Metrics, list: c.opt.List, engineClient: c.opt.EngineClient, source: c.opt.Source,
 		events: make(chan ranklink.Event, eventQueue),
 		links:  make(map[id.Endpoint]*ranklink.Link), layouts: make(map[*ranklink.Link]relay.Layout),
-		groups: make(map[id.Group]*group), asked: make(map[uint64]asked),
+		groups: make(map[id.Group]*group), pending: make(map[uint64]pendingOrder),
 	}
 	go s.run(ctx)
 	return cancel
 }
 
-// releaseTimeout bounds the release of the lease when the entry stops.
+// releaseTimeout bounds the release of the lease at shutdown.
 const releaseTimeout = 500 * time.Millisecond
 
 func (c *Coordinator) release() {
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -16,72 +16,72 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// group is one group of ranks whose map the session decides on. The session's
-// goroutine owns it.
+// group is a group of ranks and its map. Only the session's goroutine uses it.
 type group struct {
-	name     id.Group
-	size     int
-	cfg      Config
-	experts  *routes.Experts
-	slots    int
-	followed *metrics.Histogram
-	log      zerolog.Logger
-	machine  *mapswitch.Machine
-	demand   *expertmap.Demand
-	ranks    []member
-	// sampledAt is when the last sample of any rank came.
+	name       id.Group
+	size       int
+	cfg        Config
+	experts    *routes.Experts
+	slots      int
+	followTime *metrics.Histogram
+	log        zerolog.Logger
+	machine    *mapswitch.Machine
+	demand     *expertmap.Demand
+	ranks      []rankState
+	// sampledAt is when the last sample of any rank arrived.
 	sampledAt time.Duration
 	plannedAt time.Duration
-	// maps is the content of the version in use, converted for planning.
+	// maps is the map in use in the planner's form.
 	maps        []expertmap.Map
 	mapsVersion uint64
 	mapsEpoch   uint64
-	// shifts and shiftAt are the last change of demand that the map does not follow yet.
-	shifts  int
-	shiftAt time.Duration
-	// rested is what the last plan found when no change was worth its cost.
-	rested rest
+	// shifts counts the demand changes seen. shiftedAt is the first one that the map does not
+	// follow yet, zero for none.
+	shifts    int
+	shiftedAt time.Duration
+	// lastRejected is the last plan that was not worth its cost.
+	lastRejected rejectedPlan
 }
 
-// rest tells under which demand the map in use is good enough.
-type rest struct {
+// rejectedPlan records the demand for which the map in use is good enough.
+type rejectedPlan struct {
 	at     time.Duration
 	skew   float64
 	shifts int
 }
 
-// member is what the session knows of one rank.
-type member struct {
+// rankState is the last reported state of one rank.
+type rankState struct {
 	link    *ranklink.Link
 	born    int64
 	running int
 	// pace is above one while the rank is slow.
 	pace float64
-	// heard is when the last state came.
-	heard time.Duration
-	sampled
+	// stateAt is when the last state arrived.
+	stateAt time.Duration
+	sampleState
 }
 
 func newGroup(s *session, name id.Group, size int) *group {
 	g := &group{
 		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, slots: s.engine.Slots,
 		log:     s.log,
-		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.lease),
+		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.token),
 		demand: expertmap.NewDemand(expertmap.DemandConfig{
 			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, Memory: s.cfg.DemandTimeConstant,
-			Sampled: s.cfg.sampledRanks(size, s.engine.Slots),
+			Sampled: s.cfg.sampledRankCount(size, s.engine.Slots),
 		}),
-		ranks:    make([]member, size),
-		followed: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
+		ranks:      make([]rankState, size),
+		followTime: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
 	}
-	if !g.fits() {
+	if !g.placesSuffice() {
 		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.Places).Int("experts", g.experts.PerSet).
 			Msg("the ranks have fewer places than experts; the initial map stays")
 	}
 	return g
 }
 
-// onState takes in a state. It is true if the rank has another link than before.
+// onState processes a state and reports whether the rank's link changed.
 func (g *group) onState(l *ranklink.Link, s *relay.State, now time.Duration) bool {
 	if s.Rank < 0 || s.Rank >= g.size {
 		return false
@@ -90,11 +90,11 @@
 	if s.Born < m.born {
 		return false
 	}
-	another := m.link != l
-	if another {
-		m.sampled = sampled{}
+	newLink := m.link != l
+	if newLink {
+		m.sampleState = sampleState{}
 	}
-	m.link, m.born, m.running, m.pace, m.heard = l, s.Born, s.Running, s.Pace, now
+	m.link, m.born, m.running, m.pace, m.stateAt = l, s.Born, s.Running, s.Pace, now
 	if s.Epoch > g.machine.Epoch() {
 		g.demand.Reset()
 	}
@@ -102,11 +102,11 @@
 		Rank: s.Rank, Epoch: s.Epoch, Open: s.Open, Step: s.Step, Version: s.Map,
 		Prepared: s.Prepared, Armed: s.Armed, Held: s.Held,
 	}, now)
-	return another
+	return newLink
 }
 
-// learn tells the machine the map in use once all ranks told their part of it.
-func (g *group) learn(layouts map[*ranklink.Link]relay.Layout) {
+// assembleMap sets the machine's map in use once all ranks have reported their layouts.
+func (g *group) assembleMap(layouts map[*ranklink.Link]relay.Layout) {
 	if g.ranks[0].link == nil {
 		return
 	}
@@ -122,12 +122,12 @@
 		if g.ranks[r].link == nil {
 			return
 		}
-		lay := layouts[g.ranks[r].link]
-		if lay.Epoch != first.Epoch || lay.Version != first.Version || len(lay.Experts) != g.experts.Sets {
+		layout := layouts[g.ranks[r].link]
+		if layout.Epoch != first.Epoch || layout.Version != first.Version || len(layout.Experts) != g.experts.Sets {
 			return
 		}
 		for s := range content {
-			content[s][r] = lay.Experts[s]
+			content[s][r] = layout.Experts[s]
 		}
 	}
 	g.machine.Learn(first.Epoch, first.Version, content)
@@ -144,54 +144,54 @@
 	rank := g.rankOf(l)
 	g.sampledAt, g.ranks[rank].sampledAt = now, now
 	if g.demand.Add(rank, counts, now) {
-		g.follow(now)
+		g.measureFollowTime(now)
 	}
 }
 
 // rankOf returns the rank that a link reaches, or -1.
 func (g *group) rankOf(l *ranklink.Link) int {
-	return slices.IndexFunc(g.ranks, func(m member) bool { return m.link == l })
+	return slices.IndexFunc(g.ranks, func(m rankState) bool { return m.link == l })
 }
 
-// evenSkew is the skew at which a map follows the demand.
-const evenSkew = 1.3
+// followedSkew is the skew up to which a map is taken to follow the demand.
+const followedSkew = 1.3
 
-// follow measures how long the map takes to follow a change of demand.
-func (g *group) follow(now time.Duration) {
+// measureFollowTime measures how long the map takes to follow a change of demand.
+func (g *group) measureFollowTime(now time.Duration) {
 	if g.shifts != g.demand.Shifts() {
-		if g.shiftAt == 0 {
-			g.shiftAt = now
+		if g.shiftedAt == 0 {
+			g.shiftedAt = now
 		}
 		g.shifts = g.demand.Shifts()
 	}
 	version, content, ok := g.machine.Current()
 	loads, known := g.demand.Loads()
-	if g.shiftAt == 0 || !ok || !known {
+	if g.shiftedAt == 0 || !ok || !known {
 		return
 	}
-	if skew := meanSkew(g.convert(version, content), loads, nil); skew <= evenSkew {
-		after := now - g.shiftAt
-		g.shiftAt = 0
-		g.followed.Update(after.Seconds())
+	if skew := meanSkew(g.plannerMaps(version, content), loads, nil); skew <= followedSkew {
+		after := now - g.shiftedAt
+		g.shiftedAt = 0
+		g.followTime.Update(after.Seconds())
 		g.log.Info().Str("event", "map.followed").Dur("after", after).Float64("skew", skew).Uint64("version", version).
 			Msg("the map follows a change of demand")
 	}
 }
 
-// fits reports whether the places of all ranks can hold every expert. If not, the
-// ranks hold more experts from the start than an order may name, and accept none.
-func (g *group) fits() bool { return g.size*g.experts.Places >= g.experts.PerSet }
+// placesSuffice reports whether the places of all ranks can hold every expert. If not, the
+// ranks initially hold more experts than an order may name, and refuse every order.
+func (g *group) placesSuffice() bool { return g.size*g.experts.Places >= g.experts.PerSet }
 
-// busy reports whether the machine waits for answers or for a step.
-func (g *group) busy() bool { return g.fits() && g.machine.Phase() != mapswitch.Idle }
+// changing reports whether a change is in progress.
+func (g *group) changing() bool { return g.placesSuffice() && g.machine.Phase() != mapswitch.Idle }
 
-// advance plans if that is possible and returns the orders to send.
+// advance plans if no change is in progress, and returns the orders to send.
 func (g *group) advance(now time.Duration) []mapswitch.Order {
-	if !g.fits() {
+	if !g.placesSuffice() {
 		return nil
 	}
 	orders := g.machine.Tick(now)
-	if g.machine.Phase() == mapswitch.Idle && g.plan(now) {
+	if g.machine.Phase() == mapswitch.Idle && g.startChange(now) {
 		orders = append(orders, g.machine.Tick(now)...)
 	}
 	for _, e := range g.machine.Events() {
@@ -201,8 +201,8 @@
 	return orders
 }
 
-// plan starts a change if the demand asks for one.
-func (g *group) plan(now time.Duration) bool {
+// startChange plans and starts a change if the demand warrants one.
+func (g *group) startChange(now time.Duration) bool {
 	loads, ok := g.demand.Loads()
 	if !ok || g.demand.Age(now) > g.cfg.MaxDemandAge || g.plannedAt >= now-g.cfg.PlanInterval {
 		return false
@@ -212,10 +212,10 @@
 		return false
 	}
 	g.plannedAt = now
-	maps := g.convert(version, content)
-	pace := g.pace()
+	maps := g.plannerMaps(version, content)
+	pace := g.slowRankPaces()
 	skew := meanSkew(maps, loads, pace)
-	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.ReplanHoldoff && skew < g.rested.skew+g.cfg.MinSkewReduction {
+	if g.lastRejected.shifts == g.demand.Shifts() && now-g.lastRejected.at < g.cfg.ReplanHoldoff && skew < g.lastRejected.skew+g.cfg.MinSkewReduction {
 		return false
 	}
 	round := expertmap.Round{
@@ -224,10 +224,10 @@
 	}
 	p := round.Plan(maps, loads)
 	if p.SkewBefore-p.SkewAfter < g.cfg.MinSkewReduction {
-		g.rested = rest{at: now, skew: skew, shifts: g.demand.Shifts()}
+		g.lastRejected = rejectedPlan{at: now, skew: skew, shifts: g.demand.Shifts()}
 		return false
 	}
-	g.rested = rest{}
+	g.lastRejected = rejectedPlan{}
 	g.log.Info().Str("event", "map.planned").Uint64("from_version", version).Int("copies", p.Copies).
 		Float64("skew", p.SkewBefore).Float64("planned_skew", p.SkewAfter).
 		Dur("demand_age", g.demand.Age(now)).Int("shifts", g.demand.Shifts()).Msg("map proposed")
@@ -235,63 +235,62 @@
 }
 
 const (
-	// busyPart is the part of the slots in use from which on a group is busy.
-	busyPart = 0.6
-	// unevenDivisor lowers the least gain of a copy until the skew is evenMargin
-	// below evenSkew.
-	unevenDivisor = 4
-	evenMargin    = 0.03
-	// idleFactor bounds what an idle group asks of a copy.
-	idleFactor = 1.5
+	// busyUtilization is the fraction of slots in use from which a group counts as busy.
+	busyUtilization = 0.6
+	// skewedGainDivisor lowers the minimum gain of a copy until the skew is
+	// followedSkewMargin below followedSkew.
+	skewedGainDivisor  = 4
+	followedSkewMargin = 0.03
+	// maxIdleGainFactor bounds the increase of the minimum gain in idle groups.
+	maxIdleGainFactor = 1.5
 )
 
-// minGain returns the least gain of a copy. While few requests run, passes are
-// short whatever the map; a map that does not follow the demand is worth more.
+// minGain returns the minimum gain of a copy. With few requests, passes are short whatever
+// the map; a map that does not follow the demand gains more from a change.
 func (g *group) minGain(skew float64) float64 {
 	running := 0
 	for i := range g.ranks {
 		running += g.ranks[i].running
 	}
-	used := float64(running) / float64(g.size*max(g.slots, 1))
-	factor := float64(idleFactor)
-	if used > 0 {
-		factor = min(max(busyPart/used, 1), idleFactor)
+	utilization := float64(running) / float64(g.size*max(g.slots, 1))
+	factor := float64(maxIdleGainFactor)
+	if utilization > 0 {
+		factor = min(max(busyUtilization/utilization, 1), maxIdleGainFactor)
 	}
-	if skew > evenSkew-evenMargin {
-		factor /= unevenDivisor
+	if skew > followedSkew-followedSkewMargin {
+		factor /= skewedGainDivisor
 	}
 	return g.cfg.MinTotalGain / float64(g.size) * factor
 }
 
-// slowPace is the pace from which on a rank counts as slow, above what the ranks'
-// reports vary by.
-const slowPace = 1.25
+// minSlowPace is the pace from which a rank counts as slow, above normal variation.
+const minSlowPace = 1.25
 
-// pace returns how much slower than usual each rank is, nil if none is slow.
-func (g *group) pace() []float64 {
-	if !slices.ContainsFunc(g.ranks, func(m member) bool { return m.pace >= slowPace }) {
+// slowRankPaces returns the paces with one for ranks that are not slow, nil if none is.
+func (g *group) slowRankPaces() []float64 {
+	if !slices.ContainsFunc(g.ranks, func(m rankState) bool { return m.pace >= minSlowPace }) {
 		return nil
 	}
 	out := make([]float64, g.size)
 	for i, m := range g.ranks {
 		out[i] = 1
-		if m.pace >= slowPace {
+		if m.pace >= minSlowPace {
 			out[i] = m.pace
 		}
 	}
 	return out
 }
 
-// convert returns the map in use in the planner's form.
-func (g *group) convert(version uint64, content mapswitch.Map) []expertmap.Map {
+// plannerMaps returns the map in use in the planner's form, cached by version.
+func (g *group) plannerMaps(version uint64, content mapswitch.Map) []expertmap.Map {
 	if g.maps == nil || version != g.mapsVersion || g.machine.Epoch() != g.mapsEpoch {
 		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.Places), version, g.machine.Epoch()
 	}
 	return g.maps
 }
 
-// meanSkew returns the largest rank load over the mean, averaged over the sets. The
-// load of a slow rank counts as often as its pace, which may be nil.
+// meanSkew returns the largest rank load over the mean, averaged over the sets. Rank loads
+// are multiplied by pace, which may be nil.
 func meanSkew(maps []expertmap.Map, loads []expertmap.Load, pace []float64) float64 {
 	var sum float64
 	for i, m := range maps {
--- a/entry/expertmaps/group_test.go
+++ b/entry/expertmaps/group_test.go
@@ -15,12 +15,12 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// openGroup returns a group with the initial map, all of whose ranks were seen.
-func openGroup(t *testing.T, ranks, places, experts int) *group {
+// newOpenGroup returns a group whose ranks all reported the initial map.
+func newOpenGroup(t *testing.T, ranks, places, experts int) *group {
 	t.Helper()
 	s := &session{
 		cfg: Config{}.withDefaults(), engine: &routes.Engine{Slots: 4, Experts: &routes.Experts{Sets: 1, PerSet: experts, Places: places, MaxNew: 1}},
-		lease: 7, log: zerolog.Nop(), set: metrics.NewSet(), layouts: make(map[*ranklink.Link]relay.Layout),
+		token: 7, log: zerolog.Nop(), set: metrics.NewSet(), layouts: make(map[*ranklink.Link]relay.Layout),
 	}
 	g := newGroup(s, "g", ranks)
 	content := make([][]int, ranks)
@@ -32,26 +32,26 @@
 		g.onState(l, &relay.State{Group: id.Group("g"), Size: ranks, Rank: r, Epoch: 1, Open: true, Step: 1}, 0)
 		s.layouts[l] = relay.Layout{Epoch: 1, Experts: [][]int{content[r]}}
 	}
-	g.learn(s.layouts)
+	g.assembleMap(s.layouts)
 	return g
 }
 
-// TestGroupWithTooFewPlacesIsLeftAlone: ranks that hold more experts than an order may
-// name refuse every order, so none may be repeated at them for ever.
+// TestGroupWithTooFewPlacesIsLeftAlone guards against endless resends: ranks that hold
+// more experts than an order may name refuse every order.
 func TestGroupWithTooFewPlacesIsLeftAlone(t *testing.T) {
-	g := openGroup(t, 4, 3, 16)
+	g := newOpenGroup(t, 4, 3, 16)
 	for now := time.Duration(0); now < time.Second; now += tickInterval {
 		assert.Equal(t, len(g.advance(now)), 0)
 	}
-	assert.Assert(t, !g.busy())
+	assert.Assert(t, !g.changing())
 }
 
-func TestGroupWithPlacesIsTakenOver(t *testing.T) {
-	g := openGroup(t, 4, 4, 16)
+func TestGroupWithEnoughPlacesGetsPrepareOrders(t *testing.T) {
+	g := newOpenGroup(t, 4, 4, 16)
 	orders := g.advance(tickInterval)
 	assert.Equal(t, len(orders), 4)
 	for _, o := range orders {
 		assert.Equal(t, o.Op, mapswitch.Prepare)
 	}
-	assert.Assert(t, g.busy())
+	assert.Assert(t, g.changing())
 }
--- a/entry/expertmaps/sampled.go
+++ b/entry/expertmaps/sampled.go
@@ -9,31 +9,31 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// sampled tells how a rank takes part in the estimate of demand.
-type sampled struct {
+// sampleState tracks the sampling of one rank.
+type sampleState struct {
 	// sampling is true while the rank is asked for samples.
 	sampling bool
-	// askedAt is when the rank was first asked, and sampledAt when its last sample came.
-	askedAt, sampledAt time.Duration
-	// mutedAt is when the rank was last given up for sending none, zero for never.
-	mutedAt time.Duration
+	// requestedAt is when sampling was last switched, sampledAt when the last sample arrived.
+	requestedAt, sampledAt time.Duration
+	// droppedAt is when the rank was last dropped for sending no samples, zero for never.
+	droppedAt time.Duration
 }
 
 const (
-	// muteAfter is the time without a sample of a rank, while others send some,
-	// after which another one takes its place. It is several passes long.
-	muteAfter = 500 * time.Millisecond
-	// muteFor is the time for which such a rank is the last choice.
-	muteFor = 5 * time.Second
+	// sampleTimeout is the time without samples, several passes long, after which a rank is
+	// replaced if others send some.
+	sampleTimeout = 500 * time.Millisecond
+	// dropDuration is the time for which a dropped rank is the last choice.
+	dropDuration = 5 * time.Second
 )
 
-// sampledRanks returns how many ranks of a group are sampled.
-func (c Config) sampledRanks(size, slots int) int {
+// sampledRankCount returns the number of ranks to sample in a group.
+func (c Config) sampledRankCount(size, slots int) int {
 	slots = max(slots, 1)
 	return min(size, (c.SampledSlots+slots-1)/slots)
 }
 
-// watch is what a relay is asked to tell of a rank.
+// watch returns the subscription for a rank.
 func (c Config) watch(sample bool) relay.Watch {
 	w := relay.Watch{
 		StateMillis: int(c.IdleStateInterval.Milliseconds()), ChangeMillis: int(c.StateInterval.Milliseconds()),
@@ -44,24 +44,23 @@
 	return w
 }
 
-// chooseSampled sees to it that enough ranks are sampled: those that are so far, unless
-// they are silent, and then the first ones in the order of the list.
-func (g *group) chooseSampled(order map[id.Endpoint]int, now time.Duration) {
+// chooseSampledRanks keeps sampled ranks, replaces silent ones and fills up in list order.
+func (g *group) chooseSampledRanks(order map[id.Endpoint]int, now time.Duration) {
 	var ranks []int
 	for r := range g.ranks {
 		m := &g.ranks[r]
 		if m.link == nil {
 			continue
 		}
-		if m.sampling && now-max(m.askedAt, m.sampledAt) > muteAfter && now-g.sampledAt < muteAfter {
-			m.mutedAt = now
+		if m.sampling && now-max(m.requestedAt, m.sampledAt) > sampleTimeout && now-g.sampledAt < sampleTimeout {
+			m.droppedAt = now
 		}
 		ranks = append(ranks, r)
 	}
 	preference := func(r int) int {
 		m := &g.ranks[r]
 		switch {
-		case m.mutedAt != 0 && now-m.mutedAt < muteFor, now-m.heard > muteAfter:
+		case m.droppedAt != 0 && now-m.droppedAt < dropDuration, now-m.stateAt > sampleTimeout:
 			return 2
 		case m.sampling:
 			return 0
@@ -75,11 +74,11 @@
 			cmp.Compare(a, b),
 		)
 	})
-	wanted := g.cfg.sampledRanks(g.size, g.slots)
+	wanted := g.cfg.sampledRankCount(g.size, g.slots)
 	for i, r := range ranks {
 		m := &g.ranks[r]
 		if sampling := i < wanted; sampling != m.sampling {
-			m.sampling, m.askedAt = sampling, now
+			m.sampling, m.requestedAt = sampling, now
 			m.link.SetWatch(g.cfg.watch(sampling))
 		}
 	}
--- a/entry/expertmaps/sampled_test.go
+++ b/entry/expertmaps/sampled_test.go
@@ -15,10 +15,10 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// sampledGroup returns a group whose ranks are all known, and the order of its endpoints.
-func sampledGroup(t *testing.T, ranks, wanted int) (*group, map[id.Endpoint]int) {
+// newSampledGroup returns a group whose ranks have links, and its endpoints' list order.
+func newSampledGroup(t *testing.T, ranks, wanted int) (*group, map[id.Endpoint]int) {
 	t.Helper()
-	g := openGroup(t, ranks, 4, 16)
+	g := newOpenGroup(t, ranks, 4, 16)
 	g.cfg.SampledSlots = wanted * g.slots
 	order := make(map[id.Endpoint]int)
 	for r := range g.ranks {
@@ -33,7 +33,7 @@
 	return g, order
 }
 
-func (g *group) sampledNow() (out []int) {
+func (g *group) sampledRanks() (out []int) {
 	for r := range g.ranks {
 		if g.ranks[r].sampling {
 			out = append(out, r)
@@ -42,75 +42,78 @@
 	return out
 }
 
-// tell lets all ranks but some be heard, and those that are sampled send samples.
-func (g *group) tell(now time.Duration, silent, mute map[int]bool) {
+// reportRanks simulates states from all ranks but the silent ones, and samples from the
+// sampled ranks that are not mute.
+func (g *group) reportRanks(now time.Duration, silent, mute map[int]bool) {
 	for r := range g.ranks {
 		m := &g.ranks[r]
 		if silent[r] {
 			continue
 		}
-		m.heard = now
+		m.stateAt = now
 		if m.sampling && !mute[r] {
 			g.onSample(m.link, &relay.Sample{Epoch: 1, Levels: make([]byte, 16)}, now)
 		}
 	}
 }
 
-// TestSamplesDoNotGrowWithTheGroup names the pattern "a group of many ranks": the entry
-// that decides on its maps gets the samples of a few.
+// TestSamplesDoNotGrowWithTheGroup checks that the deciding entry of a large group
+// receives samples from a few ranks only.
 func TestSamplesDoNotGrowWithTheGroup(t *testing.T) {
 	cfg := Config{}.withDefaults()
-	assert.Equal(t, cfg.sampledRanks(16, 12), 16)
-	assert.Equal(t, cfg.sampledRanks(72, 10), 20)
-	assert.Equal(t, cfg.sampledRanks(4000, 10), 20)
-	assert.Equal(t, cfg.sampledRanks(8, 0), 8)
+	assert.Equal(t, cfg.sampledRankCount(16, 12), 16)
+	assert.Equal(t, cfg.sampledRankCount(72, 10), 20)
+	assert.Equal(t, cfg.sampledRankCount(4000, 10), 20)
+	assert.Equal(t, cfg.sampledRankCount(8, 0), 8)
 }
 
 func TestSampledRanksAreReplaced(t *testing.T) {
 	cases := map[string]struct{ silent, mute map[int]bool }{
-		"its host is silent":     {silent: map[int]bool{1: true}},
-		"it sends no samples":    {mute: map[int]bool{1: true}},
-		"all but one say naught": {silent: map[int]bool{1: true, 3: true, 4: true, 5: true}},
+		"its host is silent":    {silent: map[int]bool{1: true}},
+		"it sends no samples":   {mute: map[int]bool{1: true}},
+		"most hosts are silent": {silent: map[int]bool{1: true, 3: true, 4: true, 5: true}},
 	}
 	want := map[string][]int{
-		"its host is silent":     {0, 2, 3},
-		"it sends no samples":    {0, 2, 3},
-		"all but one say naught": {0, 1, 2},
+		"its host is silent":    {0, 2, 3},
+		"it sends no samples":   {0, 2, 3},
+		"most hosts are silent": {0, 1, 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g, order := sampledGroup(t, 6, 3)
-			g.tell(0, nil, nil)
-			g.chooseSampled(order, 0)
-			assert.DeepEqual(t, g.sampledNow(), []int{0, 1, 2})
+			g, order := newSampledGroup(t, 6, 3)
+			g.reportRanks(0, nil, nil)
+			g.chooseSampledRanks(order, 0)
+			assert.DeepEqual(t, g.sampledRanks(), []int{0, 1, 2})
 			for now := time.Duration(0); now < time.Second; now += 50 * time.Millisecond {
-				g.tell(now, c.silent, c.mute)
-				g.chooseSampled(order, now)
+				g.reportRanks(now, c.silent, c.mute)
+				g.chooseSampledRanks(order, now)
 			}
-			assert.DeepEqual(t, g.sampledNow(), want[name])
+			assert.DeepEqual(t, g.sampledRanks(), want[name])
 		})
 	}
 }
 
-// TestFailedOrdersAreToldOnce names the pattern "a zone is cut off": every order to its ranks fails.
+// TestFailedOrdersAreToldOnce checks that the failing orders to all ranks of a zone that
+// is cut off do not flood the log.
 func TestFailedOrdersAreToldOnce(t *testing.T) {
 	var log bytes.Buffer
 	s := &session{log: zerolog.New(&log)}
 	for now := time.Millisecond; now < 1900*time.Millisecond; now += 10 * time.Millisecond {
-		s.tellFailed(&relay.Result{Outcome: relay.Refused, Detail: "no connection"}, now)
+		s.logFailedOrder(&relay.Result{Outcome: relay.Refused, Detail: "no connection"}, now)
 	}
 	lines := strings.Split(strings.TrimSpace(log.String()), "\n")
 	assert.Equal(t, len(lines), 2, "%v", lines)
 	assert.Assert(t, strings.Contains(lines[1], `"others":99`), lines[1])
 }
 
-// TestIdleGroupKeepsItsSampledRanks: no pass, no sample, and nobody's fault.
+// TestIdleGroupKeepsItsSampledRanks: without passes no rank sends samples, and none must
+// be dropped for that.
 func TestIdleGroupKeepsItsSampledRanks(t *testing.T) {
-	g, order := sampledGroup(t, 6, 3)
+	g, order := newSampledGroup(t, 6, 3)
 	all := map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true, 5: true}
 	for now := time.Duration(0); now < 3*time.Second; now += 50 * time.Millisecond {
-		g.tell(now, nil, all)
-		g.chooseSampled(order, now)
-		assert.DeepEqual(t, g.sampledNow(), []int{0, 1, 2})
+		g.reportRanks(now, nil, all)
+		g.chooseSampledRanks(order, now)
+		assert.DeepEqual(t, g.sampledRanks(), []int{0, 1, 2})
 	}
 }
--- a/entry/expertmaps/session.go
+++ b/entry/expertmaps/session.go
@@ -15,59 +15,58 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// session decides on the maps of a group while the entry holds the lease. Its
-// goroutine owns all state.
+// session decides on the maps of a group under one token. Its goroutine owns all state.
 type session struct {
-	cfg    Config
-	of     id.Group
-	engine *routes.Engine
-	lease  uint64
-	log    zerolog.Logger
-	set    *metrics.Set
-	list   func() []ranklink.Endpoint
-	direct func(address string) relay.Engine
-	source netip.Addr
+	cfg          Config
+	name         id.Group
+	engine       *routes.Engine
+	token        uint64
+	log          zerolog.Logger
+	set          *metrics.Set
+	list         func() []ranklink.Endpoint
+	engineClient func(address string) relay.Engine
+	source       netip.Addr
 
 	events chan ranklink.Event
 	links  map[id.Endpoint]*ranklink.Link
-	// order holds the place of each endpoint in the list.
+	// order holds the position of each endpoint in the list.
 	order map[id.Endpoint]int
-	// layouts holds what each rank last told.
+	// layouts holds the last layout of each rank.
 	layouts map[*ranklink.Link]relay.Layout
 	groups  map[id.Group]*group
-	// asked maps the IDs of orders at the links to the machines' own.
-	asked     map[uint64]asked
+	// pending maps the IDs of sent orders to the machine's order IDs.
+	pending   map[uint64]pendingOrder
 	nextOrder uint64
-	// failed counts the failed orders since failedAt, when one was logged last.
-	failed   int
-	failedAt time.Duration
+	// unloggedFailures counts the failed orders since one was last logged.
+	unloggedFailures int
+	failureLoggedAt  time.Duration
 }
 
-type asked struct {
+type pendingOrder struct {
 	group *group
 	id    uint64
 	sent  time.Duration
 }
 
 const (
-	// eventQueue bounds the events that wait for the session.
+	// eventQueue is the capacity of the event channel.
 	eventQueue = 256
-	// listInterval is the time between looks at the list of endpoints.
-	listInterval = 200 * time.Millisecond
-	// tickInterval drives repeated orders. It is a quarter of the time after
-	// which an order is repeated.
+	// relistInterval is the time between reads of the endpoint list.
+	relistInterval = 200 * time.Millisecond
+	// tickInterval is the tick while a change is in progress, a quarter of the time after
+	// which an order is resent.
 	tickInterval = 10 * time.Millisecond
-	// idleTick replaces tickInterval while nothing is under way.
-	idleTick = 50 * time.Millisecond
-	// forgetOrder is the time after which the answer to an order no longer counts.
-	forgetOrder = 20 * time.Second
+	// idleTickInterval is the tick while no change is in progress.
+	idleTickInterval = 50 * time.Millisecond
+	// orderResultTimeout is the time after which the result of an order is ignored.
+	orderResultTimeout = 20 * time.Second
 )
 
 func (s *session) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := time.Now()
-	listed := -listInterval
+	listed := -relistInterval
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -75,23 +74,23 @@
 		case <-ctx.Done():
 			return
 		case e := <-s.events:
-			s.handleAll(e, began)
+			s.handleBatch(e, began)
 		case <-timer.C:
 		}
 		now := time.Since(began)
-		if now-listed >= listInterval {
+		if now-listed >= relistInterval {
 			listed = now
 			s.relist(ctx, now)
 		}
 		if s.advance(now) {
 			timer.Reset(tickInterval)
 		} else {
-			timer.Reset(idleTick)
+			timer.Reset(idleTickInterval)
 		}
 	}
 }
 
-// relist opens links to new endpoints and ends those to endpoints that are gone.
+// relist opens links to new endpoints and closes links to removed ones.
 func (s *session) relist(ctx context.Context, now time.Duration) {
 	s.order = make(map[id.Endpoint]int)
 	for i, e := range s.list() {
@@ -102,7 +101,7 @@
 			s.close(l)
 		}
 		s.links[e.Name] = ranklink.Open(ctx, ranklink.Options{
-			Endpoint: e, Source: s.source, EngineClient: s.direct, Events: s.events, Report: s.report,
+			Endpoint: e, Source: s.source, EngineClient: s.engineClient, Events: s.events, Report: s.report,
 			Watch: s.cfg.watch(false),
 		})
 	}
@@ -112,13 +111,13 @@
 			delete(s.links, name)
 		}
 	}
-	for n, a := range s.asked {
-		if now-a.sent > forgetOrder {
-			delete(s.asked, n)
+	for orderID, p := range s.pending {
+		if now-p.sent > orderResultTimeout {
+			delete(s.pending, orderID)
 		}
 	}
 	for _, g := range s.groups {
-		g.chooseSampled(s.order, now)
+		g.chooseSampledRanks(s.order, now)
 	}
 }
 
@@ -127,17 +126,17 @@
 	delete(s.layouts, l)
 }
 
-func (s *session) report(l *ranklink.Link, what string, err error) {
-	s.log.Info().Err(err).Str("event", what).Str("endpoint", string(l.Endpoint().Name)).Str("relay", l.Endpoint().Relay).Send()
+func (s *session) report(l *ranklink.Link, event string, err error) {
+	s.log.Info().Err(err).Str("event", event).Str("endpoint", string(l.Endpoint().Name)).Str("relay", l.Endpoint().Relay).Send()
 }
 
-// maxRanks bounds what a report may claim of the size of its group, far above the
-// 64 ranks of the largest groups planned.
-const maxRanks = 4096
+// maxGroupSize bounds the group size that a report may claim, far above the 64 ranks of
+// the largest planned groups.
+const maxGroupSize = 4096
 
-// handleAll handles an event and those that wait behind it, so that many ranks that
-// tell something at once are thought about once.
-func (s *session) handleAll(e ranklink.Event, began time.Time) {
+// handleBatch handles an event and those queued behind it, so that the session advances
+// once when many ranks report at the same time.
+func (s *session) handleBatch(e ranklink.Event, began time.Time) {
 	s.handle(e, time.Since(began))
 	for range eventQueue {
 		select {
@@ -150,16 +149,16 @@
 }
 
 func (s *session) handle(e ranklink.Event, now time.Duration) {
-	learn := e.Layout != nil
+	mapMayBeKnown := e.Layout != nil
 	if e.Layout != nil {
 		s.layouts[e.Link] = *e.Layout
 	}
 	if e.State != nil {
-		learn = s.onState(e.Link, e.State, now) || learn
+		mapMayBeKnown = s.onState(e.Link, e.State, now) || mapMayBeKnown
 	}
-	if learn {
+	if mapMayBeKnown {
 		for _, g := range s.groups {
-			g.learn(s.layouts)
+			g.assembleMap(s.layouts)
 		}
 	}
 	if e.Sample != nil {
@@ -174,26 +173,26 @@
 	}
 }
 
-// onState takes in a state. It is true if the map in use may have become known by it.
+// onState processes a state and reports whether it may complete the map in use.
 func (s *session) onState(l *ranklink.Link, state *relay.State, now time.Duration) bool {
-	if state.Group != s.of || state.Size < 1 || state.Size > maxRanks {
+	if state.Group != s.name || state.Size < 1 || state.Size > maxGroupSize {
 		return false
 	}
 	g := s.group(state.Group, state.Size)
 	epoch := g.machine.Epoch()
-	another := g.onState(l, state, now)
-	if another {
-		g.chooseSampled(s.order, now)
+	newLink := g.onState(l, state, now)
+	if newLink {
+		g.chooseSampledRanks(s.order, now)
 	}
-	return another || g.machine.Epoch() != epoch
+	return newLink || g.machine.Epoch() != epoch
 }
 
 func (s *session) onResult(r *relay.Result, now time.Duration) {
-	a, ok := s.asked[r.ID]
+	p, ok := s.pending[r.ID]
 	if !ok {
 		return
 	}
-	delete(s.asked, r.ID)
+	delete(s.pending, r.ID)
 	outcome := mapswitch.Unknown
 	switch r.Outcome {
 	case relay.Done:
@@ -201,23 +200,23 @@
 	case relay.Conflict:
 		outcome = mapswitch.Conflict
 	default:
-		s.tellFailed(r, now)
+		s.logFailedOrder(r, now)
 	}
-	a.group.machine.Result(a.id, outcome, now)
+	p.group.machine.Result(p.id, outcome, now)
 }
 
-// failedPause is the least time between two lines on failed orders. Those to the ranks of a zone
-// that is cut off fail together, and again with each resend.
-const failedPause = time.Second
+// failureLogInterval is the minimum time between log lines about failed orders. Orders to
+// a zone that is cut off fail together, and again with each resend.
+const failureLogInterval = time.Second
 
-// tellFailed logs a failed order, with the number of those that were not logged before it.
-func (s *session) tellFailed(r *relay.Result, now time.Duration) {
-	if s.failedAt != 0 && now-s.failedAt < failedPause {
-		s.failed++
+// logFailedOrder logs a failed order with the number suppressed since the last line.
+func (s *session) logFailedOrder(r *relay.Result, now time.Duration) {
+	if s.failureLoggedAt != 0 && now-s.failureLoggedAt < failureLogInterval {
+		s.unloggedFailures++
 		return
 	}
-	s.log.Warn().Str("event", "map.order_failed").Str("outcome", string(r.Outcome)).Str("detail", r.Detail).Int("others", s.failed).Send()
-	s.failed, s.failedAt = 0, now
+	s.log.Warn().Str("event", "map.order_failed").Str("outcome", string(r.Outcome)).Str("detail", r.Detail).Int("others", s.unloggedFailures).Send()
+	s.unloggedFailures, s.failureLoggedAt = 0, now
 }
 
 func (s *session) group(name id.Group, size int) *group {
@@ -229,14 +228,14 @@
 	return g
 }
 
-// advance sends the orders that are due. It is true while a change is under way.
+// advance sends the orders that are due and reports whether a change is in progress.
 func (s *session) advance(now time.Duration) bool {
 	busy := false
 	for _, g := range s.groups {
 		for _, o := range g.advance(now) {
 			s.send(g, o, now)
 		}
-		busy = busy || g.busy()
+		busy = busy || g.changing()
 	}
 	return busy
 }
@@ -252,9 +251,9 @@
 		return
 	}
 	s.nextOrder++
-	s.asked[s.nextOrder] = asked{group: g, id: o.ID, sent: now}
+	s.pending[s.nextOrder] = pendingOrder{group: g, id: o.ID, sent: now}
 	order := relay.Order{
-		ID: s.nextOrder, Op: ops[o.Op], Epoch: o.Epoch, Version: o.Version, Step: o.Step, Experts: relay.Map(o.Map), Fence: s.lease,
+		ID: s.nextOrder, Op: ops[o.Op], Epoch: o.Epoch, Version: o.Version, Step: o.Step, Experts: relay.Map(o.Map), Fence: s.token,
 	}
 	if via := g.ranks[o.Via].link; via != nil && via != l {
 		via.SendTo(l.Endpoint(), order)
