--- a/balance/route/feedback_test.go
+++ b/balance/route/feedback_test.go
@@ -26,7 +26,7 @@
 	table, _ := testTable(2, "a")
 	table.Report(idle("a-0", 1), epoch)
 	table.Report(busy("a-1", 1, 0), epoch)
-	c, ok := table.Bound(request(epoch), "a-0", "i1")
+	c, ok := table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, ok)
 	table.Started(c, epoch)
 	table.Finished(c, epoch)
@@ -64,7 +64,7 @@
 	assert.Assert(t, g.value(4*time.Second, time.Second) < 0.2)
 }
 
-func TestDoubtAboutOtherZonesGrowsWithAge(t *testing.T) {
+func TestOtherZonesPenaltyGrowsWithReportAge(t *testing.T) {
 	for _, age := range []time.Duration{0, 2 * time.Second} {
 		table, list := testTable(3, "a", "b")
 		for _, e := range list {
--- a/entry/edge/values_test.go
+++ b/entry/edge/values_test.go
@@ -30,12 +30,12 @@
 		log: zerolog.Nop(),
 		adapter: Adapter{
 			ConfigName: "main",
-			Config: func(data []byte) (routes.Config, error) {
+			DecodeConfig: func(data []byte) (routes.Config, error) {
 				var c struct{ Version uint64 }
 				err := json.Unmarshal(data, &c)
 				return routes.Config{Version: c.Version}, err
 			},
-			Endpoint: func(name string, data []byte) (direct.Endpoint, error) {
+			DecodeEndpoint: func(name string, data []byte) (direct.Endpoint, error) {
 				var e struct {
 					Address  string
 					Draining bool
@@ -89,7 +89,7 @@
 	assert.Equal(t, len(a.endpoints), 2, "a registration that cannot be read is left out")
 	a.changeEndpoints([]objectapi.Object{object("b", `{"address":"2","draining":true}`, 6), object("d", `{"address":"4"}`, 7)}, 7)
 	assert.Assert(t, a.endpoints["b"].Draining)
-	assert.Equal(t, a.endpoints["d"].Registered, uint64(7))
+	assert.Equal(t, a.endpoints["d"].RegistrationRevision, uint64(7))
 	gone := object("a", ``, 8)
 	gone.Deleted = true
 	a.changeEndpoints([]objectapi.Object{gone}, 8)
