--- a/entry/routes/config.go
+++ b/entry/routes/config.go
@@ -1,6 +1,6 @@
-// Package routes holds the operators' configuration of services that entries
-// reach directly: routes, services, teams and limits. A Table is one version
-// of it, checked and indexed; it never changes.
+// Package routes defines the operators' configuration of services that entries
+// reach directly: routes, services, teams and client limits. A Table is one
+// validated, indexed and immutable version of it.
 package routes
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Kind tells what may be repeated and how an answer arrives.
+// Kind determines whether requests may be retried and whether responses are streams.
 type Kind string
 
 const (
@@ -28,31 +28,31 @@
 	Version  uint64
 	Routes   []Route
 	Services []Service
-	// Teams is empty if no key is asked for.
+	// Teams is empty if no API key is required.
 	Teams  []Team
 	Limits Limits
 }
 
-// Route leads requests of one host name and path prefix to services.
+// Route maps requests of one host name and path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time for which a request is kept.
+	// Timeout is the maximum time that a request is kept before it fails.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to the first event of a stream, that callers expect.
+	// TargetLatency is the expected time to the response, or to a stream's first event.
 	TargetLatency time.Duration
 	// MaxEventGap is the longest pause between events with which a stream is on time.
 	MaxEventGap time.Duration
 	// Priority ranks routes, zero first.
 	Priority int
-	// Split holds the services of the route with their parts of the requests.
+	// Split holds the services of the route with their weights.
 	Split []WeightedService
 	// MaxAttempts is the number of endpoints to which a request may be sent.
 	MaxAttempts int
-	// Public routes ask for no key.
+	// Public routes require no API key.
 	Public bool
 	// Resumable streams may be continued at another endpoint after an event.
 	Resumable bool
@@ -63,26 +63,26 @@
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// WeightedService is a service's part of a route.
+// WeightedService is a service in the traffic split of a route.
 type WeightedService struct {
 	Service id.Service
 	// Weight is relative to the other weights of the route.
 	Weight int
 }
 
-// Service is a set of endpoints that answer alike.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	Name       id.Service
 	HealthPath string
 	// MaxConns is the number of connections that an endpoint accepts from all callers.
 	MaxConns int
-	// Engine is set for services of model engines.
+	// Engine is set if the endpoints are model engines.
 	Engine *Engine
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests that an engine runs at the same time.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
 	// KVCacheTokens is the size of the engine's KV cache in tokens.
 	KVCacheTokens int
@@ -90,19 +90,19 @@
 	StepTime time.Duration
 	// StepTimePerSequence is added to a step for each request that generates.
 	StepTimePerSequence time.Duration
-	// StepTimePerKContext is added to a step for each 1,000 tokens of context of a request that generates.
+	// StepTimePerKContext is added to a step for each 1,000 context tokens of a request that generates.
 	StepTimePerKContext time.Duration
-	// PrefillRate is the speed of reading prompts in tokens per second.
+	// PrefillRate is the prefill throughput in tokens per second.
 	PrefillRate float64
 	// PrefillTimePerMillionPairs is added for each million pairs of a prompt token and an earlier token.
 	PrefillTimePerMillionPairs time.Duration
-	// PrefillChunkTokens bounds the prompt tokens that are read in a step.
+	// PrefillChunkTokens bounds the prompt tokens processed in a step.
 	PrefillChunkTokens int
 	// StepsPerPass is the number of steps in a pass that generates.
 	StepsPerPass int
-	// MeanPromptTokens and MeanAnswerTokens are the usual numbers of tokens of a request.
+	// MeanPromptTokens and MeanAnswerTokens are the usual lengths of a request.
 	MeanPromptTokens, MeanAnswerTokens float64
-	// ReportLag is the age of a load report that is read from another host.
+	// ReportLag is the age of a load report read from another host.
 	ReportLag time.Duration
 	// Experts is set if the engines are ranks of groups.
 	Experts *Experts
@@ -113,8 +113,8 @@
 	return e.StepTime + time.Duration(e.Slots)*e.StepTimePerSequence
 }
 
-// FullLoadPassTime returns the time of a pass while all slots generate, without the
-// prompts that are read in it.
+// FullLoadPassTime returns the time of a pass while all slots generate, without
+// prefill.
 func (e *Engine) FullLoadPassTime() time.Duration {
 	return time.Duration(max(e.StepsPerPass, 1)) * e.FullLoadStepTime()
 }
@@ -131,15 +131,15 @@
 	MaxNewPerMap int
 	// ExpertBytes is the size of the weights of an expert.
 	ExpertBytes float64
-	// LinkBitsPerSecond is the speed at which a rank copies weights in bits per second.
+	// LinkBitsPerSecond is the speed at which a rank copies weights.
 	LinkBitsPerSecond float64
-	// ComputeFraction is the part of the work for tokens that the experts do. Range: 0 to 1.
+	// ComputeFraction is the fraction of the work for tokens done by experts. Range: 0 to 1.
 	ComputeFraction float64
 	// FormationTime is the time in which a group opens after its last rank is back.
 	FormationTime time.Duration
 }
 
-// CopyTime returns the time in which a rank copies one expert.
+// CopyTime returns the time a rank needs to copy one expert, zero if the speed is unknown.
 func (e *Experts) CopyTime() time.Duration {
 	if e.LinkBitsPerSecond <= 0 {
 		return 0
@@ -151,17 +151,17 @@
 type Team struct {
 	Name id.Team
 	Keys []string
-	// Priority takes the place of the route's priority, unless it is nil.
+	// Priority overrides the route's priority, unless it is nil.
 	Priority *int
 }
 
-// Limits bound what clients may send.
+// Limits bounds client requests and connections.
 type Limits struct {
 	// MaxHeaderBytes bounds the request line and the header.
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout is the time in which a header must arrive.
+	// HeaderTimeout bounds the time to receive a header.
 	HeaderTimeout time.Duration
-	// IdleTimeout is the time for which a connection may stay without a request.
+	// IdleTimeout bounds the time that a connection stays without a request.
 	IdleTimeout time.Duration
 }
--- a/entry/routes/table.go
+++ b/entry/routes/table.go
@@ -10,7 +10,7 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Table is one version of the configuration with its indexes. It is immutable.
+// Table is one validated version of the configuration with its indexes. It is immutable.
 type Table struct {
 	config   Config
 	hosts    map[string][]*Route // longest prefix first
@@ -18,7 +18,7 @@
 	teams    map[string]*Team
 }
 
-// NewTable checks and indexes a configuration. The error is a finding.List.
+// NewTable validates and indexes a configuration. The error is a finding.List.
 func NewTable(c Config) (*Table, error) {
 	t := &Table{
 		config:   c,
@@ -121,7 +121,7 @@
 // Service returns a service, or nil.
 func (t *Table) Service(name id.Service) *Service { return t.services[name] }
 
-// Route returns the route with the longest prefix of the path at the host, or nil.
+// Route returns the route of the host with the longest prefix of the path, or nil.
 func (t *Table) Route(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -134,13 +134,13 @@
 	return nil
 }
 
-// RequiresKey reports whether routes that are not public ask for a key.
+// RequiresKey reports whether routes that are not public require an API key.
 func (t *Table) RequiresKey() bool { return len(t.config.Teams) > 0 }
 
 // Team returns the team that holds a key, or nil.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
-// Pick returns a service of the route at random in proportion to the weights.
+// Pick returns a service of the route, chosen at random in proportion to the weights.
 func (r *Route) Pick() id.Service {
 	total := 0
 	for _, s := range r.Split {
