--- a/entry/upstream/conn.go
+++ b/entry/upstream/conn.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to endpoints over HTTP/1.1 connections that
-// it never uses behind the caller's back: a request is written once, to one
-// connection, and the caller learns whether any byte of it may have left.
+// Package upstream is an HTTP/1.1 client for endpoints that never retries by itself:
+// a request is written once, to one connection, and the error says whether any byte
+// of it may have been sent.
 package upstream
 
 import (
@@ -19,13 +19,13 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	// syncBody is the largest body that is written before the answer is read. It
-	// fits the socket buffers, so that the write does not wait for the endpoint. Unit: bytes.
-	syncBody = 16 << 10
+	readBufferBytes = 4 << 10
+	// maxSyncBodyBytes is the largest body that is written before the response is read.
+	// It fits the socket buffers, so that the write does not wait for the endpoint.
+	maxSyncBodyBytes = 16 << 10
 )
 
-// NotSentError reports that no byte of a request has left.
+// NotSentError reports that no byte of a request was sent.
 type NotSentError struct{ Cause error }
 
 func (e *NotSentError) Error() string { return fmt.Sprintf("request was not sent: %v", e.Cause) }
@@ -33,33 +33,33 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// Request is one request as it goes to an endpoint.
+// Request is one request to an endpoint.
 type Request struct {
 	Method string
-	// Target is the path and query as the client sent it.
+	// Target is the path and query as sent by the client.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// conn is one connection to an endpoint. It serves one exchange at a time.
+// conn is a connection to an endpoint. It serves one exchange at a time.
 type conn struct {
 	net.Conn
 	pool *Pool
 	br   *bufio.Reader
-	// idleSince and idleFor bound the use of a connection that waits in the pool.
-	idleSince time.Time
-	idleFor   time.Duration
-	used      bool
-	// writing is false once the whole request was handed to the socket.
+	// idleSince and idleTimeout bound the use of a pooled connection.
+	idleSince   time.Time
+	idleTimeout time.Duration
+	used        bool
+	// writing is true from the start of a long body until the socket accepted all of it.
 	writing atomic.Bool
 }
 
-// Exchange is one request with its answer. Close must be called.
+// Exchange is a request with its response. Close must be called.
 type Exchange struct {
-	// Response is the answer's head. Its body must be read to the end before
-	// the connection can be used again.
+	// Response is the response head. Its body must be read to the end before the
+	// connection can be reused.
 	Response *http.Response
 	conn     *conn
 	body     *trackedBody
@@ -67,7 +67,7 @@
 	closed   bool
 }
 
-// trackedBody tells whether a body was read to its end.
+// trackedBody records whether a body was read to its end.
 type trackedBody struct {
 	io.Reader
 	ended bool
@@ -81,11 +81,11 @@
 	return n, err
 }
 
-// Body returns the answer's body. It ends with io.EOF only if it is complete.
+// Body returns the response body. It ends with io.EOF only if it is complete.
 func (x *Exchange) Body() io.Reader { return x.body }
 
-// Close ends the exchange. The connection is kept if the answer was read to its
-// end and nothing else is known against it, and closed otherwise.
+// Close ends the exchange. It returns the connection to the pool if the response was
+// read to its end and the connection is reusable, and closes it otherwise.
 func (x *Exchange) Close() {
 	if x.closed {
 		return
@@ -108,7 +108,7 @@
 	return x.body.ended && framed && !r.Close && !x.conn.writing.Load() && x.conn.br.Buffered() == 0
 }
 
-// keepAlive returns the announced idle timeout of a connection, or zero.
+// keepAlive returns the idle timeout announced in the Keep-Alive header, or zero.
 func keepAlive(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -122,8 +122,8 @@
 	return 0
 }
 
-// do writes r and reads the head of the answer. When ctx ends the connection is
-// closed. The error is a *NotSentError if no byte left.
+// do writes r and reads the response head. It closes the connection when ctx ends.
+// The error is a *NotSentError if no byte was sent.
 func (c *conn) do(ctx context.Context, r *Request) (*Exchange, error) {
 	stop := context.AfterFunc(ctx, c.reset)
 	if err := c.send(r); err != nil {
@@ -141,9 +141,9 @@
 	return &Exchange{Response: response, conn: c, body: body, stop: stop}, nil
 }
 
-// reset closes the connection so that the endpoint drops what it has not read, and
-// stops its work at once. Closing alone would leave a request that waits at a frozen
-// host to be read when it wakes.
+// reset closes the connection with a TCP RST, so that the endpoint drops unread data
+// and stops its work at once. After a normal close, a frozen host would still read
+// the buffered request when it resumes.
 func (c *conn) reset() {
 	if l, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = l.SetLinger(0) // The connection is closed in any case.
@@ -151,7 +151,7 @@
 	_ = c.Conn.Close()
 }
 
-// cause returns the reason for which ctx ended, if it did, and err otherwise.
+// cause returns the cause of ctx's end, or err if ctx has not ended or nothing was sent.
 func cause(ctx context.Context, err error) error {
 	var notSent *NotSentError
 	if ctx.Err() != nil && !errors.As(err, &notSent) {
@@ -160,11 +160,11 @@
 	return err
 }
 
-// send writes the request. A long body is written while the answer is awaited,
-// because an endpoint may answer before it has read the body.
+// send writes the request. It writes a long body in the background, because an
+// endpoint may respond before it has read the body.
 func (c *conn) send(r *Request) error {
-	head := appendHead(make([]byte, 0, 1024+len(r.Body)%syncBody), r)
-	if len(r.Body) <= syncBody {
+	head := appendHead(make([]byte, 0, 1024+len(r.Body)%maxSyncBodyBytes), r)
+	if len(r.Body) <= maxSyncBodyBytes {
 		return c.write(append(head, r.Body...))
 	}
 	if err := c.write(head); err != nil {
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -17,10 +17,10 @@
 type Config struct {
 	// Address is the endpoint's "ip:port". Required.
 	Address string
-	// DialTimeout bounds the time to connect. Default: 200 ms, several times the
-	// way between regions.
+	// DialTimeout bounds the time to connect. Default: 200 ms, several times
+	// the latency between regions.
 	DialTimeout time.Duration
-	// MaxConns bounds the open connections. Zero means no bound.
+	// MaxConns limits the open connections. Zero means no limit.
 	MaxConns int
 	// Dial connects to an address. Default: TCP with keep-alive probes each second.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -28,19 +28,19 @@
 
 const (
 	defaultDialTimeout = 200 * time.Millisecond
-	// silentIdle is the time for which a connection is kept whose endpoint does
-	// not announce an idle timeout; those with timeouts below a second cannot.
-	silentIdle = 400 * time.Millisecond
-	// idleMargin is subtracted from the announced idle timeout for the time that
-	// a request is on its way.
+	// defaultIdleTimeout applies if the endpoint announces no idle timeout. It is short
+	// because Keep-Alive cannot announce timeouts below a second.
+	defaultIdleTimeout = 400 * time.Millisecond
+	// idleMargin is subtracted from the announced idle timeout for the time that a
+	// request is in flight.
 	idleMargin = 300 * time.Millisecond
-	// probeInterval is the time between keep-alive probes, three of which end a
-	// connection that went silent.
+	// probeInterval is the time between keep-alive probes. A connection is closed
+	// after probeCount probes without an answer.
 	probeInterval = time.Second
 	probeCount    = 3
 )
 
-// ErrTooManyConns reports that the pool's bound of connections is reached.
+// ErrTooManyConns reports that Config.MaxConns is reached.
 var ErrTooManyConns = errors.New("too many connections to the endpoint")
 
 // Pool holds the connections to one endpoint. It is safe for concurrent use.
@@ -65,17 +65,17 @@
 	return &Pool{cfg: cfg}
 }
 
-// TCPDialer returns a Dial for Config that opens connections from an address of this
-// host, or from the operating system's choice.
+// TCPDialer returns a Config.Dial that opens TCP connections from a local address, or
+// from the operating system's choice if source is invalid.
 func TCPDialer(source netip.Addr) func(ctx context.Context, address string) (net.Conn, error) {
 	d := dial.Config{Source: source, ProbeInterval: probeInterval, ProbeCount: probeCount}.Dialer()
 	return func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 }
 
-// Do sends r over a kept or a fresh connection and returns the head of the
-// answer. A fresh one is used if fresh is true. The error is a *NotSentError if
-// no byte of r has left, and otherwise the cause of ctx's end or what was wrong
-// with the connection or the answer.
+// Do sends r over a pooled connection, or over a new one if fresh is true or none is
+// idle, and returns the response head. The error is a *NotSentError if no byte of r
+// was sent, and otherwise the cause of ctx's end or a fault of the connection or the
+// response.
 func (p *Pool) Do(ctx context.Context, r *Request, fresh bool) (*Exchange, error) {
 	c, err := p.get(ctx, fresh)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return p.dials
 }
 
-// Close closes the idle connections and keeps none any more. Exchanges under way
-// go on.
+// Close closes the idle connections and those that become idle later. Exchanges in
+// progress continue.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -100,7 +100,7 @@
 	p.CloseIdle()
 }
 
-// CloseIdle closes the idle connections, which may share the fate of one that failed.
+// CloseIdle closes the idle connections, which may be broken if another one failed.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -114,7 +114,7 @@
 
 func (p *Pool) get(ctx context.Context, fresh bool) (*conn, error) {
 	if !fresh {
-		if c := p.take(time.Now()); c != nil {
+		if c := p.takeIdle(time.Now()); c != nil {
 			return c, nil
 		}
 	}
@@ -128,12 +128,12 @@
 		p.release()
 		return nil, errors.Wrapf(err, "connect to %s", p.cfg.Address)
 	}
-	return &conn{Conn: nc, pool: p, br: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &conn{Conn: nc, pool: p, br: bufio.NewReaderSize(nc, readBufferBytes)}, nil
 }
 
-// take returns the most recently used idle connection that is fit for use and
-// closes those that are not.
-func (p *Pool) take(now time.Time) *conn {
+// takeIdle returns the most recently used idle connection that is usable and closes
+// those that are not.
+func (p *Pool) takeIdle(now time.Time) *conn {
 	for {
 		p.mu.Lock()
 		n := len(p.idle)
@@ -144,7 +144,7 @@
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
-		if now.Sub(c.idleSince) < c.idleFor && quiet(c.Conn) {
+		if now.Sub(c.idleSince) < c.idleTimeout && isIdle(c.Conn) {
 			return c
 		}
 		p.discard(c)
@@ -175,12 +175,12 @@
 }
 
 func (p *Pool) put(c *conn, announced time.Duration) {
-	c.idleSince, c.idleFor, c.used = time.Now(), silentIdle, true
+	c.idleSince, c.idleTimeout, c.used = time.Now(), defaultIdleTimeout, true
 	if announced > 0 {
-		c.idleFor = announced - idleMargin
+		c.idleTimeout = announced - idleMargin
 	}
 	p.mu.Lock()
-	keep := !p.closed && c.idleFor > 0
+	keep := !p.closed && c.idleTimeout > 0
 	if keep {
 		p.idle = append(p.idle, c)
 	}
@@ -195,13 +195,13 @@
 	p.release()
 }
 
-// Sweep closes connections that have been idle for too long. A timer calls it.
+// Sweep closes connections that exceeded their idle timeout. A timer calls it.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	var old []*conn
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if now.Sub(c.idleSince) >= c.idleFor {
+		if now.Sub(c.idleSince) >= c.idleTimeout {
 			old = append(old, c)
 		} else {
 			kept = append(kept, c)
@@ -215,9 +215,9 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and holds no bytes, which
+// isIdle reports whether a pooled connection is open and has no unread bytes, which
 // would belong to no request.
-func quiet(c net.Conn) bool {
+func isIdle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/entry/upstream/upstream_test.go
+++ b/entry/upstream/upstream_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// endpoint answers each connection by a script.
-func endpoint(t *testing.T, script func(n int, c net.Conn, r *bufio.Reader)) (*Pool, *atomic.Int32) {
+// startEndpoint starts a server that runs script on each connection, numbered from 1.
+func startEndpoint(t *testing.T, script func(n int, c net.Conn, r *bufio.Reader)) (*Pool, *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -83,7 +83,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			pool, conns := endpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			pool, conns := startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				for {
 					if _, _, err := read(r); err != nil {
 						return
@@ -95,7 +95,7 @@
 				got, err := exchange(t, pool, request("GET", "/x", ""))
 				assert.NilError(t, err)
 				assert.Equal(t, got, "ok")
-				time.Sleep(5 * time.Millisecond) // Late bytes arrive.
+				time.Sleep(5 * time.Millisecond) // Wait for late bytes.
 			}
 			want := int32(2)
 			if c.kept {
@@ -106,10 +106,10 @@
 	}
 }
 
-// TestExtraBytesArriveLate covers an answer that nobody asked for, which arrives
-// while the connection waits in the pool.
+// TestExtraBytesArriveLate guards against mistaking an unsolicited response, received
+// while the connection was idle in the pool, for that of the next request.
 func TestExtraBytesArriveLate(t *testing.T) {
-	pool, conns := endpoint(t, func(n int, conn net.Conn, r *bufio.Reader) {
+	pool, conns := startEndpoint(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for {
 			if _, _, err := read(r); err != nil {
 				return
@@ -140,7 +140,7 @@
 	}
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
-			pool, _ := endpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			pool, _ := startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				_, _, _ = read(r)
 				fmt.Fprint(conn, answer)
 			})
@@ -153,7 +153,7 @@
 }
 
 func TestResetWithoutLengthIsNotComplete(t *testing.T) {
-	pool, _ := endpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	pool, _ := startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		_, _, _ = read(r)
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\nhalf")
 		time.Sleep(10 * time.Millisecond)
@@ -172,7 +172,7 @@
 	_, err = exchange(t, NewPool(Config{Address: address}), request("POST", "/x", "b"))
 	assert.Assert(t, errors.As(err, &notSent))
 
-	pool, _ := endpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _, _ = read(r) })
+	pool, _ := startEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _, _ = read(r) })
 	pool.cfg.MaxConns = 1
 	pool.open = 1
 	_, err = exchange(t, pool, request("POST", "/x", "b"))
@@ -182,7 +182,7 @@
 
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
-	pool, _ := endpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+	pool, _ := startEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 		_, _, _ = read(r)
 		_, _ = r.ReadByte()
 		close(closed)
@@ -199,11 +199,11 @@
 	}
 }
 
-// TestCancelResetsTheConnection names the pattern "a host freezes and wakes": what waits
-// there of a request whose client has gone must not look like a request to work on.
+// TestCancelResetsTheConnection guards against a frozen host that resumes and runs a
+// buffered request whose client has gone.
 func TestCancelResetsTheConnection(t *testing.T) {
 	ended := make(chan error, 1)
-	pool, _ := endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	pool, _ := startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		_, _, _ = read(r)
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"))
 		_, err := r.ReadByte()
@@ -230,10 +230,10 @@
 	}
 }
 
-// TestAnswerBeforeTheBody covers an endpoint that answers before it has read a
+// TestAnswerBeforeTheBody covers an endpoint that responds before it has read a
 // long body and reads on: the connection must not carry another request.
 func TestAnswerBeforeTheBody(t *testing.T) {
-	pool, conns := endpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	pool, conns := startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
@@ -255,7 +255,7 @@
 		header                   http.Header
 	}
 	got := make(chan seen, 1)
-	pool, _ := endpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	pool, _ := startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		q, body, err := read(r)
 		if err != nil {
 			return
