--- a/entry/hosts/hosts.go
+++ b/entry/hosts/hosts.go
@@ -1,6 +1,6 @@
-// Package hosts keeps the platform's lagging host list. One entry of each zone
-// reads it often and passes what it read to the entries of its zone; the others
-// read it only to find their first peers.
+// Package hosts tracks the platform's host list, which lags behind their state. One
+// entry of each zone reads it often and sends the leaving hosts to the zone's other
+// entries, which read the list only to find their first peers.
 package hosts
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/siskinford/siskinford/wire/codec"
 )
 
-// Config sets the intervals of a Watcher.
+// Config holds the intervals and the call timeout of a Watcher.
 type Config struct {
-	// ReadInterval is the time between readings by the entry that has the duty. Default: 1 s.
+	// ReadInterval is the time between reads by the entry that holds the duty. Default: 1 s.
 	ReadInterval time.Duration
-	// SeedInterval is the time between readings by an entry without peers. Default: 5 s.
+	// SeedInterval is the time between reads by an entry without peers. Default: 5 s.
 	SeedInterval time.Duration
 	// CallTimeout bounds a call to the platform or a peer. Default: 1 s.
 	CallTimeout time.Duration
@@ -32,8 +32,8 @@
 	return Config{ReadInterval: time.Second, SeedInterval: 5 * time.Second, CallTimeout: time.Second}
 }
 
-// Members is the part of the membership that a Watcher works with. It is
-// implemented by *member.Runner.
+// Members is the membership view that a Watcher uses. It is implemented by
+// *member.Runner.
 type Members interface {
 	Self() member.Peer
 	Live() []member.Peer
@@ -41,10 +41,10 @@
 	SetHints(list []objectapi.Host)
 }
 
-// DutyKey is the key of the duty to read the list for the zone.
+// DutyKey is the key of the duty to read the host list for the zone.
 const DutyKey = "hosts"
 
-// Deps are the parts that a Watcher works with.
+// Deps are the dependencies of a Watcher.
 type Deps struct {
 	Store    objectapi.Store
 	Members  Members
@@ -55,7 +55,7 @@
 	OnLeaving func(map[id.Host]bool)
 }
 
-// Watcher is safe for concurrent use.
+// Watcher tracks the hosts that are leaving. It is safe for concurrent use.
 type Watcher struct {
 	config Config
 	deps   Deps
@@ -70,12 +70,12 @@
 	return &Watcher{config: c, deps: d, leaving: map[id.Host]bool{}}
 }
 
-// notice is what the reader passes on.
-type notice struct {
+// leavingNotice is the message from the zone's reader to its other entries.
+type leavingNotice struct {
 	Leaving []id.Host `cbor:"1,keyasint,omitempty"`
 }
 
-// Run reads the list until ctx ends.
+// Run reads the host list until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		hasDuty := w.deps.Members.Duty(DutyKey)
@@ -86,7 +86,7 @@
 	}
 }
 
-// pause waits for the next reading, with jitter.
+// pause waits for the next read, with jitter.
 func (w *Watcher) pause(ctx context.Context, hasDuty bool) {
 	interval := w.config.SeedInterval
 	if hasDuty {
@@ -116,11 +116,11 @@
 	}
 	w.apply(leaving)
 	if passOn {
-		w.pass(ctx, leaving)
+		w.broadcast(ctx, leaving)
 	}
 }
 
-// apply takes over the leaving hosts.
+// apply replaces the leaving hosts and reports changes.
 func (w *Watcher) apply(hosts []id.Host) {
 	next := make(map[id.Host]bool, len(hosts))
 	for _, h := range hosts {
@@ -153,9 +153,9 @@
 	return true
 }
 
-// pass tells the live entries of the zone which hosts are leaving.
-func (w *Watcher) pass(ctx context.Context, leaving []id.Host) {
-	payload, err := codec.Marshal(notice{Leaving: leaving})
+// broadcast sends the leaving hosts to the live entries of the zone.
+func (w *Watcher) broadcast(ctx context.Context, leaving []id.Host) {
+	payload, err := codec.Marshal(leavingNotice{Leaving: leaving})
 	if err != nil {
 		return
 	}
@@ -169,9 +169,9 @@
 	wg.Wait()
 }
 
-// Handle takes in the notice of the zone's reader. It is a transport.Handler.
+// Handle applies the notice of the zone's reader. It is a transport.Handler.
 func (w *Watcher) Handle(_ context.Context, payload []byte) ([]byte, error) {
-	var n notice
+	var n leavingNotice
 	if err := codec.Unmarshal(payload, &n); err != nil {
 		return nil, err
 	}
