--- a/entry/peer/peer.go
+++ b/entry/peer/peer.go
@@ -13,7 +13,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// Caller implements transport.Caller.
+// Caller calls other entries over pooled links. It implements transport.Caller.
 type Caller struct {
 	pool *link.Pool
 }
@@ -34,7 +34,7 @@
 		return nil, errors.Wrapf(err, "call entry at %s", address)
 	}
 	if reply.Peer == nil {
-		return nil, errors.Newf("entry at %s sent no answer", address)
+		return nil, errors.Newf("entry at %s sent an empty reply", address)
 	}
 	if reply.Peer.Error != "" {
 		return nil, &transport.RemoteError{Address: address, Message: reply.Peer.Error}
@@ -48,8 +48,8 @@
 const (
 	// handleTimeout bounds the handling of one call.
 	handleTimeout = 2 * time.Second
-	// maxConcurrent bounds the calls that are handled at the same time.
-	maxConcurrent = 256
+	// maxConcurrentCalls bounds the calls that are handled at the same time.
+	maxConcurrentCalls = 256
 )
 
 // Server answers the calls of other entries. It implements link.Handler.
@@ -59,10 +59,10 @@
 	slots  chan struct{}
 }
 
-// NewServer returns a Server that hands calls to handle and questions for the
-// time line to events.
+// NewServer returns a Server that passes calls to handle and time line queries
+// to events.
 func NewServer(handle transport.Handler, events func(*msg.EventsOrder) *msg.Events) *Server {
-	return &Server{handle: handle, events: events, slots: make(chan struct{}, maxConcurrent)}
+	return &Server{handle: handle, events: events, slots: make(chan struct{}, maxConcurrentCalls)}
 }
 
 // Incarnation implements link.Handler. Entries have none.
@@ -81,7 +81,7 @@
 	}
 }
 
-// serve answers a call on its own goroutine, or refuses it when too many are handled.
+// serve handles a call on its own goroutine, or rejects it if too many are in progress.
 func (s *Server) serve(session *link.Session, o *msg.Order) {
 	select {
 	case s.slots <- struct{}{}:
