--- a/entry/problem/problem.go
+++ b/entry/problem/problem.go
@@ -81,10 +81,10 @@
 	Detail  string          `json:"detail"`
 	Request id.Request      `json:"request,omitempty"`
 	Outcome outcome.Outcome `json:"outcome"`
-	// ActionOutcome is set for requests with a ticket or idempotency key. It
-	// tells what is known of the action over all requests that named it.
+	// ActionOutcome is set for requests with a ticket or idempotency key. It is the
+	// outcome of the action over all requests that named it.
 	ActionOutcome outcome.Outcome `json:"action_outcome,omitempty"`
-	// Findings lists all errors of a malformed request with their place.
+	// Findings lists all errors of a malformed request with their locations.
 	Findings finding.List `json:"findings,omitempty"`
 	// RetryAfter is sent as the Retry-After header. Zero means none.
 	RetryAfter time.Duration `json:"-"`
@@ -119,7 +119,7 @@
 	*Problem
 }
 
-// Write sends the problem as the whole answer.
+// Write sends the problem as the complete response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", ContentType)
