--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -26,8 +26,8 @@
 	slots    int
 	followed *metrics.Histogram
 	log      zerolog.Logger
-	machine  *mapswitch.Machine
-	demand   *expertmap.Demand
+	machine  *mapswitch.Coordinator
+	demand   *expertmap.DemandEstimator
 	ranks    []member
 	// sampledAt is when the last sample of any rank came.
 	sampledAt time.Duration
@@ -67,9 +67,9 @@
 		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, slots: s.engine.Slots,
 		log:     s.log,
 		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.lease),
-		demand: expertmap.NewDemand(expertmap.DemandConfig{
-			Sets: s.engine.Experts.LayerSets, Experts: s.engine.Experts.ExpertsPerSet, Ranks: size, Memory: s.cfg.Memory,
-			Sampled: s.cfg.sampledRanks(size, s.engine.Slots),
+		demand: expertmap.NewDemandEstimator(expertmap.DemandConfig{
+			Sets: s.engine.Experts.LayerSets, Experts: s.engine.Experts.ExpertsPerSet, Ranks: size, TimeConstant: s.cfg.DemandTimeConstant,
+			SampledRanks: s.cfg.sampledRanks(size, s.engine.Slots),
 		}),
 		ranks:    make([]member, size),
 		followed: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
@@ -130,7 +130,7 @@
 			content[s][r] = lay.Experts[s]
 		}
 	}
-	g.machine.Learn(first.Epoch, first.Version, content)
+	g.machine.SetContent(first.Epoch, first.Version, content)
 }
 
 func (g *group) onSample(l *ranklink.Link, s *relay.Sample, now time.Duration) {
@@ -143,7 +143,7 @@
 	}
 	rank := g.rankOf(l)
 	g.sampledAt, g.ranks[rank].sampledAt = now, now
-	if g.demand.Add(rank, counts, now) {
+	if g.demand.AddSample(rank, counts, now) {
 		g.follow(now)
 	}
 }
@@ -204,7 +204,7 @@
 // plan starts a change if the demand asks for one.
 func (g *group) plan(now time.Duration) bool {
 	loads, ok := g.demand.Loads()
-	if !ok || g.demand.Age(now) > g.cfg.MaxAge || g.plannedAt >= now-g.cfg.PlanInterval {
+	if !ok || g.demand.Age(now) > g.cfg.MaxDemandAge || g.plannedAt >= now-g.cfg.PlanInterval {
 		return false
 	}
 	version, content, ok := g.machine.Current()
@@ -215,15 +215,15 @@
 	maps := g.convert(version, content)
 	pace := g.pace()
 	skew := meanSkew(maps, loads, pace)
-	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.Rest && skew < g.rested.skew+g.cfg.MinReduction {
+	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.ReplanHoldoff && skew < g.rested.skew+g.cfg.MinSkewReduction {
 		return false
 	}
-	round := expertmap.Round{
-		Ranks: g.size, Experts: g.experts.ExpertsPerSet, Places: g.experts.SlotsPerRank,
-		MaxNew: g.experts.MaxNewPerMap, Copies: g.cfg.Copies, MinGain: g.minGain(skew), Pace: pace,
+	round := expertmap.RoundPlanner{
+		Ranks: g.size, Experts: g.experts.ExpertsPerSet, SlotsPerRank: g.experts.SlotsPerRank,
+		MaxNewPerSet: g.experts.MaxNewPerMap, MaxCopiesPerRank: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), SlowFactors: pace,
 	}
 	p := round.Plan(maps, loads)
-	if p.SkewBefore-p.SkewAfter < g.cfg.MinReduction {
+	if p.SkewBefore-p.SkewAfter < g.cfg.MinSkewReduction {
 		g.rested = rest{at: now, skew: skew, shifts: g.demand.Shifts()}
 		return false
 	}
@@ -260,7 +260,7 @@
 	if skew > evenSkew-evenMargin {
 		factor /= unevenDivisor
 	}
-	return g.cfg.RankGain / float64(g.size) * factor
+	return g.cfg.MinTotalGain / float64(g.size) * factor
 }
 
 // slowPace is the pace from which on a rank counts as slow, above what the ranks'
@@ -295,7 +295,7 @@
 func meanSkew(maps []expertmap.Map, loads []expertmap.Load, pace []float64) float64 {
 	var sum float64
 	for i, m := range maps {
-		sum += m.SkewAt(loads[i], pace)
+		sum += m.WeightedSkew(loads[i], pace)
 	}
 	return sum / float64(max(len(maps), 1))
 }
