--- a/entry/operator/protocol.go
+++ b/entry/operator/protocol.go
@@ -26,7 +26,7 @@
 	Kind lang.Kind `cbor:"1,keyasint,omitempty"`
 	// Events requests events of the timeline.
 	Events *msg.EventsOrder `cbor:"2,keyasint,omitempty"`
-	// Request requests the record of one request.
+	// Request requests the log record of one request.
 	Request id.Request `cbor:"3,keyasint,omitempty"`
 	// Zone makes the receiver gather from all processes of its zone.
 	Zone bool `cbor:"4,keyasint,omitempty"`
@@ -83,7 +83,7 @@
 	Duties []string
 }
 
-// Service answers operators. It is safe for concurrent use.
+// Service answers queries and applies commands. It is safe for concurrent use.
 type Service struct {
 	deps    Deps
 	history history
--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -29,7 +29,7 @@
 	operators transport.Caller
 }
 
-// startNode listens for other entries and joins the membership.
+// startNode listens for other entries and starts the membership and all background work.
 func (s *Server) startNode() error {
 	n := &s.node
 	n.pool = link.NewPool(s.peerLinkConfig(), func() *tls.Config { return s.deps.Keys.Client(keys.RoleEntry) })
@@ -105,7 +105,6 @@
 // PeerAddress returns the UDP address for other entries.
 func (s *Server) PeerAddress() string { return s.node.server.Address() }
 
-// maxReplyEvents bounds the events of one reply.
 const maxReplyEvents = 5000
 
 // selectEvents returns events of this process's timeline.
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -207,7 +207,7 @@
 func (s *Server) Reload() error { return s.deps.Keys.Reload() }
 
 // Shutdown stops accepting requests and waits for those in flight. If ctx ends first,
-// they are cancelled, and each is answered with what is known of its outcome.
+// they are cancelled, and each response states its outcome as far as it is known.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.events.Record(timeline.Event{Kind: "entry.stopping"})
