--- a/balance/limit/limit_test.go
+++ b/balance/limit/limit_test.go
@@ -45,7 +45,7 @@
 
 func (n *network) delay() time.Duration { return time.Duration(n.rng.Int64N(int64(n.longest))) }
 
-// deliver hands over what is due, in random order.
+// deliver delivers the messages that are due, in random order.
 func (n *network) deliver() {
 	due := n.pending
 	n.pending = nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// round lets the nodes demand at random and changes the fleet now and then.
+// round sends demands of random nodes and sometimes restarts a node or the root.
 func (n *network) round(check func()) {
 	f := n.f
 	for _, z := range f.zones {
@@ -68,7 +68,7 @@
 				continue
 			}
 			if n.chance(30) {
-				e.share.Take(float64(n.rng.IntN(20_000)), e.at(f.now))
+				e.share.Consume(float64(n.rng.IntN(20_000)), e.at(f.now))
 			}
 			f.demandEntry(z, e)
 			if n.rng.IntN(2000) == 0 {
@@ -95,9 +95,9 @@
 	check()
 }
 
-// TestSumNeverExceedsLimit runs random demands over a network that loses,
-// delays, repeats and reorders messages, while clocks drift, entries and holders
-// of duties are replaced and the authority at the root lapses.
+// TestSumNeverExceedsLimit sends random demands over a network that loses, delays,
+// repeats and reorders messages, while clocks drift, entries and zone allocators
+// restart and the lease of the root allocator expires.
 func TestSumNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &network{
@@ -123,14 +123,14 @@
 	})
 }
 
-// exchange runs rounds of demands in all zones that are not cut off, each share
-// being asked for its demand in tokens per second.
+// exchange runs rounds of demands; demand returns the load of an entry in tokens per
+// second, and zones for which cut is true cannot reach the root.
 func exchange(f *fleet, rounds int, demand func(zone, entry int) float64, cut func(zone int) bool) {
 	const period = 500 * time.Millisecond
 	for range rounds {
 		for zi, z := range f.zones {
 			for ei, e := range z.entries {
-				e.share.Take(demand(zi, ei)*period.Seconds(), e.at(f.now))
+				e.share.Consume(demand(zi, ei)*period.Seconds(), e.at(f.now))
 				f.demandEntry(z, e)
 			}
 			if !cut(zi) {
@@ -148,7 +148,7 @@
 	return f
 }
 
-func never(int) bool { return false }
+func noneCutOff(int) bool { return false }
 
 func TestSharesFollowDemand(t *testing.T) {
 	f := directFleet(0.2)
@@ -160,9 +160,9 @@
 			return 0
 		}
 	}
-	exchange(f, 20, inZone(0), never)
+	exchange(f, 20, inZone(0), noneCutOff)
 	assert.Assert(t, f.zoneRate(f.zones[0]) > 0.84*testLimit, "%.0f", f.zoneRate(f.zones[0]))
-	exchange(f, 20, inZone(2), never)
+	exchange(f, 20, inZone(2), noneCutOff)
 	assert.Assert(t, f.zoneRate(f.zones[2]) > 0.84*testLimit, "%.0f", f.zoneRate(f.zones[2]))
 	assert.Assert(t, f.rate() <= testLimit*(1+1e-9))
 	busy := f.zones[2].entries[1]
@@ -172,24 +172,24 @@
 // TestEvenDemandUsesLimit checks that even demand above the limit gets at least 95 % of it.
 func TestEvenDemandUsesLimit(t *testing.T) {
 	f := directFleet(0.2)
-	exchange(f, 20, func(int, int) float64 { return testLimit }, never)
+	exchange(f, 20, func(int, int) float64 { return testLimit }, noneCutOff)
 	assert.Assert(t, f.rate() > 0.95*testLimit && f.rate() <= testLimit*(1+1e-9), "%.0f", f.rate())
 }
 
 func TestCutOffZoneFallsBackToFloor(t *testing.T) {
 	f := directFleet(0.2)
 	even := func(int, int) float64 { return testLimit }
-	exchange(f, 20, even, never)
+	exchange(f, 20, even, noneCutOff)
 	exchange(f, 20, even, func(zone int) bool { return zone == 1 })
 	assert.Assert(t, math.Abs(f.zoneRate(f.zones[1])-f.floors.Zone()) < 1, "%.0f", f.zoneRate(f.zones[1]))
 	assert.Assert(t, f.rate() > 0.95*testLimit, "the other zones use what the cut-off zone lost: %.0f", f.rate())
-	exchange(f, 20, even, never)
+	exchange(f, 20, even, noneCutOff)
 	assert.Assert(t, f.zoneRate(f.zones[1]) > 0.3*testLimit, "%.0f", f.zoneRate(f.zones[1]))
 }
 
-func TestLapsedAuthorityLeavesFloors(t *testing.T) {
+func TestExpiredRootLeaseLeavesFloors(t *testing.T) {
 	f := directFleet(0.2)
-	exchange(f, 10, func(int, int) float64 { return testLimit }, never)
+	exchange(f, 10, func(int, int) float64 { return testLimit }, noneCutOff)
 	f.now += rootLease
 	for _, z := range f.zones {
 		f.demandZone(z)
@@ -197,30 +197,30 @@
 	assert.Assert(t, math.Abs(f.rate()-0.2*testLimit) < 1, "%.0f", f.rate())
 }
 
-// TestDividerCoversLeaseOfSlowClock checks that a grant is counted for as long as its node uses it.
-func TestDividerCoversLeaseOfSlowClock(t *testing.T) {
-	for _, tt := range []struct{ node, divider float64 }{{1, 1}, {0.995, 1.0049}, {1.005, 0.995}} {
-		node, divider := clock{rate: tt.node}, clock{rate: tt.divider}
-		d := NewDivider[string]()
-		d.SetPool(Pool{Generation: 1, Rate: 100, Until: divider.at(time.Hour)})
+// TestAllocatorCoversLeaseOfSlowClock checks that a grant stays reserved for as long as its node uses it.
+func TestAllocatorCoversLeaseOfSlowClock(t *testing.T) {
+	for _, tt := range []struct{ node, allocator float64 }{{1, 1}, {0.995, 1.0049}, {1.005, 0.995}} {
+		node, allocator := clock{rate: tt.node}, clock{rate: tt.allocator}
+		d := NewAllocator[string]()
+		d.SetPool(Pool{Generation: 1, Rate: 100, Until: allocator.at(time.Hour)})
 		var l Lease
-		g, ok := d.Grant("n", l.Demand(100, node.at(0)), divider.at(0))
+		g, ok := d.Grant("n", l.NextDemand(100, node.at(0)), allocator.at(0))
 		assert.Assert(t, ok)
 		assert.Assert(t, l.Apply(g, node.at(0)))
-		for at := time.Duration(0); at < 2*leaseTime; at += time.Millisecond {
-			used, counted := l.Rate(node.at(at)), d.Reserved(divider.at(at))
+		for at := time.Duration(0); at < 2*maxLeaseTime; at += time.Millisecond {
+			used, counted := l.Rate(node.at(at)), d.Reserved(allocator.at(at))
 			assert.Assert(t, used <= counted, "at %s the node uses %.0f of %.0f", at, used, counted)
 		}
-		assert.Equal(t, d.Reserved(divider.at(2*leaseTime)), 0.0)
+		assert.Equal(t, d.Reserved(allocator.at(2*maxLeaseTime)), 0.0)
 	}
 }
 
-func TestTakeFollowsRate(t *testing.T) {
+func TestConsumeIsBoundByRate(t *testing.T) {
 	now := epoch
 	s := NewShare(100, now)
 	taken := 0.0
 	for range 1000 {
-		if _, ok := s.Take(10, now); ok {
+		if _, ok := s.Consume(10, now); ok {
 			taken += 10
 		}
 		now = now.Add(10 * time.Millisecond)
@@ -228,23 +228,23 @@
 	assert.Assert(t, taken >= 1000 && taken <= 1120, "10 s at 100 tokens/s and the burst: %.0f", taken)
 }
 
-func TestTakeLargeRequestIsRepaid(t *testing.T) {
+func TestLargeRequestCreatesDebt(t *testing.T) {
 	s := NewShare(100, epoch)
-	_, ok := s.Take(500, epoch)
+	_, ok := s.Consume(500, epoch)
 	assert.Assert(t, ok)
-	after, ok := s.Take(1, epoch)
+	after, ok := s.Consume(1, epoch)
 	assert.Assert(t, !ok)
 	assert.Equal(t, after, 4*time.Second)
-	_, ok = s.Take(1, epoch.Add(after-time.Millisecond))
+	_, ok = s.Consume(1, epoch.Add(after-time.Millisecond))
 	assert.Assert(t, !ok)
-	_, ok = s.Take(1, epoch.Add(after+time.Millisecond))
+	_, ok = s.Consume(1, epoch.Add(after+time.Millisecond))
 	assert.Assert(t, ok)
-	s.Return(50, epoch.Add(after+time.Millisecond))
-	_, ok = s.Take(40, epoch.Add(after+time.Millisecond))
+	s.Refund(50, epoch.Add(after+time.Millisecond))
+	_, ok = s.Consume(40, epoch.Add(after+time.Millisecond))
 	assert.Assert(t, ok)
 }
 
-func TestApplyRefusesVoidGrants(t *testing.T) {
+func TestApplyRejectsInvalidGrants(t *testing.T) {
 	tests := []struct {
 		name  string
 		grant Grant
@@ -253,16 +253,16 @@
 	}{
 		{"answer", Grant{Generation: 2, Seq: 2, Rate: 1, TTL: time.Second}, 0, true},
 		{"late", Grant{Generation: 2, Seq: 2, Rate: 1, TTL: time.Second}, time.Second, false},
-		{"outrun", Grant{Generation: 2, Seq: 1, Rate: 1, TTL: time.Second}, 0, false},
+		{"overtaken", Grant{Generation: 2, Seq: 1, Rate: 1, TTL: time.Second}, 0, false},
 		{"never asked for", Grant{Generation: 2, Seq: 3, Rate: 1, TTL: time.Second}, 0, false},
 		{"void generation", Grant{Generation: 1, Seq: 2, Rate: 1, TTL: time.Second}, 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var l Lease
-			l.Demand(0, epoch)
+			l.NextDemand(0, epoch)
 			assert.Assert(t, l.Apply(Grant{Generation: 2, Seq: 1, Rate: 7, TTL: time.Minute}, epoch))
-			l.Demand(0, epoch)
+			l.NextDemand(0, epoch)
 			at := epoch.Add(tt.after)
 			assert.Equal(t, l.Apply(tt.grant, at), tt.want)
 			if tt.want {
@@ -277,7 +277,7 @@
 func TestIdleUpToFloor(t *testing.T) {
 	s := NewShare(10, epoch)
 	assert.Assert(t, s.Idle(epoch))
-	s.Take(20, epoch)
+	s.Consume(20, epoch)
 	assert.Assert(t, !s.Idle(epoch))
 	s.SetFloor(30, epoch)
 	assert.Assert(t, s.Idle(epoch))
@@ -293,8 +293,8 @@
 		wg.Go(func() {
 			for i := range 200 {
 				now := epoch.Add(time.Duration(i) * time.Millisecond)
-				s.Take(1, now)
-				m := s.Demand(now)
+				s.Consume(1, now)
+				m := s.NextDemand(now)
 				s.Apply(Grant{Generation: 1, Seq: m.Seq, Rate: 10, TTL: time.Second}, now)
 				s.Rate(now)
 			}
--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -172,6 +172,6 @@
 	now := time.Now()
 	a.refundLimit(team, unused, now)
 	if controller := a.controller(c.Service); controller != nil && a.deps.Enabled {
-		controller.Return(team, unused, now)
+		controller.Refund(team, unused, now)
 	}
 }
--- a/entry/caller/caller.go
+++ b/entry/caller/caller.go
@@ -107,7 +107,7 @@
 func withRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		request := id.NewRequest()
-		w.Header().Set(problem.HeaderRequest, string(request))
+		w.Header().Set(problem.HeaderRequestID, string(request))
 		ctx := context.WithValue(r.Context(), requestIDKey{}, request)
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
--- a/entry/caller/plain.go
+++ b/entry/caller/plain.go
@@ -149,7 +149,7 @@
 		a.deps.Metrics.countFailed(result.Problem)
 		return true
 	case result.Problem == nil:
-		a.writeProblem(w, r, problem.Unknownf(problem.AnswerIncomplete, "endpoint %q sent no status", result.Endpoint))
+		a.writeProblem(w, r, problem.UnknownOutcomef(problem.AnswerIncomplete, "endpoint %q sent no status", result.Endpoint))
 	default:
 		a.writeProblem(w, r, withActionOutcome(r, result.Problem))
 	}
--- a/entry/dispatch/attempt.go
+++ b/entry/dispatch/attempt.go
@@ -176,14 +176,14 @@
 		return Result{Outcome: end.Outcome, End: end}
 	}
 	a.record(a.call, "request.broken", a.assembler.attempt, a.choice.Endpoint, end.Error)
-	p := problem.Unknownf(problem.AnswerIncomplete, "endpoint %q did not complete the answer: %s", a.choice.Endpoint, end.Error)
+	p := problem.UnknownOutcomef(problem.AnswerIncomplete, "endpoint %q did not complete the answer: %s", a.choice.Endpoint, end.Error)
 	p.Outcome = end.Outcome
 	return Result{Outcome: end.Outcome, End: end, Problem: p}
 }
 
 func (a *attempt) checksumResult(cause *ChecksumError) Result {
 	a.record(a.call, "request.broken", a.assembler.attempt, a.choice.Endpoint, cause.Error())
-	p := problem.Unknownf(problem.AnswerIncomplete, "endpoint %q: %v", a.choice.Endpoint, cause)
+	p := problem.UnknownOutcomef(problem.AnswerIncomplete, "endpoint %q: %v", a.choice.Endpoint, cause)
 	return Result{Outcome: p.Outcome, Problem: p}
 }
 
@@ -250,7 +250,7 @@
 	if !a.delivered {
 		a.reportFirstFrame()
 	}
-	unknown := problem.Unknownf(problem.OutcomeUnknown, "endpoint %q: %s", a.choice.Endpoint, detail)
+	unknown := problem.UnknownOutcomef(problem.OutcomeUnknown, "endpoint %q: %s", a.choice.Endpoint, detail)
 	ctx, cancel := context.WithTimeout(context.Background(), a.config.WithdrawTimeout)
 	defer cancel()
 	verdict, err := a.requestVerdict(ctx)
--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 // certain as it can become. If ctx ends, because the caller disconnected or the
 // entry shuts down, the attempt is withdrawn.
 func (d *Dispatcher) Run(ctx context.Context, c *Call, sink Sink) Result {
-	d.deps.Budget.FirstTry()
+	d.deps.Budget.RecordFirstTry()
 	var exclude []id.Endpoint
 	mayHaveRun := false
 	for number := 1; ; number++ {
--- a/entry/dispatch/recover.go
+++ b/entry/dispatch/recover.go
@@ -36,7 +36,7 @@
 		}
 	}
 	a.record(a.call, "request.unknown", a.id, a.choice.Endpoint, detail)
-	return Result{Outcome: outcome.Unknown, Problem: problem.Unknownf(problem.OutcomeUnknown,
+	return Result{Outcome: outcome.Unknown, Problem: problem.UnknownOutcomef(problem.OutcomeUnknown,
 		"connection to endpoint %q was lost: %s", a.choice.Endpoint, detail)}, true
 }
 
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -26,8 +26,8 @@
 	slots    int
 	followed *metrics.Histogram
 	log      zerolog.Logger
-	machine  *mapswitch.Machine
-	demand   *expertmap.Demand
+	machine  *mapswitch.Coordinator
+	demand   *expertmap.DemandEstimator
 	ranks    []member
 	// sampledAt is when the last sample of any rank came.
 	sampledAt time.Duration
@@ -67,15 +67,15 @@
 		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, slots: s.engine.Slots,
 		log:     s.log,
 		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.lease),
-		demand: expertmap.NewDemand(expertmap.DemandConfig{
-			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, Memory: s.cfg.Memory,
-			Sampled: s.cfg.sampledRanks(size, s.engine.Slots),
+		demand: expertmap.NewDemandEstimator(expertmap.DemandConfig{
+			Sets: s.engine.Experts.LayerSets, Experts: s.engine.Experts.ExpertsPerSet, Ranks: size, TimeConstant: s.cfg.DemandTimeConstant,
+			SampledRanks: s.cfg.sampledRanks(size, s.engine.Slots),
 		}),
 		ranks:    make([]member, size),
 		followed: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
 	}
 	if !g.fits() {
-		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.Places).Int("experts", g.experts.PerSet).
+		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.SlotsPerRank).Int("experts", g.experts.ExpertsPerSet).
 			Msg("the ranks have fewer places than experts; the initial map stays")
 	}
 	return g
@@ -114,7 +114,7 @@
 	if first.Experts == nil || first.Epoch != g.machine.Epoch() {
 		return
 	}
-	content := make(mapswitch.Map, g.experts.Sets)
+	content := make(mapswitch.Map, g.experts.LayerSets)
 	for s := range content {
 		content[s] = make([][]int, g.size)
 	}
@@ -123,14 +123,14 @@
 			return
 		}
 		lay := layouts[g.ranks[r].link]
-		if lay.Epoch != first.Epoch || lay.Version != first.Version || len(lay.Experts) != g.experts.Sets {
+		if lay.Epoch != first.Epoch || lay.Version != first.Version || len(lay.Experts) != g.experts.LayerSets {
 			return
 		}
 		for s := range content {
 			content[s][r] = lay.Experts[s]
 		}
 	}
-	g.machine.Learn(first.Epoch, first.Version, content)
+	g.machine.SetContent(first.Epoch, first.Version, content)
 }
 
 func (g *group) onSample(l *ranklink.Link, s *relay.Sample, now time.Duration) {
@@ -143,7 +143,7 @@
 	}
 	rank := g.rankOf(l)
 	g.sampledAt, g.ranks[rank].sampledAt = now, now
-	if g.demand.Add(rank, counts, now) {
+	if g.demand.AddSample(rank, counts, now) {
 		g.follow(now)
 	}
 }
@@ -180,7 +180,7 @@
 
 // fits reports whether the places of all ranks can hold every expert. If not, the
 // ranks hold more experts from the start than an order may name, and accept none.
-func (g *group) fits() bool { return g.size*g.experts.Places >= g.experts.PerSet }
+func (g *group) fits() bool { return g.size*g.experts.SlotsPerRank >= g.experts.ExpertsPerSet }
 
 // busy reports whether the machine waits for answers or for a step.
 func (g *group) busy() bool { return g.fits() && g.machine.Phase() != mapswitch.Idle }
@@ -204,7 +204,7 @@
 // plan starts a change if the demand asks for one.
 func (g *group) plan(now time.Duration) bool {
 	loads, ok := g.demand.Loads()
-	if !ok || g.demand.Age(now) > g.cfg.MaxAge || g.plannedAt >= now-g.cfg.PlanInterval {
+	if !ok || g.demand.Age(now) > g.cfg.MaxDemandAge || g.plannedAt >= now-g.cfg.PlanInterval {
 		return false
 	}
 	version, content, ok := g.machine.Current()
@@ -215,15 +215,15 @@
 	maps := g.convert(version, content)
 	pace := g.pace()
 	skew := meanSkew(maps, loads, pace)
-	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.Rest && skew < g.rested.skew+g.cfg.MinReduction {
+	if g.rested.shifts == g.demand.Shifts() && now-g.rested.at < g.cfg.ReplanHoldoff && skew < g.rested.skew+g.cfg.MinSkewReduction {
 		return false
 	}
-	round := expertmap.Round{
-		Ranks: g.size, Experts: g.experts.PerSet, Places: g.experts.Places,
-		MaxNew: g.experts.MaxNew, Copies: g.cfg.Copies, MinGain: g.minGain(skew), Pace: pace,
+	round := expertmap.RoundPlanner{
+		Ranks: g.size, Experts: g.experts.ExpertsPerSet, SlotsPerRank: g.experts.SlotsPerRank,
+		MaxNewPerSet: g.experts.MaxNewPerMap, MaxCopiesPerRank: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), SlowFactors: pace,
 	}
 	p := round.Plan(maps, loads)
-	if p.SkewBefore-p.SkewAfter < g.cfg.MinReduction {
+	if p.SkewBefore-p.SkewAfter < g.cfg.MinSkewReduction {
 		g.rested = rest{at: now, skew: skew, shifts: g.demand.Shifts()}
 		return false
 	}
@@ -260,7 +260,7 @@
 	if skew > evenSkew-evenMargin {
 		factor /= unevenDivisor
 	}
-	return g.cfg.RankGain / float64(g.size) * factor
+	return g.cfg.MinTotalGain / float64(g.size) * factor
 }
 
 // slowPace is the pace from which on a rank counts as slow, above what the ranks'
@@ -285,7 +285,7 @@
 // convert returns the map in use in the planner's form.
 func (g *group) convert(version uint64, content mapswitch.Map) []expertmap.Map {
 	if g.maps == nil || version != g.mapsVersion || g.machine.Epoch() != g.mapsEpoch {
-		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.Places), version, g.machine.Epoch()
+		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.SlotsPerRank), version, g.machine.Epoch()
 	}
 	return g.maps
 }
@@ -295,7 +295,7 @@
 func meanSkew(maps []expertmap.Map, loads []expertmap.Load, pace []float64) float64 {
 	var sum float64
 	for i, m := range maps {
-		sum += m.SkewAt(loads[i], pace)
+		sum += m.WeightedSkew(loads[i], pace)
 	}
 	return sum / float64(max(len(maps), 1))
 }
--- a/entry/server/operatordeps.go
+++ b/entry/server/operatordeps.go
@@ -22,7 +22,7 @@
 		Status:     s.table.Status,
 		LastReport: func(e id.Endpoint) (endpoints.ReceivedReport, bool) { return s.endpoints.LastReport(e) },
 		Requests:   s.requests,
-		Duties:     []string{hosts.Duty, "reader/" + string(s.config.Zone)},
+		Duties:     []string{hosts.DutyKey, "reader/" + string(s.config.Zone)},
 	})
 }
 
