--- a/entry/endpoints/select_test.go
+++ b/entry/endpoints/select_test.go
@@ -34,6 +34,7 @@
 	return &Manager{config: c}
 }
 
+// TestSelectEndpoints checks that the limit leaves each service an endpoint in the local zone.
 func TestSelectEndpoints(t *testing.T) {
 	for _, tc := range []struct {
 		name                      string
@@ -61,6 +62,7 @@
 	}
 }
 
+// TestHostsSelectDifferentEndpoints guards against endpoints that no host selects.
 func TestHostsSelectDifferentEndpoints(t *testing.T) {
 	uses := map[id.Endpoint]int{}
 	endpoints := fleetEndpoints(1, 1, 120)
--- a/entry/operator/answer.go
+++ b/entry/operator/answer.go
@@ -73,7 +73,7 @@
 	return a
 }
 
-// addSources adds the processes and truncation of a peer reply to an answer.
+// addSources adds the replying and missing processes of a peer reply to an answer.
 func addSources(a *answer.Answer, reply *peerReply) {
 	a.Processes = append(a.Processes, reply.Processes...)
 	slices.Sort(a.Processes)
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -56,6 +56,7 @@
 	assert.Equal(t, reply.Plan.State, answer.Unchanged)
 }
 
+// TestUnknownOutcomeIsNotReportedAsAccepted checks a change whose write was not confirmed.
 func TestUnknownOutcomeIsNotReportedAsAccepted(t *testing.T) {
 	s, store := newService(t)
 	s.deps.Store = lostReplyStore{store}
@@ -71,6 +72,7 @@
 	assert.Assert(t, len(s.Answer(t.Context(), answer.Question{Script: "# no"}, "ana").Findings) == 1)
 }
 
+// TestFreshestReportWins checks that rows with an older or no report are dropped.
 func TestFreshestReportWins(t *testing.T) {
 	tab := lang.NewTable(lang.Endpoints)
 	age := tab.Column("report_age_ms")
@@ -84,6 +86,7 @@
 	assert.Equal(t, tab.Rows[0][age], table.Number(3))
 }
 
+// TestRepliesFitIntoMessages guards against replies that are too large for a message.
 func TestRepliesFitIntoMessages(t *testing.T) {
 	big := &peerReply{Rows: &table.Table{Columns: []string{"x"}}}
 	for range 400 {
--- a/entry/operator/protocol.go
+++ b/entry/operator/protocol.go
@@ -79,7 +79,7 @@
 	// LastReport returns the last load report of an endpoint.
 	LastReport func(e id.Endpoint) (endpoints.ReceivedReport, bool)
 	Requests   *RequestLog
-	// Duties are the keys of the zone's duties.
+	// Duties are the keys of the tasks that only one entry of the zone performs.
 	Duties []string
 }
 
--- a/entry/server/duties.go
+++ b/entry/server/duties.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// claimsDuty is the key of the duty to remove expired claims.
+	// claimsDuty is the key that elects the host of the zone which removes expired claims.
 	claimsDuty = "claims"
 	// expireInterval is the mean time between two removals of expired claims.
 	expireInterval = time.Minute
--- a/entry/server/limits.go
+++ b/entry/server/limits.go
@@ -5,7 +5,7 @@
 	"github.com/siskinford/siskinford/fleet/transport"
 )
 
-// connectLimits starts the exchange of demands and grants with other entries.
+// connectLimits lets the limiter exchange demands and grants with other entries.
 func (s *Server) connectLimits(mux *transport.Mux) error {
 	err := s.limits.SetDeps(limits.Deps{
 		Store: s.deps.Store, Members: s.node.members, Caller: mux.Caller(transport.Limits), Metrics: s.metrics,
