--- a/balance/route/baseline.go
+++ b/balance/route/baseline.go
@@ -8,7 +8,7 @@
 func (p *roundRobin) Pick(r Request) (Choice, error) {
 	return p.table.pickFrom(r, func(z *zoneSet, usable func(*member) bool) *member {
 		n := uint64(len(z.ready))
-		first := z.load.roundRobin.Add(1)
+		first := z.load.picks.Add(1)
 		for i := range n {
 			if m := z.ready[(first+i)%n]; usable(m) {
 				return m
@@ -27,7 +27,7 @@
 		var best *member
 		var least float64
 		n := uint64(len(z.ready))
-		first := z.load.roundRobin.Add(1)
+		first := z.load.picks.Add(1)
 		for i := range n {
 			m := z.ready[(first+i)%n]
 			open := float64(m.state.openCount.Load()) / m.Weight
--- a/balance/route/state.go
+++ b/balance/route/state.go
@@ -224,8 +224,8 @@
 	peerRequests atomic.Int64
 	// summary is the last summary of the zone from another entry, or nil.
 	summary atomic.Pointer[zoneSummary]
-	// roundRobin counts the picks of the baseline policies.
-	roundRobin atomic.Uint64
+	// picks counts the picks of the baseline policies, to rotate.
+	picks atomic.Uint64
 }
 
 // zoneSummary is a ZoneSummary with its time on the table's clock.
