--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -18,7 +18,7 @@
 
 // groupWatch returns a watch of one rank of a group whose engine is given. Nothing
 // is connected.
-func groupWatch(t *testing.T, e routes.Engine) (*GroupWatch, *watched) {
+func groupWatch(t *testing.T, e routes.Engine) (*GroupMonitor, *watched) {
 	t.Helper()
 	h := NewHandler(Options{
 		Codec: testCodec{}, Entries: func() int { return 1 }, Log: zerolog.Nop(), Retries: retry.WindowConfig{Length: time.Second},
@@ -29,8 +29,8 @@
 	h.SetEndpoints([]Endpoint{{Name: "a", Service: "s", Address: "127.0.0.1:1"}})
 	rank := ranklink.Endpoint{Name: "a", Address: "127.0.0.1:1"}
 	w := &watched{look: look{every: fastLook, decides: true}}
-	return &GroupWatch{
-		Service: h.Service("s"), Roster: roster.NewBook(func() {}), Log: zerolog.Nop(),
+	return &GroupMonitor{
+		Service: h.Service("s"), Roster: roster.New(func() {}), Log: zerolog.Nop(),
 		links: map[ranklink.Endpoint]*watched{rank: w}, listed: map[ranklink.Endpoint]id.Zone{rank: "z"},
 	}, w
 }
@@ -38,9 +38,9 @@
 // TestLongPassesAreNoOutage names the pattern "a pass of a slow engine lasts as long
 // as an outage of a fast one".
 func TestLongPassesAreNoOutage(t *testing.T) {
-	fast := routes.Engine{Slots: 12, Step: 4550 * time.Microsecond, PerSequence: 905 * time.Microsecond, Stride: 4, Experts: &routes.Experts{Sets: 1, PerSet: 1, Places: 1}}
+	fast := routes.Engine{Slots: 12, StepTime: 4550 * time.Microsecond, StepTimePerSequence: 905 * time.Microsecond, StepsPerPass: 4, Experts: &routes.Experts{LayerSets: 1, ExpertsPerSet: 1, SlotsPerRank: 1}}
 	slow := fast
-	slow.Step, slow.PerSequence = 22*time.Millisecond, 3600*time.Microsecond
+	slow.StepTime, slow.StepTimePerSequence = 22*time.Millisecond, 3600*time.Microsecond
 	cases := map[string]struct {
 		engine routes.Engine
 		since  time.Duration // the begin of the last pass
@@ -82,6 +82,6 @@
 		slot, d := s.Acquire(t.Context(), intake.Request{Target: time.Hour, Deadline: time.Hour}, nil)
 		assert.Assert(t, slot != nil, "%v", d)
 		assert.Equal(t, slot.Decision.Capacity, slots)
-		slot.End(Good)
+		slot.Release(Succeeded)
 	}
 }
--- a/entry/edge/values.go
+++ b/entry/edge/values.go
@@ -81,7 +81,7 @@
 func (v *values) setConfig(data []byte, source string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	c, err := v.adapter.Config(data)
+	c, err := v.adapter.DecodeConfig(data)
 	var table *routes.Table
 	if err == nil {
 		table, err = routes.NewTable(c)
@@ -141,7 +141,7 @@
 	var out []direct.Endpoint
 	draining := 0
 	for name, r := range v.endpoints.listed {
-		e, err := v.adapter.Endpoint(name, r.Value)
+		e, err := v.adapter.DecodeEndpoint(name, r.Value)
 		if err != nil {
 			v.log.Warn().Err(err).Str("event", "endpoint.rejected").Str("object", v.adapter.EndpointKind+"/"+name).Send()
 			continue
@@ -149,7 +149,7 @@
 		if e.Draining {
 			draining++
 		}
-		e.Registered = r.Created
+		e.RegistrationRevision = r.Created
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(a, b direct.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
@@ -186,7 +186,7 @@
 		e.values.put(t, v)
 		return
 	}
-	if err := book.Take(v.Version, v.Data); err != nil {
+	if err := book.Update(v.Version, v.Data); err != nil {
 		e.log.Error().Err(err).Str("event", "roster.rejected").Str("topic", string(t)).Send()
 	}
 }
--- a/entry/problem/problem.go
+++ b/entry/problem/problem.go
@@ -16,8 +16,8 @@
 // ContentType is the media type of errors.
 const ContentType = "application/problem+json"
 
-// HeaderRequest is the HTTP response header that carries the request ID.
-const HeaderRequest = "Siskinford-Request"
+// HeaderRequestID is the HTTP response header that carries the request ID.
+const HeaderRequestID = "Siskinford-Request"
 
 // Code is a stable identifier of an error. Callers may rely on it.
 type Code string
@@ -81,10 +81,10 @@
 	Detail  string          `json:"detail"`
 	Request id.Request      `json:"request,omitempty"`
 	Outcome outcome.Outcome `json:"outcome"`
-	// ActionOutcome is set for requests with a ticket or idempotency key. It
-	// tells what is known of the action over all requests that named it.
+	// ActionOutcome is set for requests with a ticket or idempotency key. It is the
+	// outcome of the action over all requests that named it.
 	ActionOutcome outcome.Outcome `json:"action_outcome,omitempty"`
-	// Findings lists all errors of a malformed request with their place.
+	// Findings lists all errors of a malformed request with their locations.
 	Findings finding.List `json:"findings,omitempty"`
 	// RetryAfter is sent as the Retry-After header. Zero means none.
 	RetryAfter time.Duration `json:"-"`
@@ -95,8 +95,8 @@
 	return &Problem{Code: code, Detail: fmt.Sprintf(format, args...), Outcome: outcome.NotRun}
 }
 
-// Unknownf returns a problem of a request that may have run.
-func Unknownf(code Code, format string, args ...any) *Problem {
+// UnknownOutcomef returns a problem of a request that may have run.
+func UnknownOutcomef(code Code, format string, args ...any) *Problem {
 	return &Problem{Code: code, Detail: fmt.Sprintf(format, args...), Outcome: outcome.Unknown}
 }
 
@@ -119,7 +119,7 @@
 	*Problem
 }
 
-// Write sends the problem as the whole answer.
+// Write sends the problem as the complete response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", ContentType)
