--- a/balance/admit/pressure.go
+++ b/balance/admit/pressure.go
@@ -13,7 +13,7 @@
 	pressureTimeConstant = 100 * time.Millisecond
 	// usageLimitTimeConstant is the time constant at which usageLimit follows the pressure.
 	usageLimitTimeConstant = 2 * time.Second
-	// pressureSensitivity is the relative decrease of the allowed usage per pressure.
+	// pressureSensitivity is the relative decrease of the allowed usage per unit of pressure.
 	pressureSensitivity = 1
 	// minUsageLimit and maxUsageLimit bound usageLimit.
 	minUsageLimit = 1.0 / 8
--- a/balance/intake/types.go
+++ b/balance/intake/types.go
@@ -29,7 +29,7 @@
 	// request to its end. Default: FirstEventLatency.
 	RequestDuration time.Duration
 	// OutageDuration is the initial estimate of a group's outage. Default: 5.5 s, for
-	// the detection of a crash, the restart of the process and the forming of the group.
+	// the detection of a crash, the restart of the process and the re-forming of the group.
 	OutageDuration time.Duration
 	// Overcommit is the number of requests beyond its slots that an endpoint may
 	// have, which queue there for a slot. Default: 0.
--- a/balance/limit/share.go
+++ b/balance/limit/share.go
@@ -26,7 +26,7 @@
 	decayedAt time.Time
 }
 
-// NewShare returns a share with a floor in tokens per second, which needs no grant.
+// NewShare returns a share with a floor in tokens per second, which applies without a grant.
 // The bucket starts full.
 func NewShare(floor float64, now time.Time) *Share {
 	return &Share{floor: floor, tokens: floor * burstTime.Seconds(), filledAt: now, decayedAt: now}
--- a/balance/retry/retry.go
+++ b/balance/retry/retry.go
@@ -36,8 +36,8 @@
 	BaseDelay time.Duration
 	// MaxDelay bounds the backoff. Unit: duration. Default: 1 s.
 	MaxDelay time.Duration
-	// MinRemaining is the least time between the start of a retry and the
-	// deadline. Unit: duration. Default: 5 ms.
+	// MinRemaining is the least time before the deadline at which a retry is
+	// worthwhile. Unit: duration. Default: 5 ms.
 	MinRemaining time.Duration
 	// Rand returns uniform numbers in [0, 1) and is safe for concurrent use.
 	// Default: the runtime's generator.
--- a/balance/route/route.go
+++ b/balance/route/route.go
@@ -94,7 +94,7 @@
 // Picker is a routing policy. Request handlers call Pick on each try; it does not block.
 type Picker interface {
 	// Pick returns the endpoint for a request. The error is a *NoEndpointError
-	// if no endpoint of the service may receive work.
+	// if no endpoint of the service may receive the request.
 	Pick(r Request) (Choice, error)
 }
 
