--- a/balance/mapswitch/types.go
+++ b/balance/mapswitch/types.go
@@ -12,10 +12,10 @@
 //
 // A fence is an order to prepare the map that is already in use under a higher
 // version. A rank that accepts it is not armed, and no late order of a lower
-// version can arm it. So if a fence was accepted first, some rank was never armed
-// and the step stays held until all are fenced; otherwise no rank is disarmed, and
-// all ranks that confirmed it are still armed. Any coordinator can therefore
-// complete or undo the change of another one at any time.
+// version can arm it. So if a rank accepts a fence before all are armed, the step
+// stays held until every rank is fenced; if none does, no rank is disarmed and those
+// that confirmed being armed still are. Any coordinator can therefore complete or
+// undo the change of another one at any time.
 //
 // A host is most likely to stall while it processes an order, and its rank then
 // does not answer. The hold is therefore forwarded by another rank's relay, which
