--- /dev/null
+++ b/entry/direct/buffered.go
@@ -0,0 +1,234 @@
+package direct
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/siskinford/siskinford/entry/routes"
+	"github.com/siskinford/siskinford/entry/upstream"
+)
+
+const (
+	// maxBufferedBytes is the largest response that is buffered.
+	maxBufferedBytes = 1 << 20
+	// attemptTimeoutTargets is the attempt timeout as a multiple of the target latency, while
+	// another endpoint may still be tried.
+	attemptTimeoutTargets = 2
+)
+
+var errAttemptTimeout = errors.New("the endpoint gave no answer in time")
+
+// serveBuffered sends the request to endpoints until one returns a complete response.
+func (h *Handler) serveBuffered(ctx context.Context, w http.ResponseWriter, q *request) {
+	var (
+		resp *response
+		err  error
+	)
+	for {
+		slot, d := q.service.Acquire(ctx, q.intakeRequest(), h.queued(q))
+		switch {
+		case slot != nil:
+		case ctx.Err() != nil:
+			h.endExpired(ctx, w, q)
+			return
+		case q.sent > q.refused:
+			h.writeResult(w, q, resp, err)
+			return
+		default:
+			h.refuse(w, q, d)
+			return
+		}
+		resp, err = h.attemptBuffered(ctx, q, slot)
+		if err != nil && ctx.Err() != nil {
+			h.endExpired(ctx, w, q)
+			return
+		}
+		if !h.acquireRetry(q, slot, resp, err) {
+			h.writeResult(w, q, resp, err)
+			return
+		}
+	}
+}
+
+// attemptBuffered sends the request once and buffers the response.
+func (h *Handler) attemptBuffered(ctx context.Context, q *request, slot *Slot) (resp *response, err error) {
+	outcome := Neutral
+	defer func() { slot.Release(outcome) }()
+	if limit, ok := q.attemptTimeout(); ok {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithDeadlineCause(ctx, time.Now().Add(limit), errAttemptTimeout)
+		defer cancel()
+	}
+	x, err := h.send(ctx, q, slot, "")
+	if err != nil {
+		outcome = outcomeOf(err)
+		return nil, err
+	}
+	defer x.Close()
+	info, err := h.checkResponse(q, x)
+	if err != nil {
+		outcome = Failed
+		return nil, err
+	}
+	body, err := io.ReadAll(io.LimitReader(x.Body(), maxBufferedBytes+1))
+	if err != nil {
+		outcome = Failed
+		return nil, errors.Wrap(err, "answer broke off")
+	}
+	if len(body) > maxBufferedBytes {
+		return nil, errors.Newf("answer exceeds %d bytes", maxBufferedBytes)
+	}
+	if !info.NotRun {
+		slot.RecordFirstEvent()
+	}
+	status := x.Response.StatusCode
+	switch {
+	case info.NotRun:
+	case status >= http.StatusInternalServerError:
+		outcome = Failed
+	default:
+		outcome = Succeeded
+	}
+	return &response{
+		status: status, header: x.Response.Header, body: body, info: info, endpoint: slot.Backend.Name,
+	}, nil
+}
+
+// attemptTimeout returns the attempt's timeout, false if only the request's deadline
+// applies.
+func (q *request) attemptTimeout() (time.Duration, bool) {
+	if !q.route.Repeatable() || q.sent+1 >= q.route.MaxAttempts || q.route.Target <= 0 {
+		return 0, false
+	}
+	limit := attemptTimeoutTargets * q.route.Target
+	return limit, limit < time.Until(q.deadline)*3/4
+}
+
+// outcomeOf returns the outcome of a failed exchange.
+func outcomeOf(err error) Outcome {
+	if errors.Is(err, errStreamSilent) || errors.Is(err, errAttemptTimeout) {
+		return Hung
+	}
+	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
+		return Neutral
+	}
+	return Failed
+}
+
+// send sends the request to the slot's endpoint and counts it unless no byte was written.
+func (h *Handler) send(ctx context.Context, q *request, slot *Slot, lastEvent string) (*upstream.Exchange, error) {
+	h.requestLog.chosen(q, slot)
+	header := q.header.Clone()
+	f := ForwardInfo{
+		Endpoint: slot.Backend.Name, Remaining: time.Until(q.deadline), Priority: q.priority(), LastEvent: lastEvent,
+	}
+	if q.team != nil {
+		f.Team = q.team.Name
+	}
+	h.opt.Codec.WriteForward(header, f)
+	out := &upstream.Request{Method: q.method, Target: q.target, Host: q.host, Header: header, Body: q.body}
+	// A reused connection may be dead unnoticed. Requests that must not be repeated
+	// or have failed before use a new one.
+	fresh := q.route.Kind == routes.NonIdempotent || len(q.excluded) > 0
+	x, err := slot.Backend.Pool.Do(ctx, out, fresh)
+	var notSent *upstream.NotSentError
+	if errors.As(err, &notSent) {
+		if ctx.Err() == nil {
+			q.service.MarkUnreachable(slot.Backend.Name)
+		}
+		return nil, err
+	}
+	q.sent++
+	if err != nil {
+		q.mayHaveRun = true
+		slot.Backend.Pool.CloseIdle()
+	}
+	return x, err
+}
+
+// checkResponse reports whether a response may be forwarded, by its status and headers.
+func (h *Handler) checkResponse(q *request, x *upstream.Exchange) (ResponseInfo, error) {
+	r := x.Response
+	info := h.opt.Codec.ParseResponse(r.StatusCode, r.Header)
+	if !info.NotRun {
+		q.mayHaveRun = true
+	}
+	switch {
+	case info.Request != "" && info.Request != q.info.ID:
+		q.mayHaveRun = true
+		return info, errors.New("the answer belongs to another request")
+	case r.StatusCode < 300 && !info.Signed:
+		return info, errors.New("the answer is not signed")
+	case r.Header.Get("Content-Encoding") != "":
+		return info, errors.New("the answer is encoded")
+	}
+	return info, nil
+}
+
+// maxGroupDownRetries bounds the retries of a request because its group was down, beyond
+// the route's attempts. It covers the time for which the intake waits for a group in
+// doubt, if few requests wait.
+const maxGroupDownRetries = 8
+
+// acquireRetry reports whether to retry the request after an attempt. It takes the retry
+// from the budget, unless nothing was sent.
+func (h *Handler) acquireRetry(q *request, slot *Slot, resp *response, err error) bool {
+	h.recordRefusal(q, slot, resp)
+	why := q.retryReason(resp, err)
+	var notSent *upstream.NotSentError
+	if why == "" || (!errors.As(err, &notSent) && !q.service.AcquireRetry()) {
+		return false
+	}
+	if !resp.groupDown() {
+		q.excluded = append(q.excluded, slot.Backend.Name)
+	}
+	h.requestLog.repeated(q, slot.Backend.Name, err, why)
+	return true
+}
+
+// recordRefusal records the cause of a refusal at the service.
+func (h *Handler) recordRefusal(q *request, slot *Slot, resp *response) {
+	if resp == nil || !resp.info.NotRun {
+		return
+	}
+	q.refused++
+	if resp.info.WrongInstance {
+		q.service.MarkReplaced(slot.Backend.Name)
+	}
+	if resp.groupDown() {
+		q.groupDownRefusals++
+		q.service.ReportGroupDown(slot.Backend.Name)
+	}
+}
+
+// groupDown reports whether the endpoint refused because another rank is missing: the
+// whole group is down, and no rank of it accepts the request.
+func (r *response) groupDown() bool {
+	return r != nil && r.info.NotRun && r.info.AtFault != "" && r.info.AtFault != r.endpoint
+}
+
+// retryReason returns why a request may be retried, empty if it may not.
+func (q *request) retryReason(resp *response, err error) string {
+	var notSent *upstream.NotSentError
+	switch {
+	case errors.As(err, &notSent):
+		return "no connection"
+	case resp.groupDown() && q.groupDownRefusals <= maxGroupDownRetries:
+		return "the group is down"
+	case q.sent-q.groupDownRefusals >= q.route.MaxAttempts:
+		return ""
+	case err != nil && q.route.Repeatable():
+		return err.Error()
+	case err != nil:
+		return ""
+	case resp.info.NotRun:
+		return "refused"
+	case resp.status >= http.StatusInternalServerError && q.route.Repeatable():
+		return "the endpoint failed"
+	}
+	return ""
+}
--- a/entry/direct/whole_test.go
+++ b/entry/direct/buffered_test.go
@@ -13,12 +13,12 @@
 )
 
 var (
-	safe   = routes.Route{Kind: routes.Idempotent, MaxAttempts: 2}
-	unsafe = routes.Route{Kind: routes.NonIdempotent, MaxAttempts: 2}
+	idempotent    = routes.Route{Kind: routes.Idempotent, MaxAttempts: 2}
+	nonIdempotent = routes.Route{Kind: routes.NonIdempotent, MaxAttempts: 2}
 )
 
 func TestWholeAnswers(t *testing.T) {
-	refusal := status(503, "Not-Run: 1")
+	refusal := respond(503, "Not-Run: 1")
 	cases := map[string]struct {
 		route         routes.Route
 		first, second script
@@ -27,19 +27,19 @@
 		// wantTries counts the requests at both endpoints.
 		wantTries int
 	}{
-		"answered":                     {safe, ok("a"), ok("a"), 200, "a", 1},
-		"a refusal is tried elsewhere": {unsafe, refusal, refusal, 503, "", 2},
-		"a failure of an idempotent request is tried elsewhere":     {safe, status(500, "Signed: yes"), status(500, "Signed: yes"), 500, "", 2},
-		"a failure of a non-idempotent request is passed on":        {unsafe, status(500, "Signed: yes"), status(500, "Signed: yes"), 500, "", 1},
-		"a cut answer of an idempotent request is tried elsewhere":  {safe, cutOff(""), cutOff(""), 502, "", 2},
-		"a cut answer of a non-idempotent request promises nothing": {unsafe, cutOff(""), cutOff(""), 502, "", 1},
-		"an unmarked 503 promises nothing":                          {unsafe, status(503), status(503), 502, "", 1},
-		"an unmarked 429 promises nothing":                          {unsafe, status(429), status(429), 502, "", 1},
-		"another instance does not run the request":                 {unsafe, status(421), status(421), 503, "", 2},
-		"an answer without signature is none":                       {unsafe, status(200), status(200), 502, "", 1},
-		"an answer of another request is none":                      {unsafe, status(200, "Signed: yes", "Request: other"), status(200, "Signed: yes", "Request: other"), 502, "", 1},
-		"an encoded answer is none":                                 {unsafe, status(200, "Signed: yes", "Content-Encoding: gzip"), status(200, "Signed: yes", "Content-Encoding: gzip"), 502, "", 1},
-		"a failure of the client is passed on":                      {safe, status(404, "Signed: yes"), status(404, "Signed: yes"), 404, "", 1},
+		"answered":                     {idempotent, respondOK("a"), respondOK("a"), 200, "a", 1},
+		"a refusal is tried elsewhere": {nonIdempotent, refusal, refusal, 503, "", 2},
+		"a failure of an idempotent request is tried elsewhere":     {idempotent, respond(500, "Signed: yes"), respond(500, "Signed: yes"), 500, "", 2},
+		"a failure of a non-idempotent request is passed on":        {nonIdempotent, respond(500, "Signed: yes"), respond(500, "Signed: yes"), 500, "", 1},
+		"a cut answer of an idempotent request is tried elsewhere":  {idempotent, cutOff(""), cutOff(""), 502, "", 2},
+		"a cut answer of a non-idempotent request promises nothing": {nonIdempotent, cutOff(""), cutOff(""), 502, "", 1},
+		"an unmarked 503 promises nothing":                          {nonIdempotent, respond(503), respond(503), 502, "", 1},
+		"an unmarked 429 promises nothing":                          {nonIdempotent, respond(429), respond(429), 502, "", 1},
+		"another instance does not run the request":                 {nonIdempotent, respond(421), respond(421), 503, "", 2},
+		"an unsigned response is not forwarded":                     {nonIdempotent, respond(200), respond(200), 502, "", 1},
+		"a response to another request is not forwarded":            {nonIdempotent, respond(200, "Signed: yes", "Request: other"), respond(200, "Signed: yes", "Request: other"), 502, "", 1},
+		"an encoded response is not forwarded":                      {nonIdempotent, respond(200, "Signed: yes", "Content-Encoding: gzip"), respond(200, "Signed: yes", "Content-Encoding: gzip"), 502, "", 1},
+		"a client error is forwarded":                               {idempotent, respond(404, "Signed: yes"), respond(404, "Signed: yes"), 404, "", 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -58,32 +58,33 @@
 				assert.Assert(t, after > 0)
 			}
 			if c.wantStatus == http.StatusBadGateway {
-				assert.Equal(t, got.header.Get("Signed"), "", "the entry's own failure bears no signature")
+				assert.Equal(t, got.header.Get("Signed"), "", "the entry's own errors are not signed")
 			}
 		})
 	}
 }
 
-func TestOneAttemptOnlyIfTheRouteSaysSo(t *testing.T) {
-	a, b := newBackend(t, "a", status(503, "Not-Run: 1")), newBackend(t, "b", status(503, "Not-Run: 1"))
+func TestMaxAttemptsOne(t *testing.T) {
+	a, b := newBackend(t, "a", respond(503, "Not-Run: 1")), newBackend(t, "b", respond(503, "Not-Run: 1"))
 	e := newEntry(t, routes.Route{Kind: routes.NonIdempotent, MaxAttempts: 1}, a, b)
 	got := e.send(http.MethodPost)
 	assert.Equal(t, got.status, 503)
 	assert.Equal(t, len(a.requests())+len(b.requests()), 1)
 }
 
-// TestGETIsNotRepeatedByItsMethod: the kind of the route decides, not the method.
+// TestGETIsNotRepeatedByItsMethod checks that the kind of the route decides, not the
+// method.
 func TestGETIsNotRepeatedByItsMethod(t *testing.T) {
 	a, b := newBackend(t, "a", cutOff("")), newBackend(t, "b", cutOff(""))
-	e := newEntry(t, unsafe, a, b)
+	e := newEntry(t, nonIdempotent, a, b)
 	got := e.sendBody(t.Context(), http.MethodGet, "")
 	assert.Equal(t, got.status, 502)
 	assert.Equal(t, len(a.requests())+len(b.requests()), 1)
 }
 
 func TestWhatTheEndpointIsTold(t *testing.T) {
-	a := newBackend(t, "a", ok("x"))
-	e := newEntry(t, safe, a)
+	a := newBackend(t, "a", respondOK("x"))
+	e := newEntry(t, idempotent, a)
 	got := e.send(http.MethodPost, "Patience: 1000", "Connection: X-Hop", "X-Hop: 1", "X-Kept: 2", "Team: forged")
 	assert.Equal(t, got.status, 200)
 	h := a.requests()[0]
@@ -98,8 +99,8 @@
 }
 
 func TestRejections(t *testing.T) {
-	a := newBackend(t, "a", ok("x"))
-	e := newEntry(t, safe, a)
+	a := newBackend(t, "a", respondOK("x"))
+	e := newEntry(t, idempotent, a)
 	assert.Equal(t, e.send(http.MethodPost, "Key: unknown").status, http.StatusUnauthorized)
 	assert.Equal(t, e.sendBody(t.Context(), http.MethodPost, string(make([]byte, 1001))).status, http.StatusRequestEntityTooLarge)
 	assert.Equal(t, len(a.requests()), 0)
@@ -113,7 +114,7 @@
 func TestTimeIsOver(t *testing.T) {
 	t.Run("at the endpoint, nothing is promised", func(t *testing.T) {
 		a := newBackend(t, "a", hang)
-		e := newEntry(t, unsafe, a)
+		e := newEntry(t, nonIdempotent, a)
 		got := e.send(http.MethodPost, "Patience: 150")
 		assert.Equal(t, got.status, http.StatusGatewayTimeout)
 		assert.Assert(t, got.took < time.Second)
@@ -126,17 +127,17 @@
 		assert.Assert(t, got.took < time.Second)
 	})
 	t.Run("a silent endpoint leaves time for another", func(t *testing.T) {
-		a, b := newBackend(t, "a", hang), newBackend(t, "b", ok("b"))
+		a, b := newBackend(t, "a", hang), newBackend(t, "b", respondOK("b"))
 		e := newEntry(t, routes.Route{Kind: routes.Idempotent, MaxAttempts: 2, Target: 50 * time.Millisecond}, a, b)
-		e.handler.Service("s").MarkUnreachable("b") // So that a is tried first.
+		e.handler.Service("s").MarkUnreachable("b") // Makes a the first choice.
 		got := e.send(http.MethodPost, "Patience: 2000")
 		assert.Equal(t, got.status, 200)
 		assert.Equal(t, got.body, "b")
 	})
 }
 
-func TestUnreachableEndpointIsNoAttempt(t *testing.T) {
-	a, b := newBackend(t, "a", ok("a")), newBackend(t, "b", ok("b"))
+func TestUnreachableEndpointDoesNotCountAsAttempt(t *testing.T) {
+	a, b := newBackend(t, "a", respondOK("a")), newBackend(t, "b", respondOK("b"))
 	a.server.Close()
 	e := newEntry(t, routes.Route{Kind: routes.NonIdempotent, MaxAttempts: 1}, a, b)
 	for range 5 {
@@ -147,22 +148,21 @@
 }
 
 func TestBudgetOfRepeats(t *testing.T) {
-	a, b := newBackend(t, "a", status(500, "Signed: yes")), newBackend(t, "b", status(500, "Signed: yes"))
-	e := newEntry(t, safe, a, b)
-	e.handler.Service("s").window = retryNothing()
+	a, b := newBackend(t, "a", respond(500, "Signed: yes")), newBackend(t, "b", respond(500, "Signed: yes"))
+	e := newEntry(t, idempotent, a, b)
+	e.handler.Service("s").window = noRetries()
 	assert.Equal(t, e.send(http.MethodPost).status, 500)
 	assert.Equal(t, len(a.requests())+len(b.requests()), 1)
 }
 
-// TestGroupDownGetsTrials names the pattern "a rank is lost": the other ranks
-// would refuse a request as well, and each try counts, so that one request at a
-// time finds out whether the group is back. It takes the place of a test that
-// refused the request at the first such answer.
+// TestGroupDownGetsTrials checks that after the loss of a rank one request at a time
+// probes whether the group is back: each attempt counts, and the other ranks would refuse
+// as well.
 func TestGroupDownGetsTrials(t *testing.T) {
 	t.Run("a group that stays down", func(t *testing.T) {
-		down := status(503, "Not-Run: 1", "At-Fault: c")
+		down := respond(503, "Not-Run: 1", "At-Fault: c")
 		a, b := newBackend(t, "a", down), newBackend(t, "b", down)
-		e := newEntry(t, safe, a, b)
+		e := newEntry(t, idempotent, a, b)
 		const together = 20
 		began := time.Now()
 		for _, got := range e.sendTogether(together) {
@@ -171,18 +171,18 @@
 		trials := int(time.Since(began)/(150*time.Millisecond)) + 1
 		assert.Assert(t, len(a.requests())+len(b.requests()) <= trials+together, "%d and %d requests", len(a.requests()), len(b.requests()))
 		e.send(http.MethodPost)
-		assert.Assert(t, len(a.requests())+len(b.requests()) <= trials+together+1+maxTrials)
+		assert.Assert(t, len(a.requests())+len(b.requests()) <= trials+together+1+maxGroupDownRetries)
 	})
 	t.Run("a group that returns", func(t *testing.T) {
 		var up atomic.Bool
 		a := newBackend(t, "a", func(n int, w http.ResponseWriter, r *http.Request) {
 			if up.Load() {
-				ok("a")(n, w, r)
+				respondOK("a")(n, w, r)
 				return
 			}
-			status(503, "Not-Run: 1", "At-Fault: c")(n, w, r)
+			respond(503, "Not-Run: 1", "At-Fault: c")(n, w, r)
 		})
-		e := newEntry(t, safe, a)
+		e := newEntry(t, idempotent, a)
 		assert.Equal(t, e.send(http.MethodPost, "Patience: 100").status, 503)
 		refused := len(a.requests())
 		time.AfterFunc(500*time.Millisecond, func() { up.Store(true) })
--- a/entry/direct/codec.go
+++ b/entry/direct/codec.go
@@ -1,7 +1,6 @@
-// Package direct forwards the requests of clients to endpoints that are reached
-// without an agent. A request is sent once to each endpoint that may receive it,
-// streams are continued where they broke off, and each refusal tells the truth
-// about what ran.
+// Package direct is the reverse proxy for endpoints that are reached without an agent. It
+// retries a request only where it cannot be executed twice or the route permits it,
+// resumes broken streams at another endpoint, and refuses only what was not executed.
 package direct
 
 import (
@@ -11,66 +10,67 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Codec translates between the headers of a platform and the types of this
-// package. It neither keeps state nor decides.
+// Codec translates between the HTTP headers of a platform and the types of this package.
+// It is stateless.
 type Codec interface {
-	// ParseRequest reads what a client's request says. The error is of the client.
+	// ParseRequest parses a client request's headers. An error is answered with 400.
 	ParseRequest(h http.Header) (RequestInfo, error)
-	// WriteForward sets what an endpoint is told, on a copy of the client's header.
+	// WriteForward sets the headers for an endpoint on a copy of the client's.
 	WriteForward(h http.Header, f ForwardInfo)
-	// ParseResponse reads what an endpoint's answer says of itself.
+	// ParseResponse parses status and headers of an endpoint's response.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// WriteRefusal sets what a refusal of a request says besides its status.
+	// WriteRefusal sets the headers of a refusal.
 	WriteRefusal(h http.Header, r Refusal)
 }
 
-// RequestInfo is what a client's request says of itself.
+// RequestInfo is the content of a client request's headers.
 type RequestInfo struct {
 	ID id.Request
-	// Key identifies the team. It is empty if the client gave none.
+	// Key is the API key that identifies the team, empty if absent.
 	Key string
-	// Timeout is the time for which the client waits, zero if it does not say.
+	// Timeout is the time for which the client waits, zero if absent.
 	Timeout time.Duration
-	// LastEvent is the last event that the client has of a broken stream.
+	// LastEvent is the ID of the last event received before a stream broke off.
 	LastEvent string
-	// PromptTokens and MaxAnswerTokens are zero if the client does not say.
+	// PromptTokens and MaxAnswerTokens are zero if absent.
 	PromptTokens, MaxAnswerTokens int
-	// ExpectedAnswerTokens is the client's estimate of the answer's length in tokens, zero if there is none.
+	// ExpectedAnswerTokens is the client's estimate of the answer's length, zero if absent.
 	ExpectedAnswerTokens int
-	// PrefixID identifies the last shared part of the prompt, empty if there is none.
+	// PrefixID identifies the last shared part of the prompt, empty if absent.
 	PrefixID string
 }
 
-// ForwardInfo is what an endpoint is told with a request.
+// ForwardInfo is the content of the headers for an endpoint.
 type ForwardInfo struct {
-	// Endpoint is the only one that may run the request.
+	// Endpoint is the only endpoint that may execute the request.
 	Endpoint id.Endpoint
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
 	// Team is empty on public routes.
 	Team id.Team
-	// Priority ranks the request, zero first. Negative means none.
+	// Priority orders requests, zero first. Negative means none.
 	Priority int
-	// LastEvent is the event after which a stream goes on, empty for its start.
+	// LastEvent is the ID of the event to resume the stream after, empty to start it.
 	LastEvent string
 }
 
-// ResponseInfo is what an endpoint's answer says of itself.
+// ResponseInfo is the content of an endpoint response's headers.
 type ResponseInfo struct {
-	// NotRun promises that the endpoint did not and will not run the request.
+	// NotRun guarantees that the endpoint did not and will not execute the request.
 	NotRun bool
-	// WrongInstance reports that another endpoint has the address.
+	// WrongInstance reports that another endpoint now has the address.
 	WrongInstance bool
-	// Signed reports that the answer carries the endpoint's signature.
+	// Signed reports that the response carries the endpoint's signature.
 	Signed bool
-	// Request is the request that the answer belongs to.
+	// Request is the ID of the request that the response belongs to.
 	Request id.Request
-	// AtFault is the endpoint that kept the request from running, if the answer names one.
+	// AtFault is the endpoint that prevented the execution, if named.
 	AtFault id.Endpoint
 }
 
-// Refusal tells a client that its request has not run and will not.
+// Refusal is the content of a refusal's headers. The request was not and will not be
+// executed.
 type Refusal struct {
-	// RetryAfter is the time after which the request can be served. Zero means that it is not known.
+	// RetryAfter is the time after which a retry can succeed, zero if unknown.
 	RetryAfter time.Duration
 }
--- a/entry/direct/endpoints.go
+++ b/entry/direct/endpoints.go
@@ -9,28 +9,28 @@
 	"github.com/siskinford/siskinford/entry/upstream"
 )
 
-// Endpoint is one back end as the platform lists it.
+// Endpoint is a backend as registered at the platform.
 type Endpoint struct {
-	// Name identifies one start of a back end, mostly.
+	// Name identifies one process lifetime of a backend in most cases.
 	Name    id.Endpoint
 	Service id.Service
 	Zone    id.Zone
 	// Address is "ip:port".
 	Address string
-	// Draining endpoints receive no new work.
+	// Draining endpoints receive no new requests.
 	Draining bool
-	// Slots is the number of requests that the endpoint runs at the same time.
+	// Slots is the number of requests that the endpoint executes concurrently.
 	Slots int
 	// Version is the version of the endpoint's software.
 	Version string
-	// RegistrationRevision orders the registrations of endpoints. Of several with the same
-	// address only the last one lives.
+	// RegistrationRevision orders registrations. Of endpoints with the same address only the
+	// latest is in use.
 	RegistrationRevision uint64
-	// WarmupRemaining is how much longer the endpoint stays slow after its start.
+	// WarmupRemaining is how much longer the endpoint is slow after its start.
 	WarmupRemaining time.Duration
 }
 
-// Backend is an endpoint with its connections.
+// Backend is an endpoint and its connection pool.
 type Backend struct {
 	Name id.Endpoint
 	Pool *upstream.Pool
@@ -39,7 +39,7 @@
 	endpoint Endpoint
 }
 
-// Endpoint returns what is known of the endpoint.
+// Endpoint returns the endpoint's current registration.
 func (b *Backend) Endpoint() Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,27 +48,26 @@
 
 // Directory holds the endpoints of all services. It is safe for concurrent use.
 type Directory struct {
-	mu       sync.RWMutex // taken before Backend.mu
+	mu       sync.RWMutex // locked before Backend.mu
 	backends map[id.Endpoint]*Backend
 	services map[id.Service][]*Backend
 	source   netip.Addr
 }
 
-// NewDirectory returns an empty directory. Connections to endpoints are opened
-// from the source, or from the operating system's choice if it is not valid.
+// NewDirectory returns an empty directory. Connections are opened from source if valid.
 func NewDirectory(source netip.Addr) *Directory {
 	return &Directory{backends: make(map[id.Endpoint]*Backend), services: make(map[id.Service][]*Backend), source: source}
 }
 
-// Set replaces the endpoints. Backends that remain keep their connections,
-// unless the address changed.
+// Set replaces the endpoints. Backends whose address and service are unchanged keep their
+// connections.
 func (d *Directory) Set(list []Endpoint) {
-	list = newestAt(list)
+	list = latestPerAddress(list)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := make(map[id.Endpoint]*Backend, len(list))
 	for _, e := range list {
-		next[e.Name] = d.keepOrAdd(e)
+		next[e.Name] = d.reuseOrNewBackend(e)
 	}
 	for name, b := range d.backends {
 		if next[name] != b {
@@ -82,8 +81,8 @@
 	}
 }
 
-// newestAt leaves out the endpoints whose address another one has taken since.
-func newestAt(list []Endpoint) []Endpoint {
+// latestPerAddress drops endpoints whose address was registered again later.
+func latestPerAddress(list []Endpoint) []Endpoint {
 	newest := make(map[string]uint64, len(list))
 	for _, e := range list {
 		newest[e.Address] = max(newest[e.Address], e.RegistrationRevision)
@@ -97,7 +96,7 @@
 	return out
 }
 
-func (d *Directory) keepOrAdd(e Endpoint) *Backend {
+func (d *Directory) reuseOrNewBackend(e Endpoint) *Backend {
 	b := d.backends[e.Name]
 	if b == nil || b.Endpoint().Address != e.Address || b.Endpoint().Service != e.Service {
 		return &Backend{Name: e.Name, endpoint: e, Pool: upstream.NewPool(upstream.Config{Address: e.Address, Dial: upstream.TCP(d.source)})}
@@ -108,14 +107,14 @@
 	return b
 }
 
-// Service returns the backends of a service. The result must not be changed.
+// Service returns the backends of a service. The result must not be modified.
 func (d *Directory) Service(name id.Service) []*Backend {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.services[name]
 }
 
-// CloseExpired closes connections that have been idle for too long.
+// CloseExpired closes connections that exceeded their idle timeout.
 func (d *Directory) CloseExpired(now time.Time) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/entry/direct/events.go
+++ b/entry/direct/events.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds a single event.
 const maxEventBytes = 1 << 20
 
 var errPartialEvent = errors.New("stream ended within an event")
 
-// eventReader splits a text/event-stream into whole events.
+// eventReader splits a text/event-stream into events.
 type eventReader struct {
 	br  *bufio.Reader
 	buf []byte
@@ -24,14 +24,13 @@
 	return &eventReader{br: bufio.NewReaderSize(r, 4<<10)}
 }
 
-// next returns the bytes of the next event with its final blank line, and the
-// event's ID, empty if it has none. The bytes are valid until the next call. At
-// the end of a complete stream the error is io.EOF.
+// next returns the next event including its blank line, and its ID, empty if absent. The
+// bytes are valid until the next call. A complete stream ends with io.EOF.
 func (r *eventReader) next() (event []byte, eventID string, err error) {
 	r.buf = r.buf[:0]
 	for {
 		line, err := r.br.ReadSlice('\n')
-		whole := len(r.buf) == 0 || r.buf[len(r.buf)-1] == '\n'
+		lineStart := len(r.buf) == 0 || r.buf[len(r.buf)-1] == '\n'
 		r.buf = append(r.buf, line...)
 		switch {
 		case len(r.buf) > maxEventBytes:
@@ -42,7 +41,7 @@
 			return nil, "", errPartialEvent
 		case err != nil:
 			return nil, "", err
-		case whole && len(bytes.TrimRight(line, "\r\n")) == 0:
+		case lineStart && len(bytes.TrimRight(line, "\r\n")) == 0:
 			return r.buf, eventField(r.buf, "id"), nil
 		}
 	}
@@ -60,26 +59,26 @@
 	return value
 }
 
-// succession tells how an event follows the last one that was passed on.
-type succession uint8
+// eventOrder is the position of an event relative to the last one forwarded.
+type eventOrder uint8
 
 const (
-	next succession = iota
-	repeated
-	missing
+	inOrder eventOrder = iota
+	duplicate
+	gap
 )
 
-// follows compares the IDs of two events in a row. Only IDs that are numbers tell
-// of events that came twice or are missing.
-func follows(last, eventID string) succession {
-	before, err1 := strconv.ParseUint(last, 10, 64)
-	now, err2 := strconv.ParseUint(eventID, 10, 64)
+// compareEventIDs compares the IDs of consecutive events. Duplicates and gaps are detected
+// for numeric IDs only.
+func compareEventIDs(last, eventID string) eventOrder {
+	lastSeq, err1 := strconv.ParseUint(last, 10, 64)
+	seq, err2 := strconv.ParseUint(eventID, 10, 64)
 	switch {
-	case err1 != nil || err2 != nil || now == before+1:
-		return next
-	case now <= before:
-		return repeated
+	case err1 != nil || err2 != nil || seq == lastSeq+1:
+		return inOrder
+	case seq <= lastSeq:
+		return duplicate
 	default:
-		return missing
+		return gap
 	}
 }
--- a/entry/direct/fixture_test.go
+++ b/entry/direct/fixture_test.go
@@ -20,7 +20,7 @@
 	"github.com/siskinford/siskinford/entry/routes"
 )
 
-// testCodec uses headers of its own.
+// testCodec uses its own header names.
 type testCodec struct{}
 
 func (testCodec) ParseRequest(h http.Header) (RequestInfo, error) {
@@ -51,7 +51,7 @@
 	h.Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 }
 
-// backend is an endpoint that runs a script for each request.
+// backend is an endpoint that answers each request by a script.
 type backend struct {
 	name   string
 	server *httptest.Server
@@ -66,7 +66,7 @@
 	return b.seen
 }
 
-// script answers the n-th request of a backend, from 1 on.
+// script answers the n-th request of a backend, counted from 1.
 type script func(n int, w http.ResponseWriter, r *http.Request)
 
 func newBackend(t *testing.T, name string, s script) *backend {
@@ -88,9 +88,7 @@
 	return Endpoint{Name: id.Endpoint(b.name), Service: service, Address: strings.TrimPrefix(b.server.URL, "http://"), Slots: 4}
 }
 
-// Scripts.
-
-func ok(body string) script {
+func respondOK(body string) script {
 	return func(_ int, w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Signed", "yes")
 		w.Header().Set("Request", r.Header.Get("Request"))
@@ -98,7 +96,7 @@
 	}
 }
 
-func status(code int, header ...string) script {
+func respond(code int, header ...string) script {
 	return func(_ int, w http.ResponseWriter, _ *http.Request) {
 		for _, h := range header {
 			name, value, _ := strings.Cut(h, ": ")
@@ -117,8 +115,8 @@
 	<-r.Context().Done()
 }
 
-// events sends events from after the client's last one up to end, and then ends
-// the stream, or breaks it off after the event brk.
+// events sends the events after the client's last one up to end and ends the stream, or
+// aborts it after the event brk.
 func events(end, brk int, pace time.Duration) script {
 	return func(_ int, w http.ResponseWriter, r *http.Request) {
 		first, _ := strconv.Atoi(r.Header.Get("Last-Event"))
@@ -181,7 +179,7 @@
 	return e
 }
 
-// reply is what a client got. Err tells that the answer broke off.
+// reply is a client's view of the response. Err is set if the response broke off.
 type reply struct {
 	status int
 	header http.Header
@@ -194,7 +192,7 @@
 	return e.sendBody(e.t.Context(), method, "body", header...)
 }
 
-// sendTogether sends n requests at the same time and returns all replies.
+// sendTogether sends n requests concurrently and returns all replies.
 func (e *entry) sendTogether(n int) []reply {
 	out := make([]reply, n)
 	var wg sync.WaitGroup
--- a/entry/direct/groups.go
+++ b/entry/direct/groups.go
@@ -18,80 +18,80 @@
 )
 
 const (
-	// slowLook and fastLook are the intervals at which ranks are looked at: those
-	// that the roster does not tell of, and some of each group for its state.
-	slowLook = time.Second
-	fastLook = 80 * time.Millisecond
-	// fastRanks is the number of ranks of a group that are looked at often.
-	fastRanks = 2
-	// staleAfter is the age from which on a look no longer counts. Relays repeat
-	// theirs each second.
-	staleAfter = 1500 * time.Millisecond
-	// minStalled and stalledPasses give the time without a new pass, while requests
-	// run, after which a group counts as down. Reports are up to a fifth of a second
-	// old. A rank with 3.5 times the mean load, as under an initial map, makes a full
-	// pass as much longer; prompts that are read in it do the rest.
-	minStalled    = 450 * time.Millisecond
-	stalledPasses = 5
-	// judgeInterval is the time between judgements of all groups.
-	judgeInterval = 50 * time.Millisecond
-	// relistInterval is the time between looks at the list of endpoints.
+	// discoveryInterval is the poll interval of ranks missing from the roster;
+	// monitorInterval that of the monitored ranks of a single group. With several groups it
+	// is multiplied by their number.
+	discoveryInterval = time.Second
+	monitorInterval   = 80 * time.Millisecond
+	// monitoredRanks is the number of monitored ranks per group.
+	monitoredRanks = 2
+	// maxStateAge is the maximum age of a state in use. Relays repeat theirs every second.
+	maxStateAge = 1500 * time.Millisecond
+	// minStallTimeout and stallTimeoutPasses give the time without a new pass, while requests
+	// run, after which a group counts as down. Reports are up to 200 ms old. A rank with 3.5
+	// times the mean load, as under an initial map, takes 3.5 times as long for a full pass;
+	// prefills in the same pass add to it.
+	minStallTimeout    = 450 * time.Millisecond
+	stallTimeoutPasses = 5
+	// evaluateInterval is the time between evaluations of all groups.
+	evaluateInterval = 50 * time.Millisecond
+	// relistInterval is the time between reads of the endpoint list.
 	relistInterval = 500 * time.Millisecond
-	// rosterGrace is the time for which an endpoint that the roster does not tell of
-	// is left to the scouts, which need a few hundred milliseconds for it.
-	rosterGrace = 1500 * time.Millisecond
+	// rosterGracePeriod is the time for which an endpoint missing from the roster is left to
+	// the collectors, which need a few hundred milliseconds for it.
+	rosterGracePeriod = 1500 * time.Millisecond
 )
 
-// GroupMonitor follows the groups of ranks behind a service, so that nothing is
-// sent to a group that is down. It looks at a few ranks of each group.
+// GroupMonitor detects groups that are down by polling a few ranks of each group of a
+// service, so that no requests are sent to them.
 type GroupMonitor struct {
 	Service *Service
-	// Host is this entry's; different entries look at different ranks.
+	// Host is the entry's host; different hosts poll different ranks.
 	Host id.Host
-	// Zone is the zone of the entry, whose ranks are preferred.
+	// Zone is the entry's zone, whose ranks are preferred.
 	Zone id.Zone
 	// List returns the endpoints of the service with their zones.
 	List func() map[ranklink.Endpoint]id.Zone
-	// Roster tells the groups of the endpoints, as far as they are known.
+	// Roster holds the known groups of the endpoints.
 	Roster *roster.Roster
-	// Source is the address of this host from which relays are reached.
+	// Source is the local address for connections to relays.
 	Source netip.Addr
 	Log    zerolog.Logger
 
-	links map[ranklink.Endpoint]*watched
-	// unknown holds since when endpoints are listed that the roster does not tell of.
-	unknown map[ranklink.Endpoint]time.Time
-	listed  map[ranklink.Endpoint]id.Zone
+	links map[ranklink.Endpoint]*rankMonitor
+	// unassigned holds the endpoints missing from the roster and since when.
+	unassigned map[ranklink.Endpoint]time.Time
+	listed     map[ranklink.Endpoint]id.Zone
 }
 
-// look is how a rank is looked at.
-type look struct {
-	every time.Duration
-	// decides is true for ranks that tell whether their group is down.
-	decides bool
+// polling is how a rank is polled.
+type polling struct {
+	interval time.Duration
+	// judgesGroup is true for the ranks whose state decides whether the group is down.
+	judgesGroup bool
 }
 
-func (l look) watch() relay.Watch { return relay.Watch{StateMillis: int(l.every.Milliseconds())} }
+func (p polling) watch() relay.Watch { return relay.Watch{StateMillis: int(p.interval.Milliseconds())} }
 
-// watched is what was last seen of one rank.
-type watched struct {
-	link  *ranklink.Link
-	look  look
-	state relay.State
-	// opened is when the link was opened, and seen the last look.
-	opened, seen time.Time
-	// stepped is when a new pass was last seen, or the rank was seen idle.
-	stepped time.Time
-	// moved is when another pass or epoch than before was last seen.
-	moved time.Time
+// rankMonitor holds the last state of one rank.
+type rankMonitor struct {
+	link    *ranklink.Link
+	polling polling
+	state   relay.State
+	// openedAt is when the link was opened, stateAt when the last state arrived.
+	openedAt, stateAt time.Time
+	// activeAt is when a new pass began last or the rank was last idle.
+	activeAt time.Time
+	// progressAt is when the pass or epoch last changed.
+	progressAt time.Time
 }
 
-// Run works until ctx ends.
+// Run monitors until ctx ends.
 func (g *GroupMonitor) Run(ctx context.Context) {
-	g.links = make(map[ranklink.Endpoint]*watched)
-	g.unknown = make(map[ranklink.Endpoint]time.Time)
+	g.links = make(map[ranklink.Endpoint]*rankMonitor)
+	g.unassigned = make(map[ranklink.Endpoint]time.Time)
 	events := make(chan ranklink.Event, 64)
-	tick := time.NewTicker(judgeInterval)
+	tick := time.NewTicker(evaluateInterval)
 	defer tick.Stop()
 	var listed time.Time
 	for {
@@ -99,32 +99,32 @@
 		case <-ctx.Done():
 			return
 		case e := <-events:
-			g.see(e, time.Now())
+			g.handleEvent(e, time.Now())
 		case now := <-tick.C:
 			if now.Sub(listed) >= relistInterval {
 				listed = now
 				g.relist(ctx, events, now)
 			}
-			g.judge(now)
+			g.evaluate(now)
 		}
 	}
 }
 
-// relist opens links to the ranks to look at and closes all others.
+// relist opens links to the ranks to poll and closes all others.
 func (g *GroupMonitor) relist(ctx context.Context, events chan<- ranklink.Event, now time.Time) {
 	g.listed = g.List()
-	wanted := g.wanted(now)
-	for e, l := range wanted {
+	wanted := g.wantedLinks(now)
+	for e, p := range wanted {
 		w := g.links[e]
 		if w == nil {
 			link := ranklink.Open(ctx, ranklink.Options{
-				Endpoint: e, Source: g.Source, Events: events, Watch: l.watch(),
+				Endpoint: e, Source: g.Source, Events: events, Watch: p.watch(),
 				Report: func(*ranklink.Link, string, error) {},
 			})
-			g.links[e] = &watched{link: link, look: l, opened: now}
-		} else if w.look != l {
-			w.look = l
-			w.link.SetWatch(l.watch())
+			g.links[e] = &rankMonitor{link: link, polling: p, openedAt: now}
+		} else if w.polling != p {
+			w.polling = p
+			w.link.SetWatch(p.watch())
 		}
 	}
 	for e, w := range g.links {
@@ -135,53 +135,54 @@
 	}
 }
 
-// wanted returns the ranks to look at.
-func (g *GroupMonitor) wanted(now time.Time) map[ranklink.Endpoint]look {
-	out := make(map[ranklink.Endpoint]look)
+// wantedLinks returns which ranks to poll, and how.
+func (g *GroupMonitor) wantedLinks(now time.Time) map[ranklink.Endpoint]polling {
+	out := make(map[ranklink.Endpoint]polling)
 	groups := make(map[id.Group][]ranklink.Endpoint)
-	unknown := g.unknowns(now)
+	unassigned := g.updateUnassigned(now)
 	for e := range g.listed {
 		if group := g.groupOf(e); group != "" {
 			groups[group] = append(groups[group], e)
 		}
-		if since, ok := unknown[e]; ok && now.Sub(since) >= rosterGrace {
-			out[e] = look{every: slowLook}
+		if since, ok := unassigned[e]; ok && now.Sub(since) >= rosterGracePeriod {
+			out[e] = polling{interval: discoveryInterval}
 		}
 	}
 	if len(groups) == 0 {
-		// Some of the first tell of their group before there is a roster.
-		for _, e := range g.choose(slices.Collect(maps.Keys(unknown)), now) {
-			out[e] = look{every: fastLook, decides: true}
+		// Without a roster, a few ranks are polled to discover their group.
+		for _, e := range g.chooseMonitored(slices.Collect(maps.Keys(unassigned)), now) {
+			out[e] = polling{interval: monitorInterval, judgesGroup: true}
 		}
 	}
 	for _, ranks := range groups {
-		for _, e := range g.choose(ranks, now) {
-			out[e] = look{every: fastLook * time.Duration(len(groups)), decides: true}
+		for _, e := range g.chooseMonitored(ranks, now) {
+			out[e] = polling{interval: monitorInterval * time.Duration(len(groups)), judgesGroup: true}
 		}
 	}
 	return out
 }
 
-// unknowns returns since when endpoints are listed that the roster does not tell of.
-func (g *GroupMonitor) unknowns(now time.Time) map[ranklink.Endpoint]time.Time {
-	seats := g.Roster.Ranks()
+// updateUnassigned adds listed endpoints that are missing from the roster to unassigned,
+// drops all others, and returns it.
+func (g *GroupMonitor) updateUnassigned(now time.Time) map[ranklink.Endpoint]time.Time {
+	rosterRanks := g.Roster.Ranks()
 	for e := range g.listed {
-		if _, ok := seats[e.Name]; ok {
-			delete(g.unknown, e)
-		} else if _, ok := g.unknown[e]; !ok {
-			g.unknown[e] = now
+		if _, ok := rosterRanks[e.Name]; ok {
+			delete(g.unassigned, e)
+		} else if _, ok := g.unassigned[e]; !ok {
+			g.unassigned[e] = now
 		}
 	}
-	for e := range g.unknown {
+	for e := range g.unassigned {
 		if _, ok := g.listed[e]; !ok {
-			delete(g.unknown, e)
+			delete(g.unassigned, e)
 		}
 	}
-	return g.unknown
+	return g.unassigned
 }
 
-// groupOf returns the group of an endpoint, by an own look or by the roster, empty
-// if it is not known.
+// groupOf returns an endpoint's group by its state or else by the roster, empty if
+// unknown.
 func (g *GroupMonitor) groupOf(e ranklink.Endpoint) id.Group {
 	if w := g.links[e]; w != nil && w.state.Group != "" {
 		return w.state.Group
@@ -189,9 +190,9 @@
 	return g.Roster.Ranks()[e.Name].Group
 }
 
-// choose returns the ranks to look at often: near ones first, in an order that
-// spreads the work of many entries. One whose relay is silent is replaced.
-func (g *GroupMonitor) choose(ranks []ranklink.Endpoint, now time.Time) []ranklink.Endpoint {
+// chooseMonitored returns the ranks to monitor: same-zone ranks first, then in an order
+// that differs between hosts to spread the load. Ranks with a silent relay are skipped.
+func (g *GroupMonitor) chooseMonitored(ranks []ranklink.Endpoint, now time.Time) []ranklink.Endpoint {
 	slices.SortFunc(ranks, func(a, b ranklink.Endpoint) int {
 		if near := g.listed[a] == g.Zone; near != (g.listed[b] == g.Zone) {
 			if near {
@@ -203,10 +204,10 @@
 	})
 	var out []ranklink.Endpoint
 	for _, e := range ranks {
-		if w := g.links[e]; w != nil && now.Sub(w.opened) > staleAfter && now.Sub(w.seen) > staleAfter {
+		if w := g.links[e]; w != nil && now.Sub(w.openedAt) > maxStateAge && now.Sub(w.stateAt) > maxStateAge {
 			continue
 		}
-		if out = append(out, e); len(out) == fastRanks {
+		if out = append(out, e); len(out) == monitoredRanks {
 			break
 		}
 	}
@@ -217,73 +218,73 @@
 	return rendezvous.Score(string(e.Name), g.Host)
 }
 
-func (g *GroupMonitor) see(e ranklink.Event, now time.Time) {
+func (g *GroupMonitor) handleEvent(e ranklink.Event, now time.Time) {
 	w := g.links[e.Link.Endpoint()]
 	if w == nil || e.State == nil {
 		return
 	}
 	if e.State.Step != w.state.Step || e.State.Epoch != w.state.Epoch || e.State.Running+e.State.Waiting == 0 {
-		w.stepped = now
+		w.activeAt = now
 	}
-	if !w.seen.IsZero() && (e.State.Step != w.state.Step || e.State.Epoch != w.state.Epoch) {
-		w.moved = now
+	if !w.stateAt.IsZero() && (e.State.Step != w.state.Step || e.State.Epoch != w.state.Epoch) {
+		w.progressAt = now
 	}
-	w.state, w.seen = *e.State, now
+	w.state, w.stateAt = *e.State, now
 }
 
-// seenGroup is what own looks tell of a group.
-type seenGroup struct {
-	// down tells why the group is down, empty if it is not.
-	down string
-	// moved is when the group was last seen to have begun a pass or formed anew.
-	moved time.Time
+// groupState summarizes the polled states of a group.
+type groupState struct {
+	// downReason is empty if the group is up.
+	downReason string
+	// progressAt is when a rank of the group last began a pass or joined a new formation.
+	progressAt time.Time
 }
 
-// judge tells the service which groups are down.
-func (g *GroupMonitor) judge(now time.Time) {
-	groups := make(map[id.Group]seenGroup)
-	stalledAfter := g.Service.stalledAfter()
+// evaluate updates the state of the groups at the service.
+func (g *GroupMonitor) evaluate(now time.Time) {
+	groups := make(map[id.Group]groupState)
+	stallTimeout := g.Service.stallTimeout()
 	reason, fresh, down := "", 0, 0
 	for _, w := range g.links {
-		if w.state.Group == "" || now.Sub(w.seen) > staleAfter {
+		if w.state.Group == "" || now.Sub(w.stateAt) > maxStateAge {
 			continue
 		}
 		fresh++
 		s := groups[w.state.Group]
-		if w.moved.After(s.moved) {
-			s.moved = w.moved
+		if w.progressAt.After(s.progressAt) {
+			s.progressAt = w.progressAt
 		}
 		switch {
-		case !w.look.decides:
+		case !w.polling.judgesGroup:
 		case !w.state.Open:
-			s.down = "a rank is missing"
-		case w.state.Running+w.state.Waiting > 0 && w.seen.Sub(w.stepped) > stalledAfter:
-			s.down = "no pass begins"
+			s.downReason = "a rank is missing"
+		case w.state.Running+w.state.Waiting > 0 && w.stateAt.Sub(w.activeAt) > stallTimeout:
+			s.downReason = "no pass begins"
 		}
 		groups[w.state.Group] = s
 	}
 	for _, s := range groups {
-		if s.down != "" {
-			reason = s.down
+		if s.downReason != "" {
+			reason = s.downReason
 			down++
 		}
 	}
-	seats := g.Roster.Ranks()
-	seen := make(map[id.Endpoint]RankStatus, len(g.listed))
+	rosterRanks := g.Roster.Ranks()
+	status := make(map[id.Endpoint]RankStatus, len(g.listed))
 	for e := range g.listed {
 		group := g.groupOf(e)
 		if group == "" {
-			// Of the same service as a group that is down, as far as is known.
-			seen[e.Name] = RankStatus{GroupDown: down > 0}
+			// It may belong to the group that is down.
+			status[e.Name] = RankStatus{GroupDown: down > 0}
 			continue
 		}
-		r := RankStatus{Group: group, GroupDown: groups[group].down != "", ProgressAt: groups[group].moved, Pace: seats[e.Name].Pace}
-		if w := g.links[e]; w != nil && now.Sub(w.seen) <= staleAfter {
+		r := RankStatus{Group: group, GroupDown: groups[group].downReason != "", ProgressAt: groups[group].progressAt, Pace: rosterRanks[e.Name].Pace}
+		if w := g.links[e]; w != nil && now.Sub(w.stateAt) <= maxStateAge {
 			r.Pace = w.state.Pace
 		}
-		seen[e.Name] = r
+		status[e.Name] = r
 	}
-	if g.Service.SetRanks(seen, down > 0) {
+	if g.Service.SetRanks(status, down > 0) {
 		g.Log.Info().Str("event", "group.changed").Str("service", string(g.Service.name)).Bool("down", g.Service.Down()).
 			Int("ranks_seen", fresh).Int("endpoints", len(g.listed)).Uint64("roster", g.Roster.Version()).Msg(reason)
 	}
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -16,9 +16,9 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// groupWatch returns a watch of one rank of a group whose engine is given. Nothing
+// newTestMonitor returns a monitor of one rank of a group with the given engine. Nothing
 // is connected.
-func groupWatch(t *testing.T, e routes.Engine) (*GroupMonitor, *watched) {
+func newTestMonitor(t *testing.T, e routes.Engine) (*GroupMonitor, *rankMonitor) {
 	t.Helper()
 	h := NewHandler(Options{
 		Codec: testCodec{}, Entries: func() int { return 1 }, Log: zerolog.Nop(), Retries: retry.WindowConfig{Length: time.Second},
@@ -28,46 +28,47 @@
 	h.SetTable(table)
 	h.SetEndpoints([]Endpoint{{Name: "a", Service: "s", Address: "127.0.0.1:1"}})
 	rank := ranklink.Endpoint{Name: "a", Address: "127.0.0.1:1"}
-	w := &watched{look: look{every: fastLook, decides: true}}
+	w := &rankMonitor{polling: polling{interval: monitorInterval, judgesGroup: true}}
 	return &GroupMonitor{
 		Service: h.Service("s"), Roster: roster.New(func() {}), Log: zerolog.Nop(),
-		links: map[ranklink.Endpoint]*watched{rank: w}, listed: map[ranklink.Endpoint]id.Zone{rank: "z"},
+		links: map[ranklink.Endpoint]*rankMonitor{rank: w}, listed: map[ranklink.Endpoint]id.Zone{rank: "z"},
 	}, w
 }
 
-// TestLongPassesAreNoOutage names the pattern "a pass of a slow engine lasts as long
-// as an outage of a fast one".
+// TestLongPassesAreNoOutage checks that the stall timeout scales with the engine: a pass
+// of a slow engine takes as long as an outage of a fast one.
 func TestLongPassesAreNoOutage(t *testing.T) {
 	fast := routes.Engine{Slots: 12, Step: 4550 * time.Microsecond, PerSequence: 905 * time.Microsecond, Stride: 4, Experts: &routes.Experts{Sets: 1, PerSet: 1, Places: 1}}
 	slow := fast
 	slow.Step, slow.PerSequence = 22*time.Millisecond, 3600*time.Microsecond
 	cases := map[string]struct {
-		engine routes.Engine
-		since  time.Duration // the begin of the last pass
-		open   bool
-		down   bool
+		engine        routes.Engine
+		sinceLastPass time.Duration
+		open          bool
+		down          bool
 	}{
-		"fast engine, a pass ago":      {fast, 200 * time.Millisecond, true, false},
-		"fast engine stands":           {fast, 500 * time.Millisecond, true, true},
-		"slow engine, uneven pass":     {slow, 900 * time.Millisecond, true, false},
-		"slow engine stands":           {slow, 1500 * time.Millisecond, true, true},
-		"slow engine, a rank is away":  {slow, 100 * time.Millisecond, false, true},
-		"engine without any duration ": {routes.Engine{Slots: 1}, 500 * time.Millisecond, true, true},
+		"fast engine, a pass ago":        {fast, 200 * time.Millisecond, true, false},
+		"fast engine stalled":            {fast, 500 * time.Millisecond, true, true},
+		"slow engine, uneven pass":       {slow, 900 * time.Millisecond, true, false},
+		"slow engine stalled":            {slow, 1500 * time.Millisecond, true, true},
+		"slow engine, a rank is missing": {slow, 100 * time.Millisecond, false, true},
+		"engine without durations":       {routes.Engine{Slots: 1}, 500 * time.Millisecond, true, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g, w := groupWatch(t, c.engine)
+			g, w := newTestMonitor(t, c.engine)
 			now := time.Now()
 			w.state = relay.State{Group: "g", Open: c.open, Step: 7, Running: 3}
-			w.seen, w.stepped = now, now.Add(-c.since)
-			g.judge(now)
+			w.stateAt, w.activeAt = now, now.Add(-c.sinceLastPass)
+			g.evaluate(now)
 			assert.Equal(t, g.Service.Down(), c.down)
 		})
 	}
 }
 
-// TestEngineIsFollowed: another size of the engines takes effect without a restart.
-func TestEngineIsFollowed(t *testing.T) {
+// TestEngineSlotsChangeWithConfiguration checks that a changed engine takes effect without
+// a restart.
+func TestEngineSlotsChangeWithConfiguration(t *testing.T) {
 	h := NewHandler(Options{
 		Codec: testCodec{}, Entries: func() int { return 1 }, Log: zerolog.Nop(), Retries: retry.WindowConfig{Length: time.Second},
 	})
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -19,29 +19,29 @@
 	"github.com/siskinford/siskinford/entry/routes"
 )
 
-// Options are the parts of an entry that a Handler works with.
+// Options are the dependencies of a Handler.
 type Options struct {
 	Codec Codec
-	// Entries returns the number of entries that share the budget of retries.
+	// Entries returns the number of entries that share the retry budget.
 	Entries func() int
-	// Retries is the budget of all entries for each service.
+	// Retries is the budget of all entries together for each service.
 	Retries retry.WindowConfig
-	// Source is the address of this host from which connections to endpoints are
-	// opened. Default: the operating system's choice.
+	// Source is the local address for connections to endpoints. Default: chosen by the
+	// operating system.
 	Source netip.Addr
 	Log    zerolog.Logger
-	// Metrics receives counters and histograms. Default: a set of its own.
+	// Metrics receives counters and histograms. Default: a new set.
 	Metrics *metrics.Set
 }
 
-// Handler serves the requests of clients. It is safe for concurrent use.
+// Handler serves client requests. It is safe for concurrent use.
 type Handler struct {
-	opt       Options
-	journal   journal
-	directory *Directory
-	table     atomic.Pointer[routes.Table]
+	opt        Options
+	requestLog requestLog
+	directory  *Directory
+	table      atomic.Pointer[routes.Table]
 
-	mu       sync.RWMutex // taken before the locks of Directory and Service
+	mu       sync.RWMutex // locked before Directory.mu and Service.mu
 	services map[id.Service]*Service
 }
 
@@ -50,10 +50,10 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewSet()
 	}
-	return &Handler{opt: o, journal: journal{log: o.Log, set: o.Metrics}, directory: NewDirectory(o.Source), services: make(map[id.Service]*Service)}
+	return &Handler{opt: o, requestLog: requestLog{log: o.Log, set: o.Metrics}, directory: NewDirectory(o.Source), services: make(map[id.Service]*Service)}
 }
 
-// SetTable brings a version of the configuration into force.
+// SetTable applies a version of the configuration.
 func (h *Handler) SetTable(t *routes.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,7 +72,7 @@
 	h.table.Store(t)
 }
 
-// Table returns the configuration in force, or nil.
+// Table returns the current configuration, or nil.
 func (h *Handler) Table() *routes.Table { return h.table.Load() }
 
 // SetEndpoints replaces the endpoints of all services.
@@ -85,7 +85,6 @@
 	}
 }
 
-// Directory returns the endpoints.
 func (h *Handler) Directory() *Directory { return h.directory }
 
 // Service returns the state of a service, or nil.
@@ -107,19 +106,19 @@
 }
 
 const (
-	// defaultPatience stands in for the time that neither client nor route give.
-	defaultPatience = 30 * time.Second
-	// defaultTarget stands in for the time to the answer that a route does not give.
+	// defaultTimeout applies if neither client nor route sets a timeout.
+	defaultTimeout = 30 * time.Second
+	// defaultTarget is the target latency of routes that set none.
 	defaultTarget = 500 * time.Millisecond
 )
 
-// request is one request on its way.
+// request is a client request in progress.
 type request struct {
-	call    RequestInfo
+	info    RequestInfo
 	route   *routes.Route
 	service *Service
 	team    *routes.Team
-	// version is that of the configuration by which the request is handled.
+	// version is that of the configuration in use for the request.
 	version uint64
 	method  string
 	target  string
@@ -127,18 +126,18 @@
 	header  http.Header
 	body    []byte
 	began   time.Time
-	// deadline is when the client or the route gives up.
+	// deadline is the earlier of the client's and the route's deadline.
 	deadline time.Time
 	// sent is the number of endpoints that may have received the request.
 	sent int
-	// refused is the number of them that said that they will not run it.
+	// refused is the number of them that will not execute it.
 	refused int
-	// groupDown is the number of refusals because the endpoint's group was down.
-	groupDown int
-	// mayHaveRun is true once a try did not say that it has not run.
+	// groupDownRefusals counts the refusals because the endpoint's group was down.
+	groupDownRefusals int
+	// mayHaveRun is true after an attempt that may have been executed.
 	mayHaveRun bool
-	// failed lists the endpoints that are not to be tried again.
-	failed []id.Endpoint
+	// excluded lists the endpoints that must not be tried again.
+	excluded []id.Endpoint
 }
 
 // ServeHTTP implements http.Handler.
@@ -154,60 +153,59 @@
 		h.serveStream(ctx, w, q)
 		return
 	}
-	h.serveWhole(ctx, w, q)
+	h.serveBuffered(ctx, w, q)
 }
 
-// accept finds the route and team of a request and reads its body. It is false
-// if the request was answered.
+// accept resolves route and team and reads the body. It returns false after a rejection.
 func (h *Handler) accept(w http.ResponseWriter, r *http.Request) (*request, bool) {
 	began := time.Now()
-	call, err := h.opt.Codec.ParseRequest(r.Header)
+	info, err := h.opt.Codec.ParseRequest(r.Header)
 	if err != nil {
-		h.reject(w, r, call, http.StatusBadRequest, err.Error())
+		h.reject(w, r, info, http.StatusBadRequest, err.Error())
 		return nil, false
 	}
 	table := h.table.Load()
 	if table == nil {
-		h.reject(w, r, call, http.StatusServiceUnavailable, "no configuration is known yet")
+		h.reject(w, r, info, http.StatusServiceUnavailable, "no configuration is known yet")
 		return nil, false
 	}
 	route := table.Route(r.Host, r.URL.EscapedPath())
 	if route == nil {
-		h.reject(w, r, call, http.StatusNotFound, "no route matches")
+		h.reject(w, r, info, http.StatusNotFound, "no route matches")
 		return nil, false
 	}
 	var team *routes.Team
 	if table.Keyed() && !route.Public {
-		if team = table.Team(call.Key); team == nil {
-			h.reject(w, r, call, http.StatusUnauthorized, "the key is unknown")
+		if team = table.Team(info.Key); team == nil {
+			h.reject(w, r, info, http.StatusUnauthorized, "the key is unknown")
 			return nil, false
 		}
 	}
 	service := h.Service(route.Pick())
 	if service == nil {
-		h.reject(w, r, call, http.StatusServiceUnavailable, "the service has no state")
+		h.reject(w, r, info, http.StatusServiceUnavailable, "the service has no state")
 		return nil, false
 	}
 	q := &request{
-		call: call, route: route, service: service, team: team, version: table.Version(), method: r.Method, target: r.RequestURI,
-		host: r.Host, header: forwardable(r.Header), began: began, deadline: began.Add(patience(call, route)),
+		info: info, route: route, service: service, team: team, version: table.Version(), method: r.Method, target: r.RequestURI,
+		host: r.Host, header: endToEndHeader(r.Header), began: began, deadline: began.Add(requestTimeout(info, route)),
 	}
 	if q.body, err = readBody(w, r, table.Limits().MaxBodyBytes, q.deadline); err != nil {
-		h.bodyError(w, r, call, err)
+		h.bodyError(w, r, info, err)
 		return nil, false
 	}
 	return q, true
 }
 
-func patience(c RequestInfo, r *routes.Route) time.Duration {
-	p := defaultPatience
+func requestTimeout(c RequestInfo, r *routes.Route) time.Duration {
+	timeout := defaultTimeout
 	if r.Timeout > 0 {
-		p = r.Timeout
+		timeout = r.Timeout
 	}
 	if c.Timeout > 0 {
-		p = min(p, c.Timeout)
+		timeout = min(timeout, c.Timeout)
 	}
-	return p
+	return timeout
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
@@ -229,16 +227,16 @@
 	return b, rc.SetReadDeadline(time.Time{})
 }
 
-func (h *Handler) bodyError(w http.ResponseWriter, r *http.Request, call RequestInfo, err error) {
+func (h *Handler) bodyError(w http.ResponseWriter, r *http.Request, info RequestInfo, err error) {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		h.reject(w, r, call, http.StatusRequestEntityTooLarge, "the body is too large")
+		h.reject(w, r, info, http.StatusRequestEntityTooLarge, "the body is too large")
 		return
 	}
-	panic(http.ErrAbortHandler) // The client went away or stopped sending.
+	panic(http.ErrAbortHandler) // The client disconnected or stopped sending.
 }
 
-// priority returns the rank of the request, zero first.
+// priority returns the priority of the team or else of the route, zero first.
 func (q *request) priority() int {
 	if q.team != nil && q.team.Priority != nil {
 		return *q.team.Priority
@@ -246,24 +244,24 @@
 	return q.route.Priority
 }
 
-// queued returns what logs that a request has to wait.
+// queued returns a callback that logs that the request has to wait.
 func (h *Handler) queued(q *request) func(intake.Standing) {
-	return func(s intake.Standing) { h.journal.queued(q, s) }
+	return func(s intake.Standing) { h.requestLog.queued(q, s) }
 }
 
-// ask describes the request to the intake.
-func (q *request) ask() intake.Request {
+// intakeRequest describes the request to the intake.
+func (q *request) intakeRequest() intake.Request {
 	target := q.route.Target
 	if target <= 0 {
 		target = defaultTarget
 	}
-	base := q.service.began
+	base := q.service.start
 	var silence time.Duration
 	if q.route.Kind == routes.Streaming {
-		silence = q.began.Add(silenceLimit(q.route)).Sub(base)
+		silence = q.began.Add(maxSilence(q.route)).Sub(base)
 	}
 	return intake.Request{
 		Arrival: q.began.Sub(base), Target: q.began.Add(target).Sub(base), Deadline: q.deadline.Sub(base), Silence: silence,
-		Priority: q.priority(), Prompt: q.call.PromptTokens, Exclude: q.failed,
+		Priority: q.priority(), Prompt: q.info.PromptTokens, Exclude: q.excluded,
 	}
 }
--- a/entry/direct/header.go
+++ b/entry/direct/header.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// hopByHop lists the fields that concern one connection only.
+// hopByHop lists the header fields that apply to a single connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// forwardable returns a copy of a header without the fields that concern one
-// connection only and without the length, which is set anew.
-func forwardable(h http.Header) http.Header {
+// endToEndHeader returns a copy of h without hop-by-hop fields and without Content-Length,
+// which is computed again.
+func endToEndHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range out.Values("Connection") {
 		for _, name := range strings.Split(field, ",") {
@@ -30,10 +30,10 @@
 	return out
 }
 
-// copyHeader adds the fields of an endpoint's answer. An answer without a
-// content type keeps none.
+// copyHeader copies the fields of an endpoint's response. Without a Content-Type, content
+// sniffing is disabled.
 func copyHeader(dst, src http.Header) {
-	for name, values := range forwardable(src) {
+	for name, values := range endToEndHeader(src) {
 		dst[name] = values
 	}
 	if _, ok := dst["Content-Type"]; !ok {
--- a/entry/direct/loads.go
+++ b/entry/direct/loads.go
@@ -13,23 +13,22 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// promptUnit is the resolution of prompt tokens between entries, so that a byte
-// holds the prompts that an endpoint reads at a time.
-const promptUnit = 64
+// promptUnitTokens is the resolution of prompt tokens between entries, so that a byte
+// holds the prompts that an endpoint reads concurrently.
+const promptUnitTokens = 64
 
-// loadsFor is the time for which the loads of another entry count after they
-// arrived. It is several times the interval between exchanges.
-const loadsFor = 2 * time.Second
+// remoteLoadTTL is the time for which received loads count, several exchange intervals.
+const remoteLoadTTL = 2 * time.Second
 
-// serviceLoads are requests at the endpoints of one service, in the order of their
-// names. Entries that know other endpoints have another hash.
+// serviceLoads are the requests at the endpoints of one service, in order of their names.
+// Endpoints is the hash of the names; entries with other endpoints have another one.
 type serviceLoads struct {
 	Endpoints uint32 `cbor:"1,keyasint"`
 	Running   []byte `cbor:"2,keyasint"`
 	Prompts   []byte `cbor:"3,keyasint"`
 }
 
-// add adds other loads of the same endpoints.
+// add adds loads of the same endpoints.
 func (l *serviceLoads) add(o serviceLoads) {
 	for i := range l.Running {
 		l.Running[i] = byte(min(int(l.Running[i])+int(o.Running[i]), maxCount))
@@ -37,27 +36,26 @@
 	}
 }
 
-// fits reports whether the loads are those of the endpoints with a hash.
-func (l *serviceLoads) fits(hash uint32, endpoints int) bool {
+// matches reports whether the loads belong to the endpoints with a hash.
+func (l *serviceLoads) matches(hash uint32, endpoints int) bool {
 	return l.Endpoints == hash && len(l.Running) == endpoints && len(l.Prompts) == endpoints
 }
 
-// maxCount is the greatest number in a byte.
+// maxCount is the largest count that fits in a byte.
 const maxCount = 255
 
-// LoadExchange shares the loads of the endpoints between entries. It is safe for
-// concurrent use.
+// LoadExchange shares endpoint loads between entries. It is safe for concurrent use.
 type LoadExchange struct {
 	handler *Handler
 
-	mu      sync.Mutex // taken before Service.mu
-	sources map[source]sourceLoads
-	// dirty is true if something arrived since the sums were handed to the services.
+	mu      sync.Mutex // locked before Service.mu
+	sources map[loadSource]sourceLoads
+	// dirty is true if loads changed since they were last applied.
 	dirty bool
 }
 
-// source is an entry or a cell of them. One of the two is set.
-type source struct {
+// loadSource is an entry or a cell of entries. One field is set.
+type loadSource struct {
 	host id.Host
 	cell string
 }
@@ -67,17 +65,17 @@
 	services map[id.Service]serviceLoads
 }
 
-// NewLoadExchange returns the loads of a handler's services.
+// NewLoadExchange returns the load exchange of a handler's services.
 func NewLoadExchange(h *Handler) *LoadExchange {
-	return &LoadExchange{handler: h, sources: make(map[source]sourceLoads)}
+	return &LoadExchange{handler: h, sources: make(map[loadSource]sourceLoads)}
 }
 
-// Encode returns what this entry runs at the endpoints.
+// Encode returns the loads that this entry causes.
 func (l *LoadExchange) Encode() ([]byte, error) {
 	return l.EncodeSum(func(id.Host) bool { return false })
 }
 
-// EncodeSum returns what this entry and some others run at the endpoints.
+// EncodeSum returns the loads that this entry and the selected hosts cause.
 func (l *LoadExchange) EncodeSum(of func(id.Host) bool) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +84,7 @@
 		own, busy := s.encodeLoads()
 		for from, x := range l.sources {
 			sl, ok := x.services[name]
-			if ok && from.host != "" && of(from.host) && sl.fits(own.Endpoints, len(own.Running)) {
+			if ok && from.host != "" && of(from.host) && sl.matches(own.Endpoints, len(own.Running)) {
 				own.add(sl)
 				busy = true
 			}
@@ -98,8 +96,7 @@
 	return cbor.Marshal(out)
 }
 
-// encodeLoads returns what this entry runs at the endpoints, and whether it runs
-// anything.
+// encodeLoads returns the loads that this entry causes, and whether there are any.
 func (s *Service) encodeLoads() (serviceLoads, bool) {
 	names, hash := s.endpointNames()
 	s.mu.Lock()
@@ -109,23 +106,23 @@
 	for i, name := range names {
 		load := s.intake.Own(name)
 		sl.Running[i] = byte(min(load.Running, maxCount))
-		sl.Prompts[i] = byte(min((load.Prompt+promptUnit-1)/promptUnit, maxCount))
+		sl.Prompts[i] = byte(min((load.Prompt+promptUnitTokens-1)/promptUnitTokens, maxCount))
 		busy = busy || load.Running > 0
 	}
 	return sl, busy
 }
 
-// SetHostLoads takes in what another entry encoded.
+// SetHostLoads replaces the loads of another entry by what its Encode returned.
 func (l *LoadExchange) SetHostLoads(from id.Host, state []byte) error {
-	return l.take(source{host: from}, state)
+	return l.set(loadSource{host: from}, state)
 }
 
-// SetCellLoads takes in the sum of another cell.
+// SetCellLoads replaces the loads of another cell by what EncodeSum returned.
 func (l *LoadExchange) SetCellLoads(cell string, state []byte) error {
-	return l.take(source{cell: cell}, state)
+	return l.set(loadSource{cell: cell}, state)
 }
 
-func (l *LoadExchange) take(from source, state []byte) error {
+func (l *LoadExchange) set(from loadSource, state []byte) error {
 	var services map[id.Service]serviceLoads
 	if err := cbor.Unmarshal(state, &services); err != nil {
 		return err
@@ -137,47 +134,46 @@
 	return nil
 }
 
-// ApplyPending hands what arrived to the services and drops what is too old. A timer
-// calls it.
+// ApplyPending drops expired loads and passes changed sums to the services, on a timer.
 func (l *LoadExchange) ApplyPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for from, x := range l.sources {
-		if time.Since(x.at) > loadsFor {
+		if time.Since(x.at) > remoteLoadTTL {
 			delete(l.sources, from)
 			l.dirty = true
 		}
 	}
 	if l.dirty {
 		l.dirty = false
-		l.apply()
+		l.applyLocked()
 	}
 }
 
-// apply hands the sums to the services. The caller holds mu.
-func (l *LoadExchange) apply() {
+// applyLocked passes the sums to the services. The caller holds mu.
+func (l *LoadExchange) applyLocked() {
 	for name, s := range l.handler.Services() {
 		names, hash := s.endpointNames()
 		sums := make([]intake.Load, len(names))
-		var heard time.Time
+		var latest time.Time
 		for _, x := range l.sources {
-			if x.at.After(heard) {
-				heard = x.at
+			if x.at.After(latest) {
+				latest = x.at
 			}
 			sl, ok := x.services[name]
-			if !ok || !sl.fits(hash, len(names)) {
+			if !ok || !sl.matches(hash, len(names)) {
 				continue
 			}
 			for i := range names {
 				sums[i].Running += int(sl.Running[i])
-				sums[i].Prompt += int(sl.Prompts[i]) * promptUnit
+				sums[i].Prompt += int(sl.Prompts[i]) * promptUnitTokens
 			}
 		}
-		s.SetRemoteLoads(names, sums, heard)
+		s.SetRemoteLoads(names, sums, latest)
 	}
 }
 
-// endpointNames returns the endpoints of the service in order, and their hash.
+// endpointNames returns the sorted endpoint names of the service and their hash.
 func (s *Service) endpointNames() ([]id.Endpoint, uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- /dev/null
+++ b/entry/direct/requestlog.go
@@ -0,0 +1,118 @@
+package direct
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/rs/zerolog"
+
+	"github.com/siskinford/siskinford/balance/intake"
+	"github.com/siskinford/siskinford/core/id"
+)
+
+// requestLog logs and counts the outcomes of requests. Each decision is one line with the
+// request's ID, its inputs and their age, and the outcome.
+type requestLog struct {
+	log zerolog.Logger
+	set *metrics.Set
+}
+
+// Values of the label end of siskinford_requests_total.
+const (
+	endAnswered  = "answered"
+	endRefused   = "refused"
+	endRejected  = "rejected"
+	endFailed    = "failed"
+	endBroken    = "broken"
+	endAbandoned = "abandoned"
+)
+
+func (l *requestLog) count(end string, service id.Service) {
+	l.set.GetOrCreateCounter(fmt.Sprintf("siskinford_requests_total{end=%q,service=%q}", end, string(service))).Inc()
+}
+
+func (l *requestLog) observe(name string, service id.Service, seconds float64) {
+	l.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_%s_seconds{service=%q}", name, string(service))).Update(seconds)
+}
+
+// request adds the common fields of a request to a log line.
+func (l *requestLog) request(e *zerolog.Event, event string, q *request) *zerolog.Event {
+	e = e.Str("event", event).Str("request", string(q.info.ID)).Str("service", string(q.service.name)).
+		Str("route", q.route.Name).Uint64("config", q.version).Dur("after", time.Since(q.began))
+	if q.team != nil {
+		e = e.Str("team", string(q.team.Name))
+	}
+	return e
+}
+
+// rejected logs a request that was not assigned to a service.
+func (l *requestLog) rejected(r *http.Request, info RequestInfo, status int, version uint64, text string) {
+	l.count(endRejected, "")
+	l.log.Info().Str("event", "request.rejected").Str("request", string(info.ID)).Int("status", status).
+		Uint64("config", version).Str("site", r.Host).Str("path", r.URL.Path).Msg(text)
+}
+
+// queued logs that a request has to wait, and why.
+func (l *requestLog) queued(q *request, s intake.Standing) {
+	l.request(l.log.Info(), "request.queued", q).Int("running", s.Running).Int("places", s.Places).
+		Int("waiting", s.Waiting).Bool("down", s.Down).Send()
+}
+
+// chosen logs the endpoint to which a request is sent.
+func (l *requestLog) chosen(q *request, x *Slot) {
+	d := x.Decision
+	l.observe("wait", q.service.name, d.Waited.Seconds())
+	l.request(l.log.Info(), "request.chosen", q).Str("endpoint", string(x.Backend.Name)).Int("try", q.sent+1).
+		Dur("waited", d.Waited).Bool("late", d.Late).Int("running", d.Running).Int("waiting", d.Waiting).
+		Dur("loads_age", x.LoadsAge).Int("prompt", q.info.PromptTokens).Dur("left", time.Until(q.deadline)).Send()
+}
+
+func (l *requestLog) refused(q *request, d intake.Decision, status int) {
+	l.count(endRefused, q.service.name)
+	l.request(l.log.Info(), "request.refused", q).Int("status", status).Dur("waited", d.Waited).
+		Dur("retry_after", d.RetryAfter).Int("running", d.Running).Int("places", d.Places).Int("waiting", d.Waiting).
+		Dur("down_for", d.DownFor).Int("sent", q.sent).Msg(string(d.Reason))
+}
+
+func (l *requestLog) repeated(q *request, endpoint id.Endpoint, cause error, why string) {
+	l.set.GetOrCreateCounter(fmt.Sprintf("siskinford_repeats_total{service=%q}", string(q.service.name))).Inc()
+	l.request(l.log.Info(), "request.repeated", q).Err(cause).Str("endpoint", string(endpoint)).Int("sent", q.sent).Msg(why)
+}
+
+func (l *requestLog) failed(q *request, status int, cause error) {
+	l.count(endFailed, q.service.name)
+	l.request(l.log.Warn(), "request.failed", q).Err(cause).Int("status", status).Int("sent", q.sent).Send()
+}
+
+func (l *requestLog) abandoned(q *request) {
+	l.count(endAbandoned, q.service.name)
+	l.request(l.log.Info(), "request.abandoned", q).Int("sent", q.sent).Msg("client disconnected")
+}
+
+// answered logs a buffered response that was forwarded.
+func (l *requestLog) answered(q *request, endpoint id.Endpoint, status int) {
+	l.count(endAnswered, q.service.name)
+	l.observe("answer", q.service.name, time.Since(q.began).Seconds())
+	l.request(l.log.Info(), "request.answered", q).Str("endpoint", string(endpoint)).Int("status", status).Int("sent", q.sent).Send()
+}
+
+// streamed logs a stream that was forwarded to its end.
+func (l *requestLog) streamed(q *request, endpoint id.Endpoint, s *streamWriter) {
+	l.count(endAnswered, q.service.name)
+	l.observe("answer", q.service.name, time.Since(q.began).Seconds())
+	l.request(l.log.Info(), "request.answered", q).Str("endpoint", string(endpoint)).Int("status", http.StatusOK).
+		Int("sent", q.sent).Dur("first", s.firstEventAfter).Int("events", s.events).Dur("longest_gap", s.longestGap).Send()
+}
+
+func (l *requestLog) broken(q *request, s *streamWriter, d intake.Decision, cause error) {
+	l.count(endBroken, q.service.name)
+	l.request(l.log.Warn(), "stream.broken", q).Err(cause).Str("last_event", s.lastEventID).Int("sent", q.sent).
+		Int("events", s.events).Dur("silence", time.Since(s.lastProgress)).Dur("down_for", d.DownFor).Msg(string(d.Reason))
+}
+
+// firstEvent records the time to the first event of a stream.
+func (l *requestLog) firstEvent(q *request, after time.Duration) {
+	l.observe("first_event", q.service.name, after.Seconds())
+}
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -16,19 +16,18 @@
 	"github.com/siskinford/siskinford/entry/routes"
 )
 
-// pumpInterval is the time between looks at waiting requests. Their targets are
+// dispatchInterval is the time between dispatches of waiting requests. Their targets are
 // at least ten times as long.
-const pumpInterval = 10 * time.Millisecond
+const dispatchInterval = 10 * time.Millisecond
 
-// Service decides where the requests of one service go and holds what the entry
-// learns of its endpoints. It is safe for concurrent use.
+// Service assigns the requests of one service to endpoints and tracks the state of its
+// endpoints. It is safe for concurrent use.
 type Service struct {
 	log     zerolog.Logger
 	name    id.Service
-	began   time.Time
+	start   time.Time
 	entries func() int
-	// lastEvent is when any stream of the service last had an event, in
-	// nanoseconds since began.
+	// lastEvent is the time of the last event of any stream, in nanoseconds since start.
 	lastEvent atomic.Int64
 
 	mu       sync.Mutex // leaf lock; guards all below
@@ -37,19 +36,19 @@
 	detector *outlier.Detector
 	window   *retry.Window
 	backends map[id.Endpoint]*Backend
-	// names are the endpoints in order and namesHash their hash, nil until they are asked for.
+	// names are the sorted endpoint names and namesHash their hash, computed on demand.
 	names     []id.Endpoint
 	namesHash uint32
-	// replaced holds the endpoints whose address another instance has.
-	replaced map[id.Endpoint]bool
-	pumping  bool
-	// othersAt is when other entries last told their loads.
-	othersAt time.Time
+	// replaced holds the endpoints whose address belongs to another instance now.
+	replaced          map[id.Endpoint]bool
+	dispatchScheduled bool
+	// remoteLoadsAt is when loads of other entries last arrived.
+	remoteLoadsAt time.Time
 }
 
 func newService(c routes.Service, opt Options) *Service {
 	s := &Service{
-		log: opt.Log, name: c.Name, began: time.Now(), othersAt: time.Now(), entries: opt.Entries, config: c,
+		log: opt.Log, name: c.Name, start: time.Now(), remoteLoadsAt: time.Now(), entries: opt.Entries, config: c,
 		detector: outlier.New(outlier.Config{}), window: retry.NewWindow(opt.Retries),
 		backends: make(map[id.Endpoint]*Backend), replaced: make(map[id.Endpoint]bool),
 	}
@@ -57,8 +56,8 @@
 	return s
 }
 
-// plainOvercommit is the number of requests beyond its slots that a plain
-// endpoint may have, so that a slot does not stay free for a way there and back.
+// plainOvercommit is the number of requests beyond its slots that an endpoint without an
+// engine may have, so that no slot stays idle for a round trip.
 const plainOvercommit = 4
 
 func intakeConfig(s routes.Service) intake.Config {
@@ -66,33 +65,32 @@
 		return intake.Config{Overcommit: plainOvercommit, FirstAnswer: 50 * time.Millisecond, Outage: time.Second}
 	}
 	e := s.Engine
-	whole := e.MeanAnswer * float64(e.FullStep())
-	c := intake.Config{FirstAnswer: 150 * time.Millisecond, WholeAnswer: time.Duration(whole)}
+	wholeAnswer := e.MeanAnswer * float64(e.FullStep())
+	c := intake.Config{FirstAnswer: 150 * time.Millisecond, WholeAnswer: time.Duration(wholeAnswer)}
 	if e.PerSequence > 0 {
 		c.Fixed = float64(e.Step) / float64(e.PerSequence)
 	}
 	return c
 }
 
-// configure takes over a newer configuration of the service.
+// configure applies a newer configuration of the service.
 func (s *Service) configure(c routes.Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = c
 }
 
-// stalledAfter returns the time without a new pass after which a group of the
-// service counts as down.
-func (s *Service) stalledAfter() time.Duration {
+// stallTimeout returns the time without a new pass after which a group counts as down.
+func (s *Service) stallTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.config.Engine == nil {
-		return minStalled
+		return minStallTimeout
 	}
-	return max(minStalled, stalledPasses*s.config.Engine.FullPass())
+	return max(minStallTimeout, stallTimeoutPasses*s.config.Engine.FullPass())
 }
 
-func (s *Service) now() time.Duration { return time.Since(s.began) }
+func (s *Service) now() time.Duration { return time.Since(s.start) }
 
 // setBackends replaces the endpoints.
 func (s *Service) setBackends(list []*Backend) {
@@ -117,14 +115,14 @@
 	s.backends, s.names = backends, nil
 	s.intake.SetEndpoints(endpoints)
 	s.detector.Forget(func(name id.Endpoint) bool { return backends[name] != nil })
-	s.pump()
+	s.dispatch()
 }
 
-// Slot is the right to send one request to one endpoint.
+// Slot is the permission to send one request to one endpoint.
 type Slot struct {
 	Backend  *Backend
 	Decision intake.Decision
-	// LoadsAge is the time since other entries last told their loads.
+	// LoadsAge is the time since loads of other entries last arrived.
 	LoadsAge time.Duration
 	service  *Service
 	request  *intake.Request
@@ -132,15 +130,15 @@
 	answered bool
 }
 
-// Acquire waits until the request may be sent to an endpoint. It calls queued,
-// which may log but not block, if the request has to wait. Without a slot the decision
-// tells why; it is empty if ctx ended.
+// Acquire waits until the request may be sent to an endpoint. If the request has to wait,
+// it calls queued, which must not block. Without a slot the decision holds the reason; it
+// is empty if ctx ended.
 func (s *Service) Acquire(ctx context.Context, r intake.Request, queued func(intake.Standing)) (*Slot, intake.Decision) {
 	decided := make(chan intake.Decision, 1)
 	t := &intake.Ticket{Request: r, Decided: func(d intake.Decision) { decided <- d }, Queued: queued}
 	s.mu.Lock()
 	s.intake.Submit(t, s.now())
-	s.pump()
+	s.dispatch()
 	s.mu.Unlock()
 	select {
 	case d := <-decided:
@@ -168,44 +166,44 @@
 	defer s.mu.Unlock()
 	b := s.backends[d.Endpoint]
 	if b == nil {
-		return nil, intake.Decision{Reason: intake.NoEndpoint} // It left in this moment.
+		return nil, intake.Decision{Reason: intake.NoEndpoint} // It was removed in the meantime.
 	}
 	return &Slot{
-		Backend: b, Decision: d, LoadsAge: time.Since(s.othersAt), service: s, request: &t.Request, started: s.now(),
+		Backend: b, Decision: d, LoadsAge: time.Since(s.remoteLoadsAt), service: s, request: &t.Request, started: s.now(),
 	}, d
 }
 
-// pump starts what is due, and again at an interval while requests wait. The
-// caller holds mu.
-func (s *Service) pump() {
+// dispatch starts requests that are due, and repeats at an interval while requests wait.
+// The caller holds mu.
+func (s *Service) dispatch() {
 	s.intake.Pump(s.now())
-	if s.intake.Waiting() == 0 || s.pumping {
+	if s.intake.Waiting() == 0 || s.dispatchScheduled {
 		return
 	}
-	s.pumping = true
-	time.AfterFunc(pumpInterval, func() {
+	s.dispatchScheduled = true
+	time.AfterFunc(dispatchInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.pumping = false
-		s.pump()
+		s.dispatchScheduled = false
+		s.dispatch()
 	})
 }
 
-// Outcome tells what a try says of its endpoint.
+// Outcome is the result of an attempt as a sign of the endpoint's health.
 type Outcome uint8
 
 const (
-	// Neutral tries say nothing.
+	// Neutral attempts say nothing about the endpoint.
 	Neutral Outcome = iota
-	// Succeeded tries were answered.
+	// Succeeded attempts got a response.
 	Succeeded
-	// Failed tries failed by the endpoint's fault.
+	// Failed attempts failed through the endpoint's fault.
 	Failed
-	// Hung tries got no word for too long while other endpoints answered.
+	// Hung attempts got no data for too long while other endpoints responded.
 	Hung
 )
 
-// RecordFirstEvent records the first event of a stream, or the answer.
+// RecordFirstEvent records the first event of a stream, or a buffered response.
 func (x *Slot) RecordFirstEvent() {
 	s := x.service
 	s.mu.Lock()
@@ -215,7 +213,7 @@
 	}
 	x.answered = true
 	now := s.now()
-	s.tellDoubt(x.Backend.Name, "it began an answer", func() {
+	s.logDoubtChange(x.Backend.Name, "response received", func() {
 		s.intake.FirstEvent(x.Backend.Name, x.request, now-x.started, now)
 	})
 }
@@ -223,22 +221,22 @@
 // RecordEvent records an event of a stream.
 func (x *Slot) RecordEvent() { x.service.lastEvent.Store(int64(x.service.now())) }
 
-// Release frees the slot. It must be called once.
+// Release frees the slot. It must be called exactly once.
 func (x *Slot) Release(o Outcome) {
 	s := x.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.intake.Ended(x.Backend.Name, x.request, x.answered, s.now()-x.started)
 	now := s.now()
-	if until := s.judge(x.Backend.Name, o, now); until > now {
+	if until := s.suspectUntil(x.Backend.Name, o, now); until > now {
 		s.intake.Suspect(x.Backend.Name, until)
 	}
-	s.pump()
+	s.dispatch()
 }
 
-// judge returns the time until which an endpoint is suspect after a try. The
+// suspectUntil records an outcome and returns until when the endpoint is suspect. The
 // caller holds mu.
-func (s *Service) judge(name id.Endpoint, o Outcome, now time.Duration) time.Duration {
+func (s *Service) suspectUntil(name id.Endpoint, o Outcome, now time.Duration) time.Duration {
 	switch o {
 	case Succeeded, Failed:
 		return s.detector.Record(name, o == Succeeded, now)
@@ -248,7 +246,7 @@
 	return 0
 }
 
-// MarkReplaced takes an endpoint out of use whose address another instance has.
+// MarkReplaced takes an endpoint out of use whose address belongs to another instance.
 func (s *Service) MarkReplaced(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,25 +254,25 @@
 	s.intake.SetUsable(name, false)
 }
 
-// MarkUnreachable makes an endpoint the last choice for a moment.
+// MarkUnreachable makes an endpoint the last choice for unreachableDuration.
 func (s *Service) MarkUnreachable(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.intake.Suspect(name, s.now()+unreachableFor)
+	s.intake.Suspect(name, s.now()+unreachableDuration)
 }
 
-// unreachableFor is the time for which an endpoint is avoided to which no
-// connection could be opened.
-const unreachableFor = time.Second
+// unreachableDuration is the time for which an endpoint is avoided after a failed
+// connection attempt.
+const unreachableDuration = time.Second
 
-// CountRequest counts a request of a client.
+// CountRequest counts a client request for the retry budget.
 func (s *Service) CountRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.window.Request(s.now())
 }
 
-// AcquireRetry takes a further try from the budget of all entries.
+// AcquireRetry takes a retry from the shared budget and reports whether one was left.
 func (s *Service) AcquireRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,13 +283,13 @@
 func (s *Service) ReportGroupDown(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tellDoubt(name, "it refused a request because its group is down", func() { s.intake.Doubt(name, s.now()) })
-	s.pump()
+	s.logDoubtChange(name, "request refused: group is down", func() { s.intake.Doubt(name, s.now()) })
+	s.dispatch()
 }
 
-// tellDoubt logs whether a change puts an endpoint's group in doubt or ends the
-// doubt. The caller holds mu.
-func (s *Service) tellDoubt(name id.Endpoint, why string, change func()) {
+// logDoubtChange runs change and logs a new number of groups in doubt. The caller holds
+// mu.
+func (s *Service) logDoubtChange(name id.Endpoint, why string, change func()) {
 	before := s.intake.InDoubt()
 	change()
 	if after := s.intake.InDoubt(); after != before {
@@ -300,44 +298,42 @@
 	}
 }
 
-// setDown tells whether all groups of the service are down. The caller holds mu.
+// setDown sets whether all groups of the service are down. The caller holds mu.
 func (s *Service) setDown(down bool) {
 	s.intake.SetDown(down, s.now())
 	if !down {
-		s.pump()
+		s.dispatch()
 	}
 }
 
-// RankStatus is what was seen of the rank behind an endpoint.
+// RankStatus is the polled state of the rank behind an endpoint.
 type RankStatus struct {
-	// Group is empty if it is not known.
-	Group id.Group
-	// GroupDown is true if the group is down.
+	// Group is empty if unknown.
+	Group     id.Group
 	GroupDown bool
-	// Pace is above one while the rank is slow, zero if it is not known.
+	// Pace is above one while the rank is slow, zero if unknown.
 	Pace float64
-	// ProgressAt is when the rank was last seen to have begun a pass or to belong to a
-	// group formed anew.
+	// ProgressAt is when the group was last seen to begin a pass or a new formation.
 	ProgressAt time.Time
 }
 
-// SetRanks tells what was seen of the ranks behind the endpoints. Endpoints that
-// were not seen yet are taken to be blocked if others is true. It reports whether
-// the service went down or came back.
-func (s *Service) SetRanks(seen map[id.Endpoint]RankStatus, others bool) (changed bool) {
+// SetRanks sets the state of the ranks behind the endpoints. Endpoints missing from ranks
+// count as down if unknownDown is true. It reports whether the service went down or came
+// back.
+func (s *Service) SetRanks(ranks map[id.Endpoint]RankStatus, unknownDown bool) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	down := len(s.backends) > 0
 	for name := range s.backends {
-		r, ok := seen[name]
+		r, ok := ranks[name]
 		if !ok {
-			r.GroupDown = others
+			r.GroupDown = unknownDown
 		}
 		s.intake.SetBlocked(name, r.GroupDown)
 		s.intake.SetPace(name, r.Pace)
 		if r.Group != "" {
 			s.intake.SetGroup(name, r.Group)
-			s.tellDoubt(name, "its group was seen to go on", func() { s.intake.Moved(r.Group, r.ProgressAt.Sub(s.began)) })
+			s.logDoubtChange(name, "group made progress", func() { s.intake.Moved(r.Group, r.ProgressAt.Sub(s.start)) })
 		}
 		down = down && r.GroupDown
 	}
@@ -346,7 +342,7 @@
 	return was != down
 }
 
-// Down reports whether the group of the service is down.
+// Down reports whether all groups of the service are down.
 func (s *Service) Down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -354,20 +350,20 @@
 	return down
 }
 
-// SetRemoteLoads replaces what other entries run at endpoints, as last heard.
-func (s *Service) SetRemoteLoads(names []id.Endpoint, loads []intake.Load, heard time.Time) {
+// SetRemoteLoads replaces the loads that other entries cause at the endpoints.
+func (s *Service) SetRemoteLoads(names []id.Endpoint, loads []intake.Load, receivedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if heard.After(s.othersAt) {
-		s.othersAt = heard
+	if receivedAt.After(s.remoteLoadsAt) {
+		s.remoteLoadsAt = receivedAt
 	}
 	for i, name := range names {
 		s.intake.SetOthers(name, loads[i])
 	}
-	s.pump()
+	s.dispatch()
 }
 
-// SinceLastEvent returns the time since any stream of the service had an event.
+// SinceLastEvent returns the time since the last event of any stream of the service.
 func (s *Service) SinceLastEvent() time.Duration {
 	return s.now() - time.Duration(s.lastEvent.Load())
 }
--- a/entry/direct/silence.go
+++ b/entry/direct/silence.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// minClientSilence is the least silence after which clients abandon a stream. The
-	// users' clients also wait for silenceTargets targets or silenceGaps gaps.
-	minClientSilence = 2 * time.Second
-	silenceTargets   = 4
-	silenceGaps      = 8
-	// silenceMargin is taken off for the way to the client.
-	silenceMargin = 300 * time.Millisecond
+	// minClientSilence is the minimum silence after which clients abandon a stream. Known
+	// clients wait for the longest of it, clientSilenceTargets target latencies and
+	// clientSilenceGaps maximum gaps.
+	minClientSilence     = 2 * time.Second
+	clientSilenceTargets = 4
+	clientSilenceGaps    = 8
+	// deliveryMargin is subtracted for the delivery to the client.
+	deliveryMargin = 300 * time.Millisecond
 )
 
 // clientSilence returns the silence after which a client abandons a stream.
 func clientSilence(r *routes.Route) time.Duration {
-	return max(minClientSilence, silenceTargets*r.Target, silenceGaps*r.MaxGap)
+	return max(minClientSilence, clientSilenceTargets*r.Target, clientSilenceGaps*r.MaxGap)
 }
 
-// silenceLimit returns the silence before which a stream must go on.
-func silenceLimit(r *routes.Route) time.Duration { return clientSilence(r) - silenceMargin }
+// maxSilence returns the silence within which a stream must resume.
+func maxSilence(r *routes.Route) time.Duration { return clientSilence(r) - deliveryMargin }
 
-// Parts of the silence after which a client leaves, in percent. What is left of it
-// must be enough to begin the stream at another endpoint.
+// Percentages of clientSilence. The remainder must suffice to start the stream at
+// another endpoint.
 const (
-	silentFirstPart = 60
-	silentNextPart  = 35
-	othersGoOnPart  = 15
+	firstEventPercent   = 60
+	nextEventPercent    = 35
+	othersActivePercent = 15
 )
 
-// silences are the times after which a silent stream is continued elsewhere.
-type silences struct {
-	// first and next are the times without a first or a further event.
+// silenceTimeouts are the timeouts after which a silent stream is resumed elsewhere.
+type silenceTimeouts struct {
+	// first and next apply before the first and between further events.
 	first, next time.Duration
-	// others is the greatest silence of all streams of the service with which a
-	// silent stream is held against its endpoint.
-	others time.Duration
+	// othersActive is the greatest silence of the whole service at which a silent stream
+	// still counts as a fault of its endpoint.
+	othersActive time.Duration
 }
 
-func silencesOf(r *routes.Route) silences {
+func silenceTimeoutsOf(r *routes.Route) silenceTimeouts {
 	percent := clientSilence(r) / 100
-	return silences{first: silentFirstPart * percent, next: silentNextPart * percent, others: othersGoOnPart * percent}
+	return silenceTimeouts{first: firstEventPercent * percent, next: nextEventPercent * percent, othersActive: othersActivePercent * percent}
 }
--- a/entry/direct/stream.go
+++ b/entry/direct/stream.go
@@ -12,127 +12,128 @@
 	"github.com/siskinford/siskinford/entry/upstream"
 )
 
-var errSilent = errors.New("the stream fell silent while others go on")
+var errStreamSilent = errors.New("the stream fell silent while others go on")
 
-// errClientGone reports that events can no longer be passed on.
-type errClientGone struct{ cause error }
+// clientGoneError reports that writing to the client failed.
+type clientGoneError struct{ cause error }
 
-func (e *errClientGone) Error() string { return "the client takes no events: " + e.cause.Error() }
+func (e *clientGoneError) Error() string { return "write to client: " + e.cause.Error() }
 
-// streamWriter passes the events of one or more runs to the client.
+// streamWriter forwards the events of one or more attempts to the client.
 type streamWriter struct {
-	w     http.ResponseWriter
-	rc    *http.ResponseController
-	begun bool
-	// last is the ID of the last event that was passed on.
-	last string
-	// progress is when the client last got something, or the request's arrival.
-	progress time.Time
-	// first is the time from the arrival to the first event.
-	first      time.Duration
-	events     int
-	longestGap time.Duration
+	w          http.ResponseWriter
+	rc         *http.ResponseController
+	headerSent bool
+	// lastEventID is the ID of the last event forwarded.
+	lastEventID string
+	// lastProgress is when an event was last forwarded, or the request's arrival.
+	lastProgress time.Time
+	// firstEventAfter is the time from the arrival to the first event.
+	firstEventAfter time.Duration
+	events          int
+	longestGap      time.Duration
 }
 
-// serveStream passes on a stream and continues it elsewhere when it breaks off.
+// serveStream forwards a stream and resumes it at another endpoint if it breaks off.
 func (h *Handler) serveStream(ctx context.Context, w http.ResponseWriter, q *request) {
-	s := &streamWriter{w: w, rc: http.NewResponseController(w), last: q.call.LastEvent, progress: q.began}
+	s := &streamWriter{w: w, rc: http.NewResponseController(w), lastEventID: q.info.LastEvent, lastProgress: q.began}
 	if err := s.rc.SetWriteDeadline(q.deadline); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	var (
-		a   *answer
-		err error
+		resp *response
+		err  error
 	)
 	for {
-		slot, d := q.service.Acquire(ctx, s.ask(q), h.queued(q))
+		slot, d := q.service.Acquire(ctx, s.intakeRequest(q), h.queued(q))
 		if slot == nil {
-			h.endStream(ctx, w, q, s, d, a, err)
+			h.endStream(ctx, w, q, s, d, resp, err)
 			return
 		}
-		a, err = h.tryStream(ctx, q, slot, s)
-		if err == nil && a == nil {
-			h.journal.streamed(q, slot.Backend.Name, s)
+		resp, err = h.attemptStream(ctx, q, slot, s)
+		if err == nil && resp == nil {
+			h.requestLog.streamed(q, slot.Backend.Name, s)
 			return
 		}
-		var gone *errClientGone
+		var gone *clientGoneError
 		if errors.As(err, &gone) {
-			h.journal.abandoned(q)
+			h.requestLog.abandoned(q)
 			panic(http.ErrAbortHandler)
 		}
-		if ctx.Err() != nil || !h.again(q, slot, a, err) {
-			h.endStream(ctx, w, q, s, intake.Decision{}, a, err)
+		if ctx.Err() != nil || !h.acquireRetry(q, slot, resp, err) {
+			h.endStream(ctx, w, q, s, intake.Decision{}, resp, err)
 			return
 		}
 	}
 }
 
-// ask describes the request, or what is left of it, to the intake.
-func (s *streamWriter) ask(q *request) intake.Request {
-	r := q.ask()
-	if s.begun {
+// intakeRequest describes the request, or the rest of the stream, to the intake.
+func (s *streamWriter) intakeRequest(q *request) intake.Request {
+	r := q.intakeRequest()
+	if s.headerSent {
 		r.Resumed = true
-		r.Arrival = s.progress.Sub(q.service.began)
-		r.Silence = s.progress.Add(silenceLimit(q.route)).Sub(q.service.began)
+		r.Arrival = s.lastProgress.Sub(q.service.start)
+		r.Silence = s.lastProgress.Add(maxSilence(q.route)).Sub(q.service.start)
 	}
 	return r
 }
 
-// endStream ends a stream that cannot be finished, visibly broken if it has begun.
-func (h *Handler) endStream(ctx context.Context, w http.ResponseWriter, q *request, s *streamWriter, d intake.Decision, a *answer, err error) {
+// endStream ends a stream that cannot be completed. If it has begun, the connection is
+// aborted so that the client notices.
+func (h *Handler) endStream(ctx context.Context, w http.ResponseWriter, q *request, s *streamWriter, d intake.Decision, resp *response, err error) {
 	switch {
-	case s.begun:
-		h.journal.broken(q, s, d, err)
+	case s.headerSent:
+		h.requestLog.broken(q, s, d, err)
 		panic(http.ErrAbortHandler)
 	case ctx.Err() != nil:
-		h.giveUp(ctx, w, q)
+		h.endExpired(ctx, w, q)
 	case d.Reason != "" && q.sent == q.refused:
 		h.refuse(w, q, d)
 	default:
-		h.conclude(w, q, a, err)
+		h.writeResult(w, q, resp, err)
 	}
 }
 
-// tryStream passes events on until the stream ends. It returns an answer that is
-// not a stream without passing it on.
-func (h *Handler) tryStream(ctx context.Context, q *request, slot *Slot, s *streamWriter) (a *answer, err error) {
+// attemptStream forwards events until the stream ends. It returns a response that is not a
+// stream without forwarding it.
+func (h *Handler) attemptStream(ctx context.Context, q *request, slot *Slot, s *streamWriter) (resp *response, err error) {
 	outcome := Neutral
 	defer func() { slot.Release(outcome) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := newWatch(q.service, silencesOf(q.route), cancel)
-	defer watch.stop()
-	x, err := h.send(ctx, q, slot, s.last)
+	watchdog := newSilenceWatchdog(q.service, silenceTimeoutsOf(q.route), cancel)
+	defer watchdog.stop()
+	x, err := h.send(ctx, q, slot, s.lastEventID)
 	if err != nil {
-		outcome = blame(err)
+		outcome = outcomeOf(err)
 		return nil, err
 	}
 	defer x.Close()
-	v, err := h.check(q, x)
+	info, err := h.checkResponse(q, x)
 	if err != nil {
 		outcome = Failed
 		return nil, err
 	}
 	if x.Response.StatusCode != http.StatusOK {
-		body, err := io.ReadAll(io.LimitReader(x.Body(), maxWholeAnswer))
+		body, err := io.ReadAll(io.LimitReader(x.Body(), maxBufferedBytes))
 		if err != nil {
 			outcome = Failed
 			return nil, errors.Wrap(err, "answer broke off")
 		}
-		if !v.NotRun {
+		if !info.NotRun {
 			outcome = Failed
 		}
-		return &answer{
-			status: x.Response.StatusCode, header: x.Response.Header, body: body, verdict: v, endpoint: slot.Backend.Name,
+		return &response{
+			status: x.Response.StatusCode, header: x.Response.Header, body: body, info: info, endpoint: slot.Backend.Name,
 		}, nil
 	}
-	err = h.pass(q, s, x, slot, watch)
+	err = h.copyEvents(q, s, x, slot, watchdog)
 	switch {
 	case err == nil:
 		outcome = Succeeded
 	case ctx.Err() != nil:
 		err = context.Cause(ctx)
-		if errors.Is(err, errSilent) {
+		if errors.Is(err, errStreamSilent) {
 			outcome = Hung
 		}
 	default:
@@ -141,13 +142,13 @@
 	return nil, err
 }
 
-// pass passes the events of one run on.
-func (h *Handler) pass(q *request, s *streamWriter, x *upstream.Exchange, slot *Slot, watch *watch) error {
+// copyEvents forwards the events of one attempt.
+func (h *Handler) copyEvents(q *request, s *streamWriter, x *upstream.Exchange, slot *Slot, watchdog *silenceWatchdog) error {
 	events := newEventReader(x.Body())
 	for {
 		event, eventID, err := events.next()
 		if err == io.EOF {
-			s.begin(x.Response.Header)
+			s.sendHeader(x.Response.Header)
 			return nil
 		}
 		if err != nil {
@@ -155,35 +156,35 @@
 		}
 		slot.RecordFirstEvent()
 		slot.RecordEvent()
-		watch.event()
-		switch follows(s.last, eventID) {
-		case repeated:
+		watchdog.reset()
+		switch compareEventIDs(s.lastEventID, eventID) {
+		case duplicate:
 			continue
-		case missing:
-			return errors.Newf("event %q follows event %q", eventID, s.last)
+		case gap:
+			return errors.Newf("event %q follows event %q", eventID, s.lastEventID)
 		}
-		s.begin(x.Response.Header)
+		s.sendHeader(x.Response.Header)
 		if err := s.write(event); err != nil {
-			return &errClientGone{cause: err}
+			return &clientGoneError{cause: err}
 		}
 		if eventID != "" {
-			s.last = eventID
+			s.lastEventID = eventID
 		}
-		if s.note(time.Now(), q.began) {
-			h.journal.firstEvent(q, s.first)
+		if s.recordEvent(time.Now(), q.began) {
+			h.requestLog.firstEvent(q, s.firstEventAfter)
 		}
 	}
 }
 
-// note records that the client got an event. It is true for the first one.
-func (s *streamWriter) note(now, began time.Time) bool {
+// recordEvent records that an event was forwarded and reports whether it is the first.
+func (s *streamWriter) recordEvent(now, began time.Time) bool {
 	s.events++
 	if s.events == 1 {
-		s.first = now.Sub(began)
+		s.firstEventAfter = now.Sub(began)
 	} else {
-		s.longestGap = max(s.longestGap, now.Sub(s.progress))
+		s.longestGap = max(s.longestGap, now.Sub(s.lastProgress))
 	}
-	s.progress = now
+	s.lastProgress = now
 	return s.events == 1
 }
 
@@ -194,39 +195,39 @@
 	return s.rc.Flush()
 }
 
-// begin sends the header of the first run.
-func (s *streamWriter) begin(h http.Header) {
-	if s.begun {
+// sendHeader sends the header of the first attempt that has one.
+func (s *streamWriter) sendHeader(h http.Header) {
+	if s.headerSent {
 		return
 	}
-	s.begun = true
+	s.headerSent = true
 	copyHeader(s.w.Header(), h)
 	s.w.Header().Del("Content-Length")
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// watch ends a try whose stream is silent while others of the service go on.
-type watch struct {
+// silenceWatchdog cancels an attempt whose stream is silent while others are active.
+type silenceWatchdog struct {
 	service  *Service
-	silences silences
+	timeouts silenceTimeouts
 	cancel   context.CancelCauseFunc
 	timer    *time.Timer
 }
 
-func newWatch(s *Service, silent silences, cancel context.CancelCauseFunc) *watch {
-	w := &watch{service: s, silences: silent, cancel: cancel}
-	w.timer = time.AfterFunc(silent.first, w.expire)
+func newSilenceWatchdog(s *Service, timeouts silenceTimeouts, cancel context.CancelCauseFunc) *silenceWatchdog {
+	w := &silenceWatchdog{service: s, timeouts: timeouts, cancel: cancel}
+	w.timer = time.AfterFunc(timeouts.first, w.expire)
 	return w
 }
 
-func (w *watch) expire() {
-	if w.service.SinceLastEvent() <= w.silences.others {
-		w.cancel(errSilent)
+func (w *silenceWatchdog) expire() {
+	if w.service.SinceLastEvent() <= w.timeouts.othersActive {
+		w.cancel(errStreamSilent)
 		return
 	}
-	w.timer.Reset(w.silences.others)
+	w.timer.Reset(w.timeouts.othersActive)
 }
 
-func (w *watch) event() { w.timer.Reset(w.silences.next) }
+func (w *silenceWatchdog) reset() { w.timer.Reset(w.timeouts.next) }
 
-func (w *watch) stop() { w.timer.Stop() }
+func (w *silenceWatchdog) stop() { w.timer.Stop() }
--- a/entry/direct/stream_test.go
+++ b/entry/direct/stream_test.go
@@ -15,11 +15,11 @@
 	"github.com/siskinford/siskinford/entry/routes"
 )
 
-func retryNothing() *retry.Window { return retry.NewWindow(retry.WindowConfig{Length: time.Second}) }
+func noRetries() *retry.Window { return retry.NewWindow(retry.WindowConfig{Length: time.Second}) }
 
 var stream = routes.Route{Kind: routes.Streaming, MaxAttempts: 2, Resumable: true}
 
-// wantEvents returns the events from one to another.
+// wantEvents returns the encoded events from..to.
 func wantEvents(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
@@ -42,20 +42,20 @@
 		wantBroken bool
 		wantTries  int
 	}{
-		"passed on whole":                         {stream, events(5, 0, 0), events(5, 0, 0), "", 200, wantEvents(1, 5), false, 1},
-		"goes on elsewhere after its last event":  {stream, events(6, 3, 0), events(6, 0, 0), "", 200, wantEvents(1, 6), false, 2},
-		"goes on for a client that comes back":    {stream, events(6, 0, 0), events(6, 0, 0), "4", 200, wantEvents(5, 6), false, 1},
-		"breaks off visibly when it cannot go on": {stream, events(6, 3, 0), events(6, 4, 0), "", 200, wantEvents(1, 4), true, 2},
-		"does not go on unless it may":            {notResumable, events(6, 3, 0), events(6, 0, 0), "", 200, wantEvents(1, 3), true, 1},
-		"is not a stream":                         {stream, status(404, "Signed: yes"), status(404, "Signed: yes"), "", 404, "", false, 1},
-		"fails before its first event":            {stream, status(500, "Signed: yes"), events(2, 0, 0), "", 200, wantEvents(1, 2), false, 2},
-		"is refused":                              {stream, status(503, "Not-Run: 1"), status(503, "Not-Run: 1"), "", 503, "", false, 2},
+		"forwarded to its end":                    {stream, events(5, 0, 0), events(5, 0, 0), "", 200, wantEvents(1, 5), false, 1},
+		"resumed elsewhere after the last event":  {stream, events(6, 3, 0), events(6, 0, 0), "", 200, wantEvents(1, 6), false, 2},
+		"resumed for a reconnecting client":       {stream, events(6, 0, 0), events(6, 0, 0), "4", 200, wantEvents(5, 6), false, 1},
+		"aborted if it cannot be resumed":         {stream, events(6, 3, 0), events(6, 4, 0), "", 200, wantEvents(1, 4), true, 2},
+		"not resumed unless the route permits it": {notResumable, events(6, 3, 0), events(6, 0, 0), "", 200, wantEvents(1, 3), true, 1},
+		"is not a stream":                         {stream, respond(404, "Signed: yes"), respond(404, "Signed: yes"), "", 404, "", false, 1},
+		"fails before its first event":            {stream, respond(500, "Signed: yes"), events(2, 0, 0), "", 200, wantEvents(1, 2), false, 2},
+		"is refused":                              {stream, respond(503, "Not-Run: 1"), respond(503, "Not-Run: 1"), "", 503, "", false, 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			a, b := newBackend(t, "a", c.a), newBackend(t, "b", c.b)
 			e := newEntry(t, c.route, a, b)
-			e.handler.Service("s").MarkUnreachable("b") // So that a is tried first.
+			e.handler.Service("s").MarkUnreachable("b") // Makes a the first choice.
 			header := []string{}
 			if c.last != "" {
 				header = append(header, "Last-Event: "+c.last)
@@ -71,7 +71,7 @@
 	}
 }
 
-// silent sends two events and then nothing more.
+// silent sends two events and then hangs.
 func silent(_ int, w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Signed", "yes")
 	w.Header().Set("Request", r.Header.Get("Request"))
@@ -81,8 +81,7 @@
 	<-r.Context().Done()
 }
 
-// startAt runs a stream at one of two endpoints, and makes the other one the next
-// choice.
+// startAt runs a stream at one of two endpoints, and makes the other one preferred.
 func startAt(e *entry, this, other id.Endpoint) <-chan reply {
 	s := e.handler.Service("s")
 	s.MarkUnreachable(other)
@@ -96,11 +95,12 @@
 	return out
 }
 
-// TestSilentStreamGoesOnElsewhere names the pattern "a rank hangs while others go on".
+// TestSilentStreamGoesOnElsewhere checks that the stream of a hung rank is resumed
+// elsewhere while other ranks are active.
 func TestSilentStreamGoesOnElsewhere(t *testing.T) {
 	a, b := newBackend(t, "a", silent), newBackend(t, "b", events(9, 0, 100*time.Millisecond))
 	e := newEntry(t, stream, a, b)
-	other := startAt(e, "b", "a") // Its events go on.
+	other := startAt(e, "b", "a") // Keeps the service active.
 	got := e.send(http.MethodPost)
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.body, wantEvents(1, 9))
@@ -108,8 +108,8 @@
 	assert.Equal(t, (<-other).body, wantEvents(1, 9))
 }
 
-// TestSlowStreamIsNotSilent names the pattern "engines whose callers expect little
-// speed": a first event or a pause that would be an outage elsewhere is usual.
+// TestSlowStreamIsNotSilent checks that timeouts scale with the route: a late first event
+// or a pause that is an outage elsewhere is normal for slow engines.
 func TestSlowStreamIsNotSilent(t *testing.T) {
 	slow := stream
 	slow.Target, slow.MaxGap = 1200*time.Millisecond, 700*time.Millisecond
@@ -119,7 +119,7 @@
 	}
 	a, b := newBackend(t, "a", late), newBackend(t, "b", events(9, 0, 500*time.Millisecond))
 	e := newEntry(t, slow, a, b)
-	other := startAt(e, "b", "a") // Its events go on.
+	other := startAt(e, "b", "a") // Keeps the service active.
 	got := e.send(http.MethodPost)
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.body, wantEvents(1, 3))
@@ -128,9 +128,9 @@
 	assert.NilError(t, (<-other).err)
 }
 
-// TestHungRankGetsNoNewStreams: a rank whose host is frozen looks idle, as nothing
-// that runs there ends. One silent stream is enough to prefer a busier rank.
-func TestHungRankGetsNoNewStreams(t *testing.T) {
+// TestSilentStreamMakesEndpointSuspect checks that one silent stream makes a busier rank
+// preferred: a rank on a frozen host looks idle, as none of its requests end.
+func TestSilentStreamMakesEndpointSuspect(t *testing.T) {
 	a, b := newBackend(t, "a", silent), newBackend(t, "b", events(9, 0, 100*time.Millisecond))
 	e := newEntry(t, stream, a, b)
 	other := startAt(e, "b", "a")
@@ -138,7 +138,7 @@
 	<-other
 	assert.Equal(t, len(a.requests()), 1)
 	e.sendTogether(2)
-	assert.Equal(t, len(a.requests()), 1, "the silent rank got another stream")
+	assert.Equal(t, len(a.requests()), 1, "the silent rank received another stream")
 }
 
 func TestClientThatLeavesFreesTheEndpoint(t *testing.T) {
@@ -154,7 +154,7 @@
 	select {
 	case <-left:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the endpoint still works for a client that has gone")
+		t.Fatal("the endpoint still works for a disconnected client")
 	}
 	s := e.handler.Service("s")
 	for range 50 {
@@ -172,12 +172,12 @@
 	a := newBackend(t, "a", events(9, 0, 100*time.Millisecond))
 	e := newEntry(t, route, a)
 	got := e.send(http.MethodPost)
-	assert.Assert(t, got.err != nil, "a stream that is cut must not look complete")
+	assert.Assert(t, got.err != nil, "a truncated stream must not look complete")
 	assert.Assert(t, got.took < 600*time.Millisecond)
 }
 
-// TestContinuedStreamRepeatsEvents covers an endpoint that does not go on exactly
-// after the event that it was told.
+// TestContinuedStreamRepeatsEvents checks endpoints that do not resume exactly after the
+// requested event.
 func TestContinuedStreamRepeatsEvents(t *testing.T) {
 	from := func(first int) script {
 		return func(_ int, w http.ResponseWriter, r *http.Request) {
