--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -88,7 +88,7 @@
 	ticksSincePlan int
 	phase          lockstep.Phase
 	silent         []int
-	committed      lockstep.Target
+	committed      lockstep.Decision
 }
 
 // New returns a coordinator that is idle until the process holds the lease.
@@ -104,7 +104,7 @@
 	Epoch  lockstep.Epoch `json:"epoch"`
 	Phase  lockstep.Phase `json:"phase"`
 	// Committed is the last decision that every rank has accepted, if any.
-	Committed lockstep.Target `json:"committed"`
+	Committed lockstep.Decision `json:"committed"`
 	// Step is the greatest next step reported by a rank.
 	Step lockstep.Step `json:"step"`
 	// WaitsFor are the ranks that the current phase still waits for.
@@ -142,7 +142,7 @@
 		return
 	}
 	c.ticksSincePlan++
-	c.protocol.SetCautious(!c.lease.CoversChange())
+	c.protocol.SetChangesPaused(!c.lease.CoversChange())
 	c.advance()
 	c.send(c.protocol.Tick())
 	c.recordSilent()
@@ -199,7 +199,7 @@
 	c.ticksSincePlan = 0
 	c.phase = ""
 	c.silent = nil
-	c.committed = lockstep.Target{}
+	c.committed = lockstep.Decision{}
 	c.record(EventStarted, "lease %d", token)
 }
 
--- a/entry/coordinator/coordinator_test.go
+++ b/entry/coordinator/coordinator_test.go
@@ -20,7 +20,7 @@
 
 func (l *fakeLease) FencingToken() (uint64, bool) { return l.token, l.held }
 
-func (l *fakeLease) CoversChange() bool       { return !l.expiring }
+func (l *fakeLease) CoversChange() bool      { return !l.expiring }
 func (l *fakeLease) MarkFenced(token uint64) { l.fenced = append(l.fenced, token) }
 
 type sentOrders struct{ orders []groupmsg.Order }
@@ -50,7 +50,7 @@
 func statusOfRunningRank(rank int, epoch lockstep.Epoch, seq uint64) groupmsg.Status {
 	return groupmsg.Status{Group: "g", Report: lockstep.Report{
 		Rank: rank, Incarnation: "inc", Seq: seq, Epoch: epoch, Next: 100, Staged: []lockstep.Version{9},
-		Committed: lockstep.Target{Formation: 5, Map: 9},
+		Committed: lockstep.Decision{Formation: 5, Map: 9},
 	}}
 }
 
@@ -179,7 +179,7 @@
 	c.Tick()
 	for rank := range 2 {
 		status := statusOfRunningRank(rank, lockstep.NewEpoch(1), 1)
-		status.Report.Committed, status.Report.Staged = lockstep.Target{}, nil
+		status.Report.Committed, status.Report.Staged = lockstep.Decision{}, nil
 		c.Receive(status)
 	}
 	s.drain()
--- a/entry/coordinator/plan.go
+++ b/entry/coordinator/plan.go
@@ -80,7 +80,7 @@
 	}
 	c.committed = t
 	kind := EventSwitched
-	if t.Forms() {
+	if t.IsFormation() {
 		kind = EventFormed
 	}
 	c.record(kind, "map %d from step %d of formation %d", t.Map, t.Step, t.Formation)
@@ -191,7 +191,7 @@
 	c.versionsUsed++
 	v := lockstep.NewVersion(c.token, c.versionsUsed)
 	c.maps.addPlanned(v, p.target)
-	c.protocol.SetTarget(v)
+	c.protocol.SetTargetMap(v)
 	plansMade.Inc()
 	rankBytes.AddInt64(p.rankBytes)
 	storeBytes.AddInt64(p.storeBytes)
--- a/entry/direct/buffered.go
+++ b/entry/direct/buffered.go
@@ -101,10 +101,10 @@
 // attemptTimeout returns the attempt's timeout, false if only the request's deadline
 // applies.
 func (q *request) attemptTimeout() (time.Duration, bool) {
-	if !q.route.Repeatable() || q.sent+1 >= q.route.MaxAttempts || q.route.Target <= 0 {
+	if !q.route.Retryable() || q.sent+1 >= q.route.MaxAttempts || q.route.TargetLatency <= 0 {
 		return 0, false
 	}
-	limit := attemptTimeoutTargets * q.route.Target
+	limit := attemptTimeoutTargets * q.route.TargetLatency
 	return limit, limit < time.Until(q.deadline)*3/4
 }
 
@@ -221,13 +221,13 @@
 		return "the group is down"
 	case q.sent-q.groupDownRefusals >= q.route.MaxAttempts:
 		return ""
-	case err != nil && q.route.Repeatable():
+	case err != nil && q.route.Retryable():
 		return err.Error()
 	case err != nil:
 		return ""
 	case resp.info.NotRun:
 		return "refused"
-	case resp.status >= http.StatusInternalServerError && q.route.Repeatable():
+	case resp.status >= http.StatusInternalServerError && q.route.Retryable():
 		return "the endpoint failed"
 	}
 	return ""
--- a/entry/direct/fixture_test.go
+++ b/entry/direct/fixture_test.go
@@ -149,12 +149,12 @@
 func newEntry(t *testing.T, route routes.Route, backends ...*backend) *entry {
 	t.Helper()
 	route.Host, route.Prefix = "h.example", testPrefix
-	route.Split = []routes.Share{{Service: "s", Weight: 1}}
+	route.Split = []routes.WeightedService{{Service: "s", Weight: 1}}
 	if route.Timeout == 0 {
 		route.Timeout = 5 * time.Second
 	}
-	if route.Target == 0 {
-		route.Target = 500 * time.Millisecond
+	if route.TargetLatency == 0 {
+		route.TargetLatency = 500 * time.Millisecond
 	}
 	route.MaxAttempts = max(route.MaxAttempts, 1)
 	table, err := routes.NewTable(routes.Config{
@@ -165,7 +165,7 @@
 	assert.NilError(t, err)
 	h := NewHandler(Options{
 		Codec: testCodec{}, Entries: func() int { return 1 }, Log: zerolog.Nop(),
-		Retries: retry.WindowConfig{Ratio: 0.2, Extra: 100, Length: 10 * time.Second},
+		Retries: retry.WindowConfig{Ratio: 0.2, ExtraRetries: 100, Length: 10 * time.Second},
 	})
 	h.SetTable(table)
 	var list []Endpoint
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -38,9 +38,9 @@
 // TestLongPassesAreNoOutage checks that the stall timeout scales with the engine: a pass
 // of a slow engine takes as long as an outage of a fast one.
 func TestLongPassesAreNoOutage(t *testing.T) {
-	fast := routes.Engine{Slots: 12, Step: 4550 * time.Microsecond, PerSequence: 905 * time.Microsecond, Stride: 4, Experts: &routes.Experts{Sets: 1, PerSet: 1, Places: 1}}
+	fast := routes.Engine{Slots: 12, StepTime: 4550 * time.Microsecond, StepTimePerSequence: 905 * time.Microsecond, StepsPerPass: 4, Experts: &routes.Experts{LayerSets: 1, ExpertsPerSet: 1, SlotsPerRank: 1}}
 	slow := fast
-	slow.Step, slow.PerSequence = 22*time.Millisecond, 3600*time.Microsecond
+	slow.StepTime, slow.StepTimePerSequence = 22*time.Millisecond, 3600*time.Microsecond
 	cases := map[string]struct {
 		engine        routes.Engine
 		sinceLastPass time.Duration
@@ -82,7 +82,7 @@
 		s := h.Service("s")
 		slot, d := s.Acquire(t.Context(), intake.Request{Target: time.Hour, Deadline: time.Hour}, nil)
 		assert.Assert(t, slot != nil, "%v", d)
-		assert.Equal(t, slot.Decision.Places, slots)
+		assert.Equal(t, slot.Decision.Capacity, slots)
 		slot.Release(Succeeded)
 	}
 }
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -175,7 +175,7 @@
 		return nil, false
 	}
 	var team *routes.Team
-	if table.Keyed() && !route.Public {
+	if table.RequiresKey() && !route.Public {
 		if team = table.Team(info.Key); team == nil {
 			h.reject(w, r, info, http.StatusUnauthorized, "the key is unknown")
 			return nil, false
@@ -245,13 +245,13 @@
 }
 
 // queued returns a callback that logs that the request has to wait.
-func (h *Handler) queued(q *request) func(intake.Standing) {
-	return func(s intake.Standing) { h.requestLog.queued(q, s) }
+func (h *Handler) queued(q *request) func(intake.Occupancy) {
+	return func(s intake.Occupancy) { h.requestLog.queued(q, s) }
 }
 
 // intakeRequest describes the request to the intake.
 func (q *request) intakeRequest() intake.Request {
-	target := q.route.Target
+	target := q.route.TargetLatency
 	if target <= 0 {
 		target = defaultTarget
 	}
@@ -261,7 +261,7 @@
 		silence = q.began.Add(maxSilence(q.route)).Sub(base)
 	}
 	return intake.Request{
-		Arrival: q.began.Sub(base), Target: q.began.Add(target).Sub(base), Deadline: q.deadline.Sub(base), Silence: silence,
-		Priority: q.priority(), Prompt: q.info.PromptTokens, Exclude: q.excluded,
+		Arrival: q.began.Sub(base), Target: q.began.Add(target).Sub(base), Deadline: q.deadline.Sub(base), FirstEventDeadline: silence,
+		Priority: q.priority(), PromptTokens: q.info.PromptTokens, Exclude: q.excluded,
 	}
 }
--- a/entry/direct/loads.go
+++ b/entry/direct/loads.go
@@ -104,9 +104,9 @@
 	sl := serviceLoads{Endpoints: hash, Running: make([]byte, len(names)), Prompts: make([]byte, len(names))}
 	busy := false
 	for i, name := range names {
-		load := s.intake.Own(name)
+		load := s.intake.OwnLoad(name)
 		sl.Running[i] = byte(min(load.Running, maxCount))
-		sl.Prompts[i] = byte(min((load.Prompt+promptUnitTokens-1)/promptUnitTokens, maxCount))
+		sl.Prompts[i] = byte(min((load.PromptTokens+promptUnitTokens-1)/promptUnitTokens, maxCount))
 		busy = busy || load.Running > 0
 	}
 	return sl, busy
@@ -166,7 +166,7 @@
 			}
 			for i := range names {
 				sums[i].Running += int(sl.Running[i])
-				sums[i].Prompt += int(sl.Prompts[i]) * promptUnitTokens
+				sums[i].PromptTokens += int(sl.Prompts[i]) * promptUnitTokens
 			}
 		}
 		s.SetRemoteLoads(names, sums, latest)
--- a/entry/direct/requestlog.go
+++ b/entry/direct/requestlog.go
@@ -55,8 +55,8 @@
 }
 
 // queued logs that a request has to wait, and why.
-func (l *requestLog) queued(q *request, s intake.Standing) {
-	l.request(l.log.Info(), "request.queued", q).Int("running", s.Running).Int("places", s.Places).
+func (l *requestLog) queued(q *request, s intake.Occupancy) {
+	l.request(l.log.Info(), "request.queued", q).Int("running", s.Running).Int("places", s.Capacity).
 		Int("waiting", s.Waiting).Bool("down", s.Down).Send()
 }
 
@@ -72,7 +72,7 @@
 func (l *requestLog) refused(q *request, d intake.Decision, status int) {
 	l.count(endRefused, q.service.name)
 	l.request(l.log.Info(), "request.refused", q).Int("status", status).Dur("waited", d.Waited).
-		Dur("retry_after", d.RetryAfter).Int("running", d.Running).Int("places", d.Places).Int("waiting", d.Waiting).
+		Dur("retry_after", d.RetryAfter).Int("running", d.Running).Int("places", d.Capacity).Int("waiting", d.Waiting).
 		Dur("down_for", d.DownFor).Int("sent", q.sent).Msg(string(d.Reason))
 }
 
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -32,7 +32,7 @@
 
 	mu       sync.Mutex // leaf lock; guards all below
 	config   routes.Service
-	intake   *intake.Intake
+	intake   *intake.Scheduler
 	detector *outlier.Detector
 	window   *retry.Window
 	backends map[id.Endpoint]*Backend
@@ -62,13 +62,13 @@
 
 func intakeConfig(s routes.Service) intake.Config {
 	if s.Engine == nil {
-		return intake.Config{Overcommit: plainOvercommit, FirstAnswer: 50 * time.Millisecond, Outage: time.Second}
+		return intake.Config{Overcommit: plainOvercommit, FirstEventLatency: 50 * time.Millisecond, OutageDuration: time.Second}
 	}
 	e := s.Engine
-	wholeAnswer := e.MeanAnswer * float64(e.FullStep())
-	c := intake.Config{FirstAnswer: 150 * time.Millisecond, WholeAnswer: time.Duration(wholeAnswer)}
-	if e.PerSequence > 0 {
-		c.Fixed = float64(e.Step) / float64(e.PerSequence)
+	wholeAnswer := e.MeanAnswerTokens * float64(e.FullLoadStepTime())
+	c := intake.Config{FirstEventLatency: 150 * time.Millisecond, RequestDuration: time.Duration(wholeAnswer)}
+	if e.StepTimePerSequence > 0 {
+		c.StepOverhead = float64(e.StepTime) / float64(e.StepTimePerSequence)
 	}
 	return c
 }
@@ -87,7 +87,7 @@
 	if s.config.Engine == nil {
 		return minStallTimeout
 	}
-	return max(minStallTimeout, stallTimeoutPasses*s.config.Engine.FullPass())
+	return max(minStallTimeout, stallTimeoutPasses*s.config.Engine.FullLoadPassTime())
 }
 
 func (s *Service) now() time.Duration { return time.Since(s.start) }
@@ -114,7 +114,7 @@
 	}
 	s.backends, s.names = backends, nil
 	s.intake.SetEndpoints(endpoints)
-	s.detector.Forget(func(name id.Endpoint) bool { return backends[name] != nil })
+	s.detector.Retain(func(name id.Endpoint) bool { return backends[name] != nil })
 	s.dispatch()
 }
 
@@ -133,7 +133,7 @@
 // Acquire waits until the request may be sent to an endpoint. If the request has to wait,
 // it calls queued, which must not block. Without a slot the decision holds the reason; it
 // is empty if ctx ended.
-func (s *Service) Acquire(ctx context.Context, r intake.Request, queued func(intake.Standing)) (*Slot, intake.Decision) {
+func (s *Service) Acquire(ctx context.Context, r intake.Request, queued func(intake.Occupancy)) (*Slot, intake.Decision) {
 	decided := make(chan intake.Decision, 1)
 	t := &intake.Ticket{Request: r, Decided: func(d intake.Decision) { decided <- d }, Queued: queued}
 	s.mu.Lock()
@@ -176,7 +176,7 @@
 // dispatch starts requests that are due, and repeats at an interval while requests wait.
 // The caller holds mu.
 func (s *Service) dispatch() {
-	s.intake.Pump(s.now())
+	s.intake.Dispatch(s.now())
 	if s.intake.Waiting() == 0 || s.dispatchScheduled {
 		return
 	}
@@ -241,7 +241,7 @@
 	case Succeeded, Failed:
 		return s.detector.Record(name, o == Succeeded, now)
 	case Hung:
-		return s.detector.Hung(name, now)
+		return s.detector.RecordHang(name, now)
 	}
 	return 0
 }
@@ -269,30 +269,30 @@
 func (s *Service) CountRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.window.Request(s.now())
+	s.window.RecordRequest(s.now())
 }
 
 // AcquireRetry takes a retry from the shared budget and reports whether one was left.
 func (s *Service) AcquireRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.window.Repeat(s.now(), s.entries())
+	return s.window.AllowRetry(s.now(), s.entries())
 }
 
 // ReportGroupDown records that an endpoint refused a request because its group is down.
 func (s *Service) ReportGroupDown(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.logDoubtChange(name, "request refused: group is down", func() { s.intake.Doubt(name, s.now()) })
+	s.logDoubtChange(name, "request refused: group is down", func() { s.intake.TripBreaker(name, s.now()) })
 	s.dispatch()
 }
 
 // logDoubtChange runs change and logs a new number of groups in doubt. The caller holds
 // mu.
 func (s *Service) logDoubtChange(name id.Endpoint, why string, change func()) {
-	before := s.intake.InDoubt()
+	before := s.intake.OpenBreakers()
 	change()
-	if after := s.intake.InDoubt(); after != before {
+	if after := s.intake.OpenBreakers(); after != before {
 		s.log.Info().Str("event", "group.doubt").Str("service", string(s.name)).Str("endpoint", string(name)).Int("in_doubt", after).
 			Int("waiting", s.intake.Waiting()).Msg(why)
 	}
@@ -330,10 +330,10 @@
 			r.GroupDown = unknownDown
 		}
 		s.intake.SetBlocked(name, r.GroupDown)
-		s.intake.SetPace(name, r.Pace)
+		s.intake.SetSlowdown(name, r.Pace)
 		if r.Group != "" {
 			s.intake.SetGroup(name, r.Group)
-			s.logDoubtChange(name, "group made progress", func() { s.intake.Moved(r.Group, r.ProgressAt.Sub(s.start)) })
+			s.logDoubtChange(name, "group made progress", func() { s.intake.GroupProgressed(r.Group, r.ProgressAt.Sub(s.start)) })
 		}
 		down = down && r.GroupDown
 	}
@@ -358,7 +358,7 @@
 		s.remoteLoadsAt = receivedAt
 	}
 	for i, name := range names {
-		s.intake.SetOthers(name, loads[i])
+		s.intake.SetPeerLoad(name, loads[i])
 	}
 	s.dispatch()
 }
--- a/entry/direct/silence.go
+++ b/entry/direct/silence.go
@@ -19,7 +19,7 @@
 
 // clientSilence returns the silence after which a client abandons a stream.
 func clientSilence(r *routes.Route) time.Duration {
-	return max(minClientSilence, clientSilenceTargets*r.Target, clientSilenceGaps*r.MaxGap)
+	return max(minClientSilence, clientSilenceTargets*r.TargetLatency, clientSilenceGaps*r.MaxEventGap)
 }
 
 // maxSilence returns the silence within which a stream must resume.
--- a/entry/direct/stream.go
+++ b/entry/direct/stream.go
@@ -73,7 +73,7 @@
 	if s.headerSent {
 		r.Resumed = true
 		r.Arrival = s.lastProgress.Sub(q.service.start)
-		r.Silence = s.lastProgress.Add(maxSilence(q.route)).Sub(q.service.start)
+		r.FirstEventDeadline = s.lastProgress.Add(maxSilence(q.route)).Sub(q.service.start)
 	}
 	return r
 }
--- a/entry/expertmaps/coordinator.go
+++ b/entry/expertmaps/coordinator.go
@@ -46,7 +46,7 @@
 	ReplanHoldoff time.Duration
 	// MaxCopiesPerRank bounds the experts that a rank copies in one change. Default: 1.
 	MaxCopiesPerRank int
-	// MinTotalGain is the minimum gain of a copy (see expertmap.Round) times the number of
+	// MinTotalGain is the minimum gain of a copy (see expertmap.RoundPlanner) times the number of
 	// ranks: a copy costs the same in a large group, but all ranks gain. Idle groups need up
 	// to 1.5 times as much. Default: 0.64, where copies cost about what they gain.
 	MinTotalGain float64
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -25,8 +25,8 @@
 	slots      int
 	followTime *metrics.Histogram
 	log        zerolog.Logger
-	machine    *mapswitch.Machine
-	demand     *expertmap.Demand
+	machine    *mapswitch.Coordinator
+	demand     *expertmap.DemandEstimator
 	ranks      []rankState
 	// sampledAt is when the last sample of any rank arrived.
 	sampledAt time.Duration
@@ -67,15 +67,15 @@
 		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, slots: s.engine.Slots,
 		log:     s.log,
 		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.token),
-		demand: expertmap.NewDemand(expertmap.DemandConfig{
-			Sets: s.engine.Experts.Sets, Experts: s.engine.Experts.PerSet, Ranks: size, Memory: s.cfg.DemandTimeConstant,
-			Sampled: s.cfg.sampledRankCount(size, s.engine.Slots),
+		demand: expertmap.NewDemandEstimator(expertmap.DemandConfig{
+			Sets: s.engine.Experts.LayerSets, Experts: s.engine.Experts.ExpertsPerSet, Ranks: size, TimeConstant: s.cfg.DemandTimeConstant,
+			SampledRanks: s.cfg.sampledRankCount(size, s.engine.Slots),
 		}),
 		ranks:      make([]rankState, size),
 		followTime: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
 	}
 	if !g.placesSuffice() {
-		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.Places).Int("experts", g.experts.PerSet).
+		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.SlotsPerRank).Int("experts", g.experts.ExpertsPerSet).
 			Msg("the ranks have fewer places than experts; the initial map stays")
 	}
 	return g
@@ -114,7 +114,7 @@
 	if first.Experts == nil || first.Epoch != g.machine.Epoch() {
 		return
 	}
-	content := make(mapswitch.Map, g.experts.Sets)
+	content := make(mapswitch.Map, g.experts.LayerSets)
 	for s := range content {
 		content[s] = make([][]int, g.size)
 	}
@@ -123,14 +123,14 @@
 			return
 		}
 		layout := layouts[g.ranks[r].link]
-		if layout.Epoch != first.Epoch || layout.Version != first.Version || len(layout.Experts) != g.experts.Sets {
+		if layout.Epoch != first.Epoch || layout.Version != first.Version || len(layout.Experts) != g.experts.LayerSets {
 			return
 		}
 		for s := range content {
 			content[s][r] = layout.Experts[s]
 		}
 	}
-	g.machine.Learn(first.Epoch, first.Version, content)
+	g.machine.SetContent(first.Epoch, first.Version, content)
 }
 
 func (g *group) onSample(l *ranklink.Link, s *relay.Sample, now time.Duration) {
@@ -143,7 +143,7 @@
 	}
 	rank := g.rankOf(l)
 	g.sampledAt, g.ranks[rank].sampledAt = now, now
-	if g.demand.Add(rank, counts, now) {
+	if g.demand.AddSample(rank, counts, now) {
 		g.measureFollowTime(now)
 	}
 }
@@ -180,7 +180,7 @@
 
 // placesSuffice reports whether the places of all ranks can hold every expert. If not, the
 // ranks initially hold more experts than an order may name, and refuse every order.
-func (g *group) placesSuffice() bool { return g.size*g.experts.Places >= g.experts.PerSet }
+func (g *group) placesSuffice() bool { return g.size*g.experts.SlotsPerRank >= g.experts.ExpertsPerSet }
 
 // changing reports whether a change is in progress.
 func (g *group) changing() bool { return g.placesSuffice() && g.machine.Phase() != mapswitch.Idle }
@@ -218,9 +218,9 @@
 	if g.lastRejected.shifts == g.demand.Shifts() && now-g.lastRejected.at < g.cfg.ReplanHoldoff && skew < g.lastRejected.skew+g.cfg.MinSkewReduction {
 		return false
 	}
-	round := expertmap.Round{
-		Ranks: g.size, Experts: g.experts.PerSet, Places: g.experts.Places,
-		MaxNew: g.experts.MaxNew, Copies: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), Pace: pace,
+	round := expertmap.RoundPlanner{
+		Ranks: g.size, Experts: g.experts.ExpertsPerSet, SlotsPerRank: g.experts.SlotsPerRank,
+		MaxNewPerSet: g.experts.MaxNewPerMap, MaxCopiesPerRank: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), SlowFactors: pace,
 	}
 	p := round.Plan(maps, loads)
 	if p.SkewBefore-p.SkewAfter < g.cfg.MinSkewReduction {
@@ -284,7 +284,7 @@
 // plannerMaps returns the map in use in the planner's form, cached by version.
 func (g *group) plannerMaps(version uint64, content mapswitch.Map) []expertmap.Map {
 	if g.maps == nil || version != g.mapsVersion || g.machine.Epoch() != g.mapsEpoch {
-		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.Places), version, g.machine.Epoch()
+		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.SlotsPerRank), version, g.machine.Epoch()
 	}
 	return g.maps
 }
@@ -294,7 +294,7 @@
 func meanSkew(maps []expertmap.Map, loads []expertmap.Load, pace []float64) float64 {
 	var sum float64
 	for i, m := range maps {
-		sum += m.SkewAt(loads[i], pace)
+		sum += m.WeightedSkew(loads[i], pace)
 	}
 	return sum / float64(max(len(maps), 1))
 }
--- a/entry/server/limits.go
+++ b/entry/server/limits.go
@@ -5,9 +5,9 @@
 	"github.com/siskinford/siskinford/fleet/transport"
 )
 
-// connectLimits lets this entry exchange demands and grants with others.
+// connectLimits lets the limiter exchange demands and grants with other entries.
 func (s *Server) connectLimits(mux *transport.Mux) error {
-	err := s.limits.Connect(limits.Deps{
+	err := s.limits.SetDeps(limits.Deps{
 		Store: s.deps.Store, Members: s.node.members, Caller: mux.Caller(transport.Limits), Metrics: s.metrics,
 	})
 	if err != nil {
@@ -17,8 +17,8 @@
 	return nil
 }
 
-// newLimits returns the enforcement of the teams' limits, without teams.
-func (s *Server) newLimits() (*limits.Limits, error) {
+// newLimits returns the limiter of the teams' token rates, without teams.
+func (s *Server) newLimits() (*limits.Limiter, error) {
 	c := s.config.Limits
 	c.Zone = s.config.Zone
 	return limits.New(c)
