--- a/entry/roster/roster.go
+++ b/entry/roster/roster.go
@@ -14,19 +14,19 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Rank is the group and pace of the rank behind an endpoint.
+// Rank is the group and slowdown of the rank behind an endpoint.
 type Rank struct {
 	Group id.Group `cbor:"1,keyasint"`
-	// Pace is above one while the rank is slow, in multiples of paceResolution.
-	Pace float64 `cbor:"2,keyasint"`
+	// Slowdown is the rank's step time relative to the usual one, from one up.
+	Slowdown float64 `cbor:"2,keyasint"`
 }
 
-// paceResolution is the rounding of paces. Finer paces would change the roster with every
+// slowdownResolution rounds slowdowns. Finer values would change the roster with every
 // poll.
-const paceResolution = 0.25
+const slowdownResolution = 0.25
 
-func newRank(group id.Group, pace float64) Rank {
-	return Rank{Group: group, Pace: max(math.Round(pace/paceResolution)*paceResolution, 1)}
+func newRank(group id.Group, slowdown float64) Rank {
+	return Rank{Group: group, Slowdown: max(math.Round(slowdown/slowdownResolution)*slowdownResolution, 1)}
 }
 
 // writerBits is the number of low version bits that hold a hash of the collector's host,
