--- a/entry/expertmaps/bench_test.go
+++ b/entry/expertmaps/bench_test.go
@@ -54,12 +54,12 @@
 	assert.Assert(t, time.Since(began) < 30*time.Second, "took %v", time.Since(began))
 }
 
-func newFakeRanks(b testing.TB, size, sets, experts, places int) *fakeRanks {
+func newFakeRanks(b testing.TB, size, sets, experts, slots int) *fakeRanks {
 	ctx, cancel := context.WithCancel(b.Context())
 	b.Cleanup(cancel)
 	s := &session{
 		cfg: Config{}.withDefaults(), name: "g", token: 7, log: zerolog.Nop(), set: metrics.NewSet(),
-		engine: &routes.Engine{Slots: 10, Experts: &routes.Experts{LayerSets: sets, ExpertsPerSet: experts, SlotsPerRank: places, MaxNewPerMap: 2}},
+		engine: &routes.Engine{Slots: 10, Experts: &routes.Experts{LayerSets: sets, ExpertsPerSet: experts, SlotsPerRank: slots, MaxNewPerMap: 2}},
 		links:  make(map[id.Endpoint]*ranklink.Link), layouts: make(map[*ranklink.Link]relay.Layout),
 		groups: make(map[id.Group]*group), pending: make(map[uint64]pendingOrder),
 	}
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -25,7 +25,7 @@
 	slots      int
 	followTime *metrics.Histogram
 	log        zerolog.Logger
-	machine    *mapswitch.Coordinator
+	mapSwitch  *mapswitch.Coordinator
 	demand     *expertmap.DemandEstimator
 	ranks      []rankState
 	// sampledAt is when the last sample of any rank arrived.
@@ -55,8 +55,8 @@
 	link    *ranklink.Link
 	born    int64
 	running int
-	// pace is above one while the rank is slow.
-	pace float64
+	// slowdown is the rank's step time relative to the usual one, from one up.
+	slowdown float64
 	// stateAt is when the last state arrived.
 	stateAt time.Duration
 	sampleState
@@ -65,8 +65,8 @@
 func newGroup(s *session, name id.Group, size int) *group {
 	g := &group{
 		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, slots: s.engine.Slots,
-		log:     s.log,
-		machine: mapswitch.New(mapswitch.Config{Ranks: size}, s.token),
+		log:       s.log,
+		mapSwitch: mapswitch.New(mapswitch.Config{Ranks: size}, s.token),
 		demand: expertmap.NewDemandEstimator(expertmap.DemandConfig{
 			Sets: s.engine.Experts.LayerSets, Experts: s.engine.Experts.ExpertsPerSet, Ranks: size, TimeConstant: s.cfg.DemandTimeConstant,
 			SampledRanks: s.cfg.sampledRankCount(size, s.engine.Slots),
@@ -74,9 +74,9 @@
 		ranks:      make([]rankState, size),
 		followTime: s.set.GetOrCreateHistogram(fmt.Sprintf("siskinford_map_follows_seconds{group=%q}", string(name))),
 	}
-	if !g.placesSuffice() {
+	if !g.expertSlotsSuffice() {
 		g.log.Warn().Str("event", "map.fixed").Int("ranks", size).Int("places", g.experts.SlotsPerRank).Int("experts", g.experts.ExpertsPerSet).
-			Msg("the ranks have fewer places than experts; the initial map stays")
+			Msg("expert slots of all ranks cannot hold every expert; keeping the initial map")
 	}
 	return g
 }
@@ -94,24 +94,24 @@
 	if newLink {
 		m.sampleState = sampleState{}
 	}
-	m.link, m.born, m.running, m.pace, m.stateAt = l, s.Born, s.Running, s.Pace, now
-	if s.Epoch > g.machine.Epoch() {
+	m.link, m.born, m.running, m.slowdown, m.stateAt = l, s.Born, s.Running, s.Pace, now
+	if s.Epoch > g.mapSwitch.Epoch() {
 		g.demand.Reset()
 	}
-	g.machine.Report(mapswitch.Report{
+	g.mapSwitch.Report(mapswitch.Report{
 		Rank: s.Rank, Epoch: s.Epoch, Open: s.Open, Step: s.Step, Version: s.Map,
 		Prepared: s.Prepared, Armed: s.Armed, Held: s.Held,
 	}, now)
 	return newLink
 }
 
-// assembleMap sets the machine's map in use once all ranks have reported their layouts.
+// assembleMap sets the map in use once all ranks have reported their layouts.
 func (g *group) assembleMap(layouts map[*ranklink.Link]relay.Layout) {
 	if g.ranks[0].link == nil {
 		return
 	}
 	first := layouts[g.ranks[0].link]
-	if first.Experts == nil || first.Epoch != g.machine.Epoch() {
+	if first.Experts == nil || first.Epoch != g.mapSwitch.Epoch() {
 		return
 	}
 	content := make(mapswitch.Map, g.experts.LayerSets)
@@ -130,11 +130,11 @@
 			content[s][r] = layout.Experts[s]
 		}
 	}
-	g.machine.SetContent(first.Epoch, first.Version, content)
+	g.mapSwitch.SetContent(first.Epoch, first.Version, content)
 }
 
 func (g *group) onSample(l *ranklink.Link, s *relay.Sample, now time.Duration) {
-	if s.Epoch != g.machine.Epoch() {
+	if s.Epoch != g.mapSwitch.Epoch() {
 		return
 	}
 	counts := make([]float64, len(s.Levels))
@@ -164,7 +164,7 @@
 		}
 		g.shifts = g.demand.Shifts()
 	}
-	version, content, ok := g.machine.Current()
+	version, content, ok := g.mapSwitch.Current()
 	loads, known := g.demand.Loads()
 	if g.shiftedAt == 0 || !ok || !known {
 		return
@@ -178,25 +178,30 @@
 	}
 }
 
-// placesSuffice reports whether the places of all ranks can hold every expert. If not, the
-// ranks initially hold more experts than an order may name, and refuse every order.
-func (g *group) placesSuffice() bool { return g.size*g.experts.SlotsPerRank >= g.experts.ExpertsPerSet }
+// expertSlotsSuffice reports whether the ranks' expert slots can hold every expert. If
+// not, the ranks initially hold more experts than an order may name, and refuse every
+// order.
+func (g *group) expertSlotsSuffice() bool {
+	return g.size*g.experts.SlotsPerRank >= g.experts.ExpertsPerSet
+}
 
 // changing reports whether a change is in progress.
-func (g *group) changing() bool { return g.placesSuffice() && g.machine.Phase() != mapswitch.Idle }
+func (g *group) changing() bool {
+	return g.expertSlotsSuffice() && g.mapSwitch.Phase() != mapswitch.Idle
+}
 
 // advance plans if no change is in progress, and returns the orders to send.
 func (g *group) advance(now time.Duration) []mapswitch.Order {
-	if !g.placesSuffice() {
+	if !g.expertSlotsSuffice() {
 		return nil
 	}
-	orders := g.machine.Tick(now)
-	if g.machine.Phase() == mapswitch.Idle && g.startChange(now) {
-		orders = append(orders, g.machine.Tick(now)...)
+	orders := g.mapSwitch.Tick(now)
+	if g.mapSwitch.Phase() == mapswitch.Idle && g.startChange(now) {
+		orders = append(orders, g.mapSwitch.Tick(now)...)
 	}
-	for _, e := range g.machine.Events() {
+	for _, e := range g.mapSwitch.Events() {
 		g.log.Info().Str("event", "map."+e.Phase.String()).Uint64("version", e.Version).Uint64("step", e.Step).
-			Uint64("epoch", g.machine.Epoch()).Msg(e.Reason)
+			Uint64("epoch", g.mapSwitch.Epoch()).Msg(e.Reason)
 	}
 	return orders
 }
@@ -207,22 +212,22 @@
 	if !ok || g.demand.Age(now) > g.cfg.MaxDemandAge || g.plannedAt >= now-g.cfg.PlanInterval {
 		return false
 	}
-	version, content, ok := g.machine.Current()
+	version, content, ok := g.mapSwitch.Current()
 	if !ok {
 		return false
 	}
 	g.plannedAt = now
 	maps := g.plannerMaps(version, content)
-	pace := g.slowRankPaces()
-	skew := meanSkew(maps, loads, pace)
+	slowFactors := g.slowFactors()
+	skew := meanSkew(maps, loads, slowFactors)
 	if g.lastRejected.shifts == g.demand.Shifts() && now-g.lastRejected.at < g.cfg.ReplanHoldoff && skew < g.lastRejected.skew+g.cfg.MinSkewReduction {
 		return false
 	}
-	round := expertmap.RoundPlanner{
+	planner := expertmap.RoundPlanner{
 		Ranks: g.size, Experts: g.experts.ExpertsPerSet, SlotsPerRank: g.experts.SlotsPerRank,
-		MaxNewPerSet: g.experts.MaxNewPerMap, MaxCopiesPerRank: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), SlowFactors: pace,
+		MaxNewPerSet: g.experts.MaxNewPerMap, MaxCopiesPerRank: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), SlowFactors: slowFactors,
 	}
-	p := round.Plan(maps, loads)
+	p := planner.Plan(maps, loads)
 	if p.SkewBefore-p.SkewAfter < g.cfg.MinSkewReduction {
 		g.lastRejected = rejectedPlan{at: now, skew: skew, shifts: g.demand.Shifts()}
 		return false
@@ -231,7 +236,7 @@
 	g.log.Info().Str("event", "map.planned").Uint64("from_version", version).Int("copies", p.Copies).
 		Float64("skew", p.SkewBefore).Float64("planned_skew", p.SkewAfter).
 		Dur("demand_age", g.demand.Age(now)).Int("shifts", g.demand.Shifts()).Msg("map proposed")
-	return g.machine.Start(fromMaps(p.Maps), now)
+	return g.mapSwitch.Start(fromMaps(p.Maps), now)
 }
 
 const (
@@ -263,19 +268,19 @@
 	return g.cfg.MinTotalGain / float64(g.size) * factor
 }
 
-// minSlowPace is the pace from which a rank counts as slow, above normal variation.
-const minSlowPace = 1.25
+// minSlowdown is the slowdown from which a rank counts as slow, above normal variation.
+const minSlowdown = 1.25
 
-// slowRankPaces returns the paces with one for ranks that are not slow, nil if none is.
-func (g *group) slowRankPaces() []float64 {
-	if !slices.ContainsFunc(g.ranks, func(m rankState) bool { return m.pace >= minSlowPace }) {
+// slowFactors returns the slowdowns with one for ranks that are not slow, nil if none is.
+func (g *group) slowFactors() []float64 {
+	if !slices.ContainsFunc(g.ranks, func(m rankState) bool { return m.slowdown >= minSlowdown }) {
 		return nil
 	}
 	out := make([]float64, g.size)
 	for i, m := range g.ranks {
 		out[i] = 1
-		if m.pace >= minSlowPace {
-			out[i] = m.pace
+		if m.slowdown >= minSlowdown {
+			out[i] = m.slowdown
 		}
 	}
 	return out
@@ -283,29 +288,29 @@
 
 // plannerMaps returns the map in use in the planner's form, cached by version.
 func (g *group) plannerMaps(version uint64, content mapswitch.Map) []expertmap.Map {
-	if g.maps == nil || version != g.mapsVersion || g.machine.Epoch() != g.mapsEpoch {
-		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.SlotsPerRank), version, g.machine.Epoch()
+	if g.maps == nil || version != g.mapsVersion || g.mapSwitch.Epoch() != g.mapsEpoch {
+		g.maps, g.mapsVersion, g.mapsEpoch = toMaps(content, g.experts.SlotsPerRank), version, g.mapSwitch.Epoch()
 	}
 	return g.maps
 }
 
 // meanSkew returns the largest rank load over the mean, averaged over the sets. Rank loads
-// are multiplied by pace, which may be nil.
-func meanSkew(maps []expertmap.Map, loads []expertmap.Load, pace []float64) float64 {
+// are multiplied by slowFactors, which may be nil.
+func meanSkew(maps []expertmap.Map, loads []expertmap.Load, slowFactors []float64) float64 {
 	var sum float64
 	for i, m := range maps {
-		sum += m.WeightedSkew(loads[i], pace)
+		sum += m.WeightedSkew(loads[i], slowFactors)
 	}
 	return sum / float64(max(len(maps), 1))
 }
 
-func toMaps(content mapswitch.Map, places int) []expertmap.Map {
+func toMaps(content mapswitch.Map, slots int) []expertmap.Map {
 	out := make([]expertmap.Map, len(content))
 	for s, ranks := range content {
-		out[s] = expertmap.NewMap(len(ranks), places)
+		out[s] = expertmap.NewMap(len(ranks), slots)
 		for r, experts := range ranks {
 			for i, e := range experts {
-				if i < places {
+				if i < slots {
 					out[s].Slots[r][i] = expertmap.Expert(e)
 				}
 			}
--- a/entry/expertmaps/group_test.go
+++ b/entry/expertmaps/group_test.go
@@ -16,10 +16,10 @@
 )
 
 // newOpenGroup returns a group whose ranks all reported the initial map.
-func newOpenGroup(t *testing.T, ranks, places, experts int) *group {
+func newOpenGroup(t *testing.T, ranks, slots, experts int) *group {
 	t.Helper()
 	s := &session{
-		cfg: Config{}.withDefaults(), engine: &routes.Engine{Slots: 4, Experts: &routes.Experts{LayerSets: 1, ExpertsPerSet: experts, SlotsPerRank: places, MaxNewPerMap: 1}},
+		cfg: Config{}.withDefaults(), engine: &routes.Engine{Slots: 4, Experts: &routes.Experts{LayerSets: 1, ExpertsPerSet: experts, SlotsPerRank: slots, MaxNewPerMap: 1}},
 		token: 7, log: zerolog.Nop(), set: metrics.NewSet(), layouts: make(map[*ranklink.Link]relay.Layout),
 	}
 	g := newGroup(s, "g", ranks)
--- a/entry/expertmaps/session.go
+++ b/entry/expertmaps/session.go
@@ -34,7 +34,7 @@
 	// layouts holds the last layout of each rank.
 	layouts map[*ranklink.Link]relay.Layout
 	groups  map[id.Group]*group
-	// pending maps the IDs of sent orders to the machine's order IDs.
+	// pending maps the IDs of sent orders to the order IDs of the map switch.
 	pending   map[uint64]pendingOrder
 	nextOrder uint64
 	// unloggedFailures counts the failed orders since one was last logged.
@@ -179,12 +179,12 @@
 		return false
 	}
 	g := s.group(state.Group, state.Size)
-	epoch := g.machine.Epoch()
+	epoch := g.mapSwitch.Epoch()
 	newLink := g.onState(l, state, now)
 	if newLink {
 		g.chooseSampledRanks(s.order, now)
 	}
-	return newLink || g.machine.Epoch() != epoch
+	return newLink || g.mapSwitch.Epoch() != epoch
 }
 
 func (s *session) onResult(r *relay.Result, now time.Duration) {
@@ -202,7 +202,7 @@
 	default:
 		s.logFailedOrder(r, now)
 	}
-	p.group.machine.Result(p.id, outcome, now)
+	p.group.mapSwitch.Result(p.id, outcome, now)
 }
 
 // failureLogInterval is the minimum time between log lines about failed orders. Orders to
