--- a/entry/direct/buffered.go
+++ b/entry/direct/buffered.go
@@ -170,8 +170,8 @@
 }
 
 // maxGroupDownRetries bounds the retries of a request because its group was down, beyond
-// the route's attempts. It covers the time for which the intake waits for a group in
-// doubt, if few requests wait.
+// the route's attempts. It covers the time for which requests wait for the group's circuit
+// breaker to close, if few requests wait.
 const maxGroupDownRetries = 8
 
 // acquireRetry reports whether to retry the request after an attempt. It takes the retry
--- a/entry/direct/groups.go
+++ b/entry/direct/groups.go
@@ -278,9 +278,9 @@
 			status[e.Name] = RankStatus{GroupDown: down > 0}
 			continue
 		}
-		r := RankStatus{Group: group, GroupDown: groups[group].downReason != "", ProgressAt: groups[group].progressAt, Pace: rosterRanks[e.Name].Slowdown}
+		r := RankStatus{Group: group, GroupDown: groups[group].downReason != "", ProgressAt: groups[group].progressAt, Slowdown: rosterRanks[e.Name].Slowdown}
 		if w := g.links[e]; w != nil && now.Sub(w.stateAt) <= maxStateAge {
-			r.Pace = w.state.Pace
+			r.Slowdown = w.state.Pace
 		}
 		status[e.Name] = r
 	}
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -249,7 +249,7 @@
 	return func(s intake.Occupancy) { h.requestLog.queued(q, s) }
 }
 
-// intakeRequest describes the request to the intake.
+// intakeRequest describes the request to the scheduler.
 func (q *request) intakeRequest() intake.Request {
 	target := q.route.TargetLatency
 	if target <= 0 {
--- a/entry/direct/loads.go
+++ b/entry/direct/loads.go
@@ -17,8 +17,8 @@
 // holds the prompts that an endpoint reads concurrently.
 const promptUnitTokens = 64
 
-// remoteLoadTTL is the time for which received loads count, several exchange intervals.
-const remoteLoadTTL = 2 * time.Second
+// peerLoadTTL is the time for which received loads count, several exchange intervals.
+const peerLoadTTL = 2 * time.Second
 
 // serviceLoads are the requests at the endpoints of one service, in order of their names.
 // Endpoints is the hash of the names; entries with other endpoints have another one.
@@ -104,7 +104,7 @@
 	sl := serviceLoads{Endpoints: hash, Running: make([]byte, len(names)), Prompts: make([]byte, len(names))}
 	busy := false
 	for i, name := range names {
-		load := s.intake.OwnLoad(name)
+		load := s.scheduler.OwnLoad(name)
 		sl.Running[i] = byte(min(load.Running, maxCount))
 		sl.Prompts[i] = byte(min((load.PromptTokens+promptUnitTokens-1)/promptUnitTokens, maxCount))
 		busy = busy || load.Running > 0
@@ -139,7 +139,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for from, x := range l.sources {
-		if time.Since(x.at) > remoteLoadTTL {
+		if time.Since(x.at) > peerLoadTTL {
 			delete(l.sources, from)
 			l.dirty = true
 		}
@@ -169,7 +169,7 @@
 				sums[i].PromptTokens += int(sl.Prompts[i]) * promptUnitTokens
 			}
 		}
-		s.SetRemoteLoads(names, sums, latest)
+		s.SetPeerLoads(names, sums, latest)
 	}
 }
 
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -30,29 +30,29 @@
 	// lastEvent is the time of the last event of any stream, in nanoseconds since start.
 	lastEvent atomic.Int64
 
-	mu       sync.Mutex // leaf lock; guards all below
-	config   routes.Service
-	intake   *intake.Scheduler
-	detector *outlier.Detector
-	window   *retry.Window
-	backends map[id.Endpoint]*Backend
+	mu        sync.Mutex // leaf lock; guards all below
+	config    routes.Service
+	scheduler *intake.Scheduler
+	detector  *outlier.Detector
+	window    *retry.Window
+	backends  map[id.Endpoint]*Backend
 	// names are the sorted endpoint names and namesHash their hash, computed on demand.
 	names     []id.Endpoint
 	namesHash uint32
 	// replaced holds the endpoints whose address belongs to another instance now.
 	replaced          map[id.Endpoint]bool
 	dispatchScheduled bool
-	// remoteLoadsAt is when loads of other entries last arrived.
-	remoteLoadsAt time.Time
+	// peerLoadsAt is when loads of other entries last arrived.
+	peerLoadsAt time.Time
 }
 
 func newService(c routes.Service, opt Options) *Service {
 	s := &Service{
-		log: opt.Log, name: c.Name, start: time.Now(), remoteLoadsAt: time.Now(), entries: opt.Entries, config: c,
+		log: opt.Log, name: c.Name, start: time.Now(), peerLoadsAt: time.Now(), entries: opt.Entries, config: c,
 		detector: outlier.New(outlier.Config{}), window: retry.NewWindow(opt.Retries),
 		backends: make(map[id.Endpoint]*Backend), replaced: make(map[id.Endpoint]bool),
 	}
-	s.intake = intake.New(intakeConfig(c), rand.Uint64())
+	s.scheduler = intake.New(intakeConfig(c), rand.Uint64())
 	return s
 }
 
@@ -113,7 +113,7 @@
 		}
 	}
 	s.backends, s.names = backends, nil
-	s.intake.SetEndpoints(endpoints)
+	s.scheduler.SetEndpoints(endpoints)
 	s.detector.Retain(func(name id.Endpoint) bool { return backends[name] != nil })
 	s.dispatch()
 }
@@ -137,7 +137,7 @@
 	decided := make(chan intake.Decision, 1)
 	t := &intake.Ticket{Request: r, Decided: func(d intake.Decision) { decided <- d }, Queued: queued}
 	s.mu.Lock()
-	s.intake.Submit(t, s.now())
+	s.scheduler.Submit(t, s.now())
 	s.dispatch()
 	s.mu.Unlock()
 	select {
@@ -146,7 +146,7 @@
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
-	s.intake.Withdraw(t)
+	s.scheduler.Withdraw(t)
 	s.mu.Unlock()
 	select {
 	case d := <-decided:
@@ -169,15 +169,15 @@
 		return nil, intake.Decision{Reason: intake.NoEndpoint} // It was removed in the meantime.
 	}
 	return &Slot{
-		Backend: b, Decision: d, LoadsAge: time.Since(s.remoteLoadsAt), service: s, request: &t.Request, started: s.now(),
+		Backend: b, Decision: d, LoadsAge: time.Since(s.peerLoadsAt), service: s, request: &t.Request, started: s.now(),
 	}, d
 }
 
 // dispatch starts requests that are due, and repeats at an interval while requests wait.
 // The caller holds mu.
 func (s *Service) dispatch() {
-	s.intake.Dispatch(s.now())
-	if s.intake.Waiting() == 0 || s.dispatchScheduled {
+	s.scheduler.Dispatch(s.now())
+	if s.scheduler.Waiting() == 0 || s.dispatchScheduled {
 		return
 	}
 	s.dispatchScheduled = true
@@ -213,8 +213,8 @@
 	}
 	x.answered = true
 	now := s.now()
-	s.logDoubtChange(x.Backend.Name, "response received", func() {
-		s.intake.FirstEvent(x.Backend.Name, x.request, now-x.started, now)
+	s.logBreakerChange(x.Backend.Name, "response received", func() {
+		s.scheduler.FirstEvent(x.Backend.Name, x.request, now-x.started, now)
 	})
 }
 
@@ -226,10 +226,10 @@
 	s := x.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.intake.Ended(x.Backend.Name, x.request, x.answered, s.now()-x.started)
+	s.scheduler.Ended(x.Backend.Name, x.request, x.answered, s.now()-x.started)
 	now := s.now()
 	if until := s.suspectUntil(x.Backend.Name, o, now); until > now {
-		s.intake.Suspect(x.Backend.Name, until)
+		s.scheduler.Suspect(x.Backend.Name, until)
 	}
 	s.dispatch()
 }
@@ -251,14 +251,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replaced[name] = true
-	s.intake.SetUsable(name, false)
+	s.scheduler.SetUsable(name, false)
 }
 
 // MarkUnreachable makes an endpoint the last choice for unreachableDuration.
 func (s *Service) MarkUnreachable(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.intake.Suspect(name, s.now()+unreachableDuration)
+	s.scheduler.Suspect(name, s.now()+unreachableDuration)
 }
 
 // unreachableDuration is the time for which an endpoint is avoided after a failed
@@ -283,24 +283,24 @@
 func (s *Service) ReportGroupDown(name id.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.logDoubtChange(name, "request refused: group is down", func() { s.intake.TripBreaker(name, s.now()) })
+	s.logBreakerChange(name, "request refused: group is down", func() { s.scheduler.TripBreaker(name, s.now()) })
 	s.dispatch()
 }
 
-// logDoubtChange runs change and logs a new number of groups in doubt. The caller holds
-// mu.
-func (s *Service) logDoubtChange(name id.Endpoint, why string, change func()) {
-	before := s.intake.OpenBreakers()
+// logBreakerChange runs change and logs a new number of groups with an open circuit
+// breaker. The caller holds mu.
+func (s *Service) logBreakerChange(name id.Endpoint, why string, change func()) {
+	before := s.scheduler.OpenBreakers()
 	change()
-	if after := s.intake.OpenBreakers(); after != before {
+	if after := s.scheduler.OpenBreakers(); after != before {
 		s.log.Info().Str("event", "group.doubt").Str("service", string(s.name)).Str("endpoint", string(name)).Int("in_doubt", after).
-			Int("waiting", s.intake.Waiting()).Msg(why)
+			Int("waiting", s.scheduler.Waiting()).Msg(why)
 	}
 }
 
 // setDown sets whether all groups of the service are down. The caller holds mu.
 func (s *Service) setDown(down bool) {
-	s.intake.SetDown(down, s.now())
+	s.scheduler.SetDown(down, s.now())
 	if !down {
 		s.dispatch()
 	}
@@ -311,8 +311,8 @@
 	// Group is empty if unknown.
 	Group     id.Group
 	GroupDown bool
-	// Pace is above one while the rank is slow, zero if unknown.
-	Pace float64
+	// Slowdown is the rank's step time relative to the usual one, zero if unknown.
+	Slowdown float64
 	// ProgressAt is when the group was last seen to begin a pass or a new formation.
 	ProgressAt time.Time
 }
@@ -329,15 +329,15 @@
 		if !ok {
 			r.GroupDown = unknownDown
 		}
-		s.intake.SetBlocked(name, r.GroupDown)
-		s.intake.SetSlowdown(name, r.Pace)
+		s.scheduler.SetBlocked(name, r.GroupDown)
+		s.scheduler.SetSlowdown(name, r.Slowdown)
 		if r.Group != "" {
-			s.intake.SetGroup(name, r.Group)
-			s.logDoubtChange(name, "group made progress", func() { s.intake.GroupProgressed(r.Group, r.ProgressAt.Sub(s.start)) })
+			s.scheduler.SetGroup(name, r.Group)
+			s.logBreakerChange(name, "group made progress", func() { s.scheduler.GroupProgressed(r.Group, r.ProgressAt.Sub(s.start)) })
 		}
 		down = down && r.GroupDown
 	}
-	was, _ := s.intake.Down()
+	was, _ := s.scheduler.Down()
 	s.setDown(down)
 	return was != down
 }
@@ -346,19 +346,19 @@
 func (s *Service) Down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	down, _ := s.intake.Down()
+	down, _ := s.scheduler.Down()
 	return down
 }
 
-// SetRemoteLoads replaces the loads that other entries cause at the endpoints.
-func (s *Service) SetRemoteLoads(names []id.Endpoint, loads []intake.Load, receivedAt time.Time) {
+// SetPeerLoads replaces the loads that other entries cause at the endpoints.
+func (s *Service) SetPeerLoads(names []id.Endpoint, loads []intake.Load, receivedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if receivedAt.After(s.remoteLoadsAt) {
-		s.remoteLoadsAt = receivedAt
+	if receivedAt.After(s.peerLoadsAt) {
+		s.peerLoadsAt = receivedAt
 	}
 	for i, name := range names {
-		s.intake.SetPeerLoad(name, loads[i])
+		s.scheduler.SetPeerLoad(name, loads[i])
 	}
 	s.dispatch()
 }
--- a/entry/direct/stream.go
+++ b/entry/direct/stream.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// intakeRequest describes the request, or the rest of the stream, to the intake.
+// intakeRequest describes the request, or the rest of the stream, to the scheduler.
 func (s *streamWriter) intakeRequest(q *request) intake.Request {
 	r := q.intakeRequest()
 	if s.headerSent {
--- a/entry/direct/stream_test.go
+++ b/entry/direct/stream_test.go
@@ -90,7 +90,7 @@
 	time.Sleep(100 * time.Millisecond)
 	s.MarkUnreachable(this)
 	s.mu.Lock()
-	s.intake.Suspect(other, 0)
+	s.scheduler.Suspect(other, 0)
 	s.mu.Unlock()
 	return out
 }
