--- a/entry/coordinator/mapstate.go
+++ b/entry/coordinator/mapstate.go
@@ -19,7 +19,7 @@
 	planned map[lockstep.Version]layerMaps
 	// base is the version that the fields below describe.
 	base lockstep.Version
-	// holdsBase tells which ranks hold the weights of base.
+	// holdsBase marks the ranks that hold the weights of base.
 	holdsBase []bool
 	// layouts are the layouts reported by the ranks, nil if missing.
 	layouts []groupmsg.Layout
