--- a/entry/limits/bytes_test.go
+++ b/entry/limits/bytes_test.go
@@ -33,20 +33,20 @@
 	for _, size := range sizes {
 		t.Run(fmt.Sprintf("%d zones of %d entries", size.zones, size.entries), func(t *testing.T) {
 			list := limitedTeams(teams)
-			w := newWorld(t, size.zones, size.entries, list)
-			w.teams = list[:active]
-			w.size.Interval = size.interval
-			w.rounds(3, everywhere)
-			for _, n := range w.nodes {
+			fleet := newTestFleet(t, size.zones, size.entries, list)
+			fleet.teams = list[:active]
+			fleet.config.Interval = size.interval
+			fleet.rounds(3, everywhere)
+			for _, n := range fleet.nodes {
 				n.bytes, n.calls = 0, 0
 			}
-			w.rounds(rounds, everywhere)
+			fleet.rounds(rounds, everywhere)
 			most, sum, calls := 0, 0, 0
-			for _, n := range w.nodes {
+			for _, n := range fleet.nodes {
 				most, sum, calls = max(most, n.bytes), sum+n.bytes, calls+n.calls
 			}
 			seconds := rounds * int(size.interval/time.Second)
-			nodes := len(w.nodes)
+			nodes := len(fleet.nodes)
 			t.Logf("payload bytes per node and second: mean %d, most %d; calls %.1f",
 				sum/nodes/seconds, most/seconds, float64(calls)/float64(nodes*seconds))
 			assert.Assert(t, most/seconds < budget, "%d bytes per second", most/seconds)
--- a/entry/limits/config.go
+++ b/entry/limits/config.go
@@ -2,10 +2,10 @@
 // call per request.
 //
 // Each entry holds a share of each limited team, see package limit. Teams are
-// divided into shards. In each zone, one entry holds the duty for a shard, found
-// by rendezvous hashing, and divides the zone's grants between the zone's
-// entries. One of these holders has the shard's lease in the platform and divides
-// the limits between the zones. The lease names its address.
+// partitioned into shards. In each zone, rendezvous hashing selects one entry as
+// the leader of a shard, which divides the zone's grants between the zone's entries.
+// One of a shard's leaders holds its lease in the platform and divides the limits
+// between the zones. The lease names its address.
 package limits
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Config bounds the exchanges and the floors.
+// Config holds the timing of the exchanges and the sizing of the floors.
 type Config struct {
 	// Zone is the availability zone of this entry. Required.
 	Zone id.Zone
@@ -23,14 +23,14 @@
 	Interval time.Duration
 	// CallTimeout bounds a call to another entry. Default: 500 ms.
 	CallTimeout time.Duration
-	// LeaseTTL is the time for which the authority to divide outlasts an outage of
-	// the platform, and the longest time without it after its holder failed. Default: 30 s.
+	// LeaseTTL is the time for which the lease outlasts an outage of the platform,
+	// and the longest time without a lease holder after one failed. Default: 30 s.
 	LeaseTTL time.Duration
-	// FloorFraction is the part of each limit that is reserved for floors. Range: 0 to 1. Default: 0.2.
+	// FloorFraction is the fraction of each limit reserved for floors. Range: 0 to 1. Default: 0.2.
 	FloorFraction float64
-	// Zones is the greatest number of zones that run at a time. Default: 3.
+	// Zones is the expected maximum number of zones that run at a time. Default: 3.
 	Zones int
-	// EntriesPerZone is the greatest number of entries of a zone that run at a time. Default: 2.
+	// EntriesPerZone is the expected maximum number of entries that run in a zone. Default: 2.
 	EntriesPerZone int
 	// Now returns a time with a monotonic reading. Default: time.Now.
 	Now func() time.Time
--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -17,8 +17,8 @@
 	"github.com/siskinford/siskinford/wire/codec"
 )
 
-// Members is the part of the membership that Limiter works with. It is
-// implemented by *member.Runner.
+// Members is the membership view that a Limiter uses. It is implemented by
+// *member.Runner.
 type Members interface {
 	Self() member.Peer
 	Live() []member.Peer
@@ -26,7 +26,7 @@
 	Elsewhere() []member.Peer
 }
 
-// Deps are the parts that Limiter works with.
+// Deps are the dependencies of a Limiter.
 type Deps struct {
 	Store   objectapi.Store
 	Members Members
@@ -39,29 +39,29 @@
 	fleetFailures = `siskinford_limit_exchange_failures_total{level="fleet"}`
 )
 
-// SetDeps sets the parts that exchanges need. It must be called once, before
-// Handle and Run.
+// SetDeps sets the dependencies of exchanges. It must be called once, before Handle
+// and Run.
 func (l *Limiter) SetDeps(d Deps) error {
 	l.deps = d
 	address := d.Members.Self().Address
 	for i := range l.shards {
 		lease, err := duty.NewLease(duty.LeaseConfig{
 			Store: d.Store, Duty: duty.Name(fmt.Sprintf("limits/%d", i)),
-			Holder: holder(l.node, address), TTL: l.config.LeaseTTL, Now: l.config.Now,
+			Holder: leaseHolderName(l.node, address), TTL: l.config.LeaseTTL, Now: l.config.Now,
 		})
 		if err != nil {
 			return err
 		}
 		l.shards[i].lease = lease
 	}
-	d.Metrics.NewGauge("siskinford_limit_leases", func() float64 { return float64(l.leases()) })
+	d.Metrics.NewGauge("siskinford_limit_leases", func() float64 { return float64(l.leaseCount()) })
 	d.Metrics.GetOrCreateCounter(zoneFailures)
 	d.Metrics.GetOrCreateCounter(fleetFailures)
 	return nil
 }
 
-// leases returns the number of shards for which this entry has the authority.
-func (l *Limiter) leases() int {
+// leaseCount returns the number of shards whose lease this entry holds.
+func (l *Limiter) leaseCount() int {
 	n := 0
 	for i := range l.shards {
 		if _, ok := l.shards[i].lease.Valid(l.config.Now()); ok {
@@ -71,11 +71,11 @@
 	return n
 }
 
-// releaseTimeout bounds the release of the leases at the end.
+// releaseTimeout bounds the release of the leases at shutdown.
 const releaseTimeout = time.Second
 
-// leaseSteps is the number of lease steps in a TTL.
-const leaseSteps = 3
+// leaseStepsPerTTL is the number of lease steps in a TTL.
+const leaseStepsPerTTL = 3
 
 // Run exchanges demands and grants until ctx ends, then releases its leases.
 func (l *Limiter) Run(ctx context.Context) {
@@ -88,16 +88,16 @@
 	}
 }
 
-// pause waits with jitter, so that entries do not exchange in step.
+// pause waits for d with jitter, so that entries do not synchronize their exchanges.
 func (l *Limiter) pause(ctx context.Context, d time.Duration) {
 	_ = timer.Sleep(ctx, d-d/10+rand.N(d/5+1))
 }
 
-// runLeases steps the leases of the duties that this entry has.
+// runLeases steps the leases of this entry's shards until ctx ends, then releases them.
 func (l *Limiter) runLeases(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.stepLeases(ctx) {
-			l.pause(ctx, l.config.LeaseTTL/leaseSteps)
+			l.pause(ctx, l.config.LeaseTTL/leaseStepsPerTTL)
 		} else {
 			l.pause(ctx, l.config.Interval)
 		}
@@ -111,42 +111,42 @@
 	}
 }
 
-// stepLeases acquires, renews or observes the leases of shards with limited
-// teams. It reports whether there was any.
+// stepLeases acquires, renews or observes the leases of shards with limited teams
+// that this entry leads or holds. It reports whether there are any.
 func (l *Limiter) stepLeases(ctx context.Context) bool {
 	stepped := false
 	teams := l.teams.Load()
 	self := l.deps.Members.Self().Address
-	holders := l.holders()
+	leaders := l.zoneLeaders()
 	for i := range l.shards {
 		lease := l.shards[i].lease
 		_, held := lease.Valid(l.config.Now())
-		if !held && (len(teams.byShard[i]) == 0 || holders[i] != self) {
+		if !held && (len(teams.byShard[i]) == 0 || leaders[i] != self) {
 			continue
 		}
 		stepped = true
-		l.step(ctx, lease)
+		l.stepLease(ctx, lease)
 	}
 	return stepped
 }
 
-// step steps one lease. A failure leaves the lease as it is; the next step tries again.
-func (l *Limiter) step(ctx context.Context, lease *duty.Lease) {
+// stepLease steps one lease. An error leaves the lease as it is; the next step retries.
+func (l *Limiter) stepLease(ctx context.Context, lease *duty.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, l.config.CallTimeout)
 	defer cancel()
 	_ = lease.Step(ctx)
 }
 
-// exchange makes one exchange of this entry with the zone's holders and then one
-// of each shard that it holds with the holder of the shard's lease.
+// exchange requests grants for this entry from the zone leaders, then grants for the
+// zone from the lease holders of the shards that this entry leads.
 func (l *Limiter) exchange(ctx context.Context) {
-	l.resize(len(l.deps.Members.Zones())+1, len(l.deps.Members.Live()))
-	holders := l.holders()
-	l.eachShard(func(i int) { l.exchangeZone(ctx, i, holders[i]) })
+	l.setFleetSize(len(l.deps.Members.Zones())+1, len(l.deps.Members.Live()))
+	leaders := l.zoneLeaders()
+	l.eachShard(func(i int) { l.exchangeZone(ctx, i, leaders[i]) })
 	l.eachShard(func(i int) { l.exchangeFleet(ctx, i) })
 }
 
-// eachShard calls f for all shards with limited teams at once and waits.
+// eachShard calls f concurrently for all shards with limited teams and waits.
 func (l *Limiter) eachShard(f func(shard int)) {
 	var wg sync.WaitGroup
 	for i, list := range l.teams.Load().byShard {
@@ -157,13 +157,13 @@
 	wg.Wait()
 }
 
-// exchangeZone asks the zone's holder of a shard for grants to this entry.
-func (l *Limiter) exchangeZone(ctx context.Context, shard int, holder string) {
+// exchangeZone requests grants for this entry from the leader of a shard.
+func (l *Limiter) exchangeZone(ctx context.Context, shard int, leader string) {
 	now := l.config.Now()
 	r := &request{Level: zoneLevel, Shard: uint8(shard), Node: l.node}
 	var asked []*team
 	for _, t := range l.teams.Load().byShard[shard] {
-		if !t.alone && !t.share.Idle(now) {
+		if !t.keyCollision && !t.share.Idle(now) {
 			r.add(t.key, t.share.NextDemand(now))
 			asked = append(asked, t)
 		}
@@ -171,7 +171,7 @@
 	if len(asked) == 0 {
 		return
 	}
-	a, err := l.call(ctx, holder, r)
+	a, err := l.call(ctx, leader, r)
 	if err != nil {
 		l.deps.Metrics.GetOrCreateCounter(zoneFailures).Inc()
 		return
@@ -184,14 +184,14 @@
 	}
 }
 
-// exchangeFleet asks the holder of a shard's lease for grants to this zone.
+// exchangeFleet requests grants for this zone from the holder of a shard's lease.
 func (l *Limiter) exchangeFleet(ctx context.Context, shard int) {
 	now := l.config.Now()
 	r := &request{Level: fleetLevel, Shard: uint8(shard), Node: l.node}
 	var asked []*team
 	for _, t := range l.teams.Load().byShard[shard] {
-		if !t.alone && !t.zone.Idle(now) {
-			r.add(t.key, t.zone.NextDemand(now))
+		if !t.keyCollision && !t.zoneAllocator.Idle(now) {
+			r.add(t.key, t.zoneAllocator.NextDemand(now))
 			asked = append(asked, t)
 		}
 	}
@@ -199,33 +199,33 @@
 		return
 	}
 	s := &l.shards[shard]
-	address := l.authority(s)
+	address := l.fleetAddress(s)
 	a, err := l.call(ctx, address, r)
 	if err != nil || a.Redirect != "" || len(a.Rates) == 0 {
 		l.deps.Metrics.GetOrCreateCounter(fleetFailures).Inc()
-		s.follow(a, address)
+		s.updateHint(a, address)
 		return
 	}
-	s.confirm(address)
+	s.setHint(address)
 	now = l.config.Now()
 	for i, t := range asked {
 		if g, ok := a.grant(i, r.Seqs[i]); ok {
-			t.zone.Apply(g, now)
+			t.zoneAllocator.Apply(g, now)
 		}
 	}
 }
 
-// authority returns the address to ask for grants to the zone: this entry if it
-// holds the lease, the entry named by an answer, the one named in the lease, or
-// entries of other zones in turn, which name another.
-func (l *Limiter) authority(s *shard) string {
+// fleetAddress returns the address to ask for the zone's grants: this entry if it
+// holds the lease, the hint, or in turn the address in the lease and the entries of
+// other zones, which return a redirect.
+func (l *Limiter) fleetAddress(s *shard) string {
 	if _, ok := s.lease.Valid(l.config.Now()); ok {
 		return l.deps.Members.Self().Address
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hint != "" {
-		return s.hint
+	if s.hintAddress != "" {
+		return s.hintAddress
 	}
 	var addresses []string
 	if address := s.leaseAddress(); address != "" {
@@ -237,36 +237,36 @@
 	if len(addresses) == 0 {
 		return ""
 	}
-	return addresses[s.turn%len(addresses)]
+	return addresses[s.nextAddress%len(addresses)]
 }
 
-// confirm remembers the address that answered with grants.
-func (s *shard) confirm(address string) {
+// setHint stores the address that returned grants.
+func (s *shard) setHint(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hint = address
+	s.hintAddress = address
 }
 
-// follow takes note of the address named in an answer without grants, or goes on
-// to the next one to try.
-func (s *shard) follow(a *answer, asked string) {
+// updateHint follows the redirect of an answer without grants, or moves on to the
+// next address.
+func (s *shard) updateHint(a *answer, asked string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a != nil && a.Redirect != "" && a.Redirect != asked {
-		s.hint = a.Redirect
+		s.hintAddress = a.Redirect
 		return
 	}
-	s.hint = ""
-	s.turn++
+	s.hintAddress = ""
+	s.nextAddress++
 }
 
-// call sends a request. Demands to this entry itself take no call.
+// call sends a request. A request to this entry itself is handled without a call.
 func (l *Limiter) call(ctx context.Context, address string, r *request) (*answer, error) {
 	if address == "" {
-		return nil, fmt.Errorf("no entry is known that divides shard %d", r.Shard)
+		return nil, fmt.Errorf("no known address to request grants for shard %d", r.Shard)
 	}
 	if address == l.deps.Members.Self().Address {
-		return checked(l.answer(r), r)
+		return validated(l.answer(r), r)
 	}
 	payload, err := codec.Marshal(r)
 	if err != nil {
@@ -282,11 +282,11 @@
 	if err := codec.Unmarshal(reply, a); err != nil {
 		return nil, err
 	}
-	return checked(a, r)
+	return validated(a, r)
 }
 
-// checked returns an error unless an answer names an address or has a rate for each team.
-func checked(a *answer, r *request) (*answer, error) {
+// validated returns an error unless an answer has a redirect or a rate for each team.
+func validated(a *answer, r *request) (*answer, error) {
 	if a.Redirect == "" && len(a.Rates) != len(r.Teams) {
 		return nil, fmt.Errorf("answer has %d rates for %d teams", len(a.Rates), len(r.Teams))
 	}
--- a/entry/limits/world_test.go
+++ b/entry/limits/fleet_test.go
@@ -29,26 +29,26 @@
 
 var errLost = errors.New("lost")
 
-// world is a fleet with a clock that moves only between rounds.
-type world struct {
-	t     assert.TestingT
-	store *memstore.Store
-	nodes []*node
-	teams []config.Team
-	size  Config
-	seed  uint64
-	cut   func(from, to *node) bool // nil: no zone is cut off
-	down  bool                      // the platform
+// testFleet is a fleet with a clock that advances only between rounds.
+type testFleet struct {
+	t            assert.TestingT
+	store        *memstore.Store
+	nodes        []*node
+	teams        []config.Team
+	config       Config
+	seed         uint64
+	partition    func(from, to *node) bool // nil: no partition
+	platformDown bool
 
 	mu   sync.Mutex // guards the fields below
 	now  time.Time
 	loss float64
-	sent map[link]uint64
+	sent map[linkKey]uint64
 }
 
-// link counts the messages of one shard between two nodes, so that loss does
-// not depend on the order of goroutines.
-type link struct {
+// linkKey identifies the messages of one shard between two nodes. They are counted by
+// key so that loss does not depend on the order of goroutines.
+type linkKey struct {
 	from, to string
 	level    level
 	shard    uint8
@@ -58,80 +58,79 @@
 // node is one entry. It implements Members, transport.Caller and objectapi.Store.
 type node struct {
 	objectapi.Store
-	w      *world
+	fleet  *testFleet
 	zone   id.Zone
 	peer   member.Peer
 	limits *Limiter
 	paused bool
-	// blind holds the peers that this node wrongly takes for dead.
-	blind map[id.Host]bool
+	// suspected holds the peers that this node wrongly considers dead.
+	suspected map[id.Host]bool
 
-	mu      sync.Mutex // guards the fields below
-	waiting [][]byte   // requests that arrived during a pause
-	bytes   int        // payload bytes in both directions
-	calls   int
+	mu     sync.Mutex // guards the fields below
+	queued [][]byte   // requests that arrived during a pause
+	bytes  int        // payload bytes in both directions
+	calls  int
 }
 
-func newWorld(t assert.TestingT, zones, entries int, teams []config.Team) *world {
-	w := &world{
+func newTestFleet(t assert.TestingT, zones, entries int, teams []config.Team) *testFleet {
+	f := &testFleet{
 		t: t, store: memstore.New(memstore.Config{}), teams: teams,
-		now: time.Unix(1_000_000, 0), sent: map[link]uint64{},
+		now: time.Unix(1_000_000, 0), sent: map[linkKey]uint64{},
 	}
-	w.size = DefaultConfig()
-	w.size.Zones, w.size.EntriesPerZone = zones, entries
-	w.size.LeaseTTL = testTTL
-	w.size.Now = w.clock
+	f.config = DefaultConfig()
+	f.config.Zones, f.config.EntriesPerZone = zones, entries
+	f.config.LeaseTTL = testTTL
+	f.config.Now = f.clock
 	for z := range zones {
 		for e := range entries {
-			n := &node{w: w, zone: id.Zone(fmt.Sprintf("zone-%d", z))}
+			n := &node{fleet: f, zone: id.Zone(fmt.Sprintf("zone-%d", z))}
 			n.peer.Host = id.Host(fmt.Sprintf("%s-entry-%d", n.zone, e))
 			n.peer.Address = string(n.peer.Host) + ":1"
-			n.Store = w.store
-			w.nodes = append(w.nodes, n)
+			n.Store = f.store
+			f.nodes = append(f.nodes, n)
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		n.restart()
 	}
-	return w
+	return f
 }
 
 func oneTeam() []config.Team {
 	return []config.Team{{Name: testTeam, TokensPerSecond: testLimit}, {Name: "free"}}
 }
 
-func (w *world) clock() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.now
+func (f *testFleet) clock() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.now
 }
 
-func (w *world) advance(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.now = w.now.Add(d)
+func (f *testFleet) advance(d time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.now = f.now.Add(d)
 }
 
-// restart replaces the process of the node.
+// restart replaces the node's process.
 func (n *node) restart() {
-	c := n.w.size
+	c := n.fleet.config
 	c.Zone = n.zone
 	var err error
 	n.limits, err = New(c)
-	assert.NilError(n.w.t, err)
-	assert.NilError(n.w.t, n.limits.SetDeps(Deps{Store: n, Members: n, Caller: n, Metrics: metrics.NewSet()}))
-	n.limits.SetTeams(n.w.teams)
-	n.waiting, n.paused = nil, false
+	assert.NilError(n.fleet.t, err)
+	assert.NilError(n.fleet.t, n.limits.SetDeps(Deps{Store: n, Members: n, Caller: n, Metrics: metrics.NewSet()}))
+	n.limits.SetTeams(n.fleet.teams)
+	n.queued, n.paused = nil, false
 }
 
-// wake ends a pause. The requests that waited are handled; their senders have
-// given up.
-func (n *node) wake() {
+// resume ends a pause and handles the queued requests, whose senders have timed out.
+func (n *node) resume() {
 	n.paused = false
-	for _, p := range n.waiting {
+	for _, p := range n.queued {
 		_, _ = n.limits.Handle(context.Background(), p)
 	}
-	n.waiting = nil
+	n.queued = nil
 }
 
 // Self implements Members.
@@ -140,8 +139,8 @@
 // Live implements Members.
 func (n *node) Live() []member.Peer {
 	var out []member.Peer
-	for _, other := range n.w.nodes {
-		if other.zone == n.zone && !n.blind[other.peer.Host] {
+	for _, other := range n.fleet.nodes {
+		if other.zone == n.zone && !n.suspected[other.peer.Host] {
 			out = append(out, other.peer)
 		}
 	}
@@ -151,7 +150,7 @@
 // Zones implements Members.
 func (n *node) Zones() []member.Zone {
 	var out []member.Zone
-	for _, other := range n.w.nodes {
+	for _, other := range n.fleet.nodes {
 		named := func(z member.Zone) bool { return z.Name == other.zone }
 		if other.zone != n.zone && !slices.ContainsFunc(out, named) {
 			out = append(out, member.Zone{Name: other.zone})
@@ -163,7 +162,7 @@
 // Elsewhere implements Members.
 func (n *node) Elsewhere() []member.Peer {
 	var out []member.Peer
-	for _, other := range n.w.nodes {
+	for _, other := range n.fleet.nodes {
 		if other.zone != n.zone {
 			out = append(out, other.peer)
 		}
@@ -173,18 +172,18 @@
 
 // Get implements objectapi.Store.
 func (n *node) Get(ctx context.Context, kind, name string) (objectapi.Object, error) {
-	if n.w.down {
+	if n.fleet.platformDown {
 		return objectapi.Object{}, &objectapi.UnavailableError{Cause: errLost}
 	}
-	return n.w.store.Get(ctx, kind, name)
+	return n.fleet.store.Get(ctx, kind, name)
 }
 
 // Put implements objectapi.Store.
 func (n *node) Put(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
-	if n.w.down {
+	if n.fleet.platformDown {
 		return objectapi.Object{}, &objectapi.UnavailableError{Cause: errLost}
 	}
-	return n.w.store.Put(ctx, o)
+	return n.fleet.store.Put(ctx, o)
 }
 
 // Abandon implements transport.Caller.
@@ -193,21 +192,21 @@
 // Call implements transport.Caller.
 func (n *node) Call(ctx context.Context, address string, payload []byte) ([]byte, error) {
 	n.count(len(payload), 1)
-	at := slices.IndexFunc(n.w.nodes, func(m *node) bool { return m.peer.Address == address })
-	to := n.w.nodes[at]
-	if !n.w.delivers(n, to, payload, false) {
+	at := slices.IndexFunc(n.fleet.nodes, func(m *node) bool { return m.peer.Address == address })
+	to := n.fleet.nodes[at]
+	if !n.fleet.delivers(n, to, payload, false) {
 		return nil, errLost
 	}
 	if to.paused {
 		to.mu.Lock()
 		defer to.mu.Unlock()
-		to.waiting = append(to.waiting, payload)
+		to.queued = append(to.queued, payload)
 		return nil, errLost
 	}
 	to.count(len(payload), 0)
 	answer, err := to.limits.Handle(ctx, payload)
 	to.count(len(answer), 0)
-	if !n.w.delivers(n, to, payload, true) {
+	if !n.fleet.delivers(n, to, payload, true) {
 		return nil, errLost
 	}
 	n.count(len(answer), 0)
@@ -221,80 +220,80 @@
 	n.calls += calls
 }
 
-func (w *world) delivers(from, to *node, payload []byte, answer bool) bool {
-	if w.cut != nil && w.cut(from, to) {
+func (f *testFleet) delivers(from, to *node, payload []byte, answer bool) bool {
+	if f.partition != nil && f.partition(from, to) {
 		return false
 	}
 	var r request
 	if codec.Unmarshal(payload, &r) != nil {
 		return false
 	}
-	l := link{from.peer.Address, to.peer.Address, r.Level, r.Shard, answer}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.sent[l]++
-	h := xxhash.Sum64String(fmt.Sprintf("%d %v %d", w.seed, l, w.sent[l]))
-	return float64(h>>11)/(1<<53) >= w.loss
+	l := linkKey{from.peer.Address, to.peer.Address, r.Level, r.Shard, answer}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.sent[l]++
+	h := xxhash.Sum64String(fmt.Sprintf("%d %v %d", f.seed, l, f.sent[l]))
+	return float64(h>>11)/(1<<53) >= f.loss
 }
 
 // zoneRate returns the sum of the rates in force for a team in one zone.
-func (w *world) zoneRate(zone id.Zone, team id.Team) float64 {
+func (f *testFleet) zoneRate(zone id.Zone, team id.Team) float64 {
 	sum := 0.0
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if n.zone == zone {
-			sum += n.limits.teams.Load().byName[team].share.Rate(w.clock())
+			sum += n.limits.teams.Load().byName[team].share.Rate(f.clock())
 		}
 	}
 	return sum
 }
 
-// checkSmall checks after each exchange where that takes little time.
-func (w *world) checkSmall() {
-	if len(w.nodes) <= maxCheckedNodes {
-		w.check()
+// checkIfSmall calls check in fleets of up to maxCheckedNodes.
+func (f *testFleet) checkIfSmall() {
+	if len(f.nodes) <= maxCheckedNodes {
+		f.check()
 	}
 }
 
-// maxCheckedNodes is the size up to which all rates are summed after each exchange.
+// maxCheckedNodes is the fleet size up to which all rates are summed after each exchange.
 const maxCheckedNodes = 20
 
 // check asserts that the sum of all rates is within each limit.
-func (w *world) check() {
-	for _, t := range w.teams {
+func (f *testFleet) check() {
+	for _, t := range f.teams {
 		if t.TokensPerSecond == 0 {
 			continue
 		}
 		sum := 0.0
-		for _, n := range w.nodes {
-			sum += n.limits.teams.Load().byName[t.Name].share.Rate(w.clock())
+		for _, n := range f.nodes {
+			sum += n.limits.teams.Load().byName[t.Name].share.Rate(f.clock())
 		}
-		assert.Assert(w.t, sum <= t.TokensPerSecond*(1+1e-6), "team %s: sum of rates %.3f", t.Name, sum)
+		assert.Assert(f.t, sum <= t.TokensPerSecond*(1+1e-6), "team %s: sum of rates %.3f", t.Name, sum)
 	}
 }
 
 // round lets each node take tokens, step its leases and exchange once.
-func (w *world) round(demand func(*node) float64) {
+func (f *testFleet) round(demand func(*node) float64) {
 	ctx := context.Background()
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if n.paused {
 			continue
 		}
-		for _, t := range w.teams {
+		for _, t := range f.teams {
 			if tokens := demand(n); tokens > 0 {
-				n.limits.Take(t.Name, tokens, w.clock())
+				n.limits.Take(t.Name, tokens, f.clock())
 			}
 		}
 		n.limits.stepLeases(ctx)
 		n.limits.exchange(ctx)
-		w.checkSmall()
+		f.checkIfSmall()
 	}
-	w.advance(w.size.Interval)
-	w.check()
+	f.advance(f.config.Interval)
+	f.check()
 }
 
-func (w *world) rounds(n int, demand func(*node) float64) {
+func (f *testFleet) rounds(n int, demand func(*node) float64) {
 	for range n {
-		w.round(demand)
+		f.round(demand)
 	}
 }
 
@@ -309,32 +308,32 @@
 	}
 }
 
-// disturb changes the state of the fleet at random.
-func (w *world) disturb(rng *rand.Rand) {
-	for _, n := range w.nodes {
+// injectFaults changes the state of the fleet at random.
+func (f *testFleet) injectFaults(rng *rand.Rand) {
+	for _, n := range f.nodes {
 		switch rng.IntN(60) {
 		case 0:
 			n.restart()
 		case 1:
 			n.paused = true
 		case 2, 3, 4, 5, 6, 7:
-			n.wake()
+			n.resume()
 		case 8:
-			n.blind = map[id.Host]bool{w.nodes[rng.IntN(len(w.nodes))].peer.Host: true}
-			delete(n.blind, n.peer.Host)
+			n.suspected = map[id.Host]bool{f.nodes[rng.IntN(len(f.nodes))].peer.Host: true}
+			delete(n.suspected, n.peer.Host)
 		case 9, 10:
-			n.blind = nil
+			n.suspected = nil
 		}
 	}
 	switch rng.IntN(20) {
 	case 0:
-		w.down = !w.down
+		f.platformDown = !f.platformDown
 	case 1:
-		zone := w.nodes[rng.IntN(len(w.nodes))].zone
-		w.cut = func(from, to *node) bool { return (from.zone == zone) != (to.zone == zone) }
+		zone := f.nodes[rng.IntN(len(f.nodes))].zone
+		f.partition = func(from, to *node) bool { return (from.zone == zone) != (to.zone == zone) }
 	case 2, 3:
-		w.cut = nil
+		f.partition = nil
 	}
-	w.advance(time.Duration(rng.IntN(600)) * time.Millisecond)
-	w.check()
+	f.advance(time.Duration(rng.IntN(600)) * time.Millisecond)
+	f.check()
 }
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -15,25 +15,25 @@
 	"github.com/siskinford/siskinford/wire/codec"
 )
 
-// shard is what an entry keeps for a shard as a holder.
+// shard is an entry's state as lease holder and client of one shard.
 type shard struct {
-	// lease is the authority to divide the limits of the shard. Step and Release
-	// are called by one goroutine.
+	// lease is the right to divide the shard's limits between the zones. Step and
+	// Release are called by one goroutine.
 	lease *duty.Lease
 
-	// mu guards the fields below and the dividers of the shard's teams. It is a leaf lock.
+	// mu guards the fields below and the fleet allocators of the shard's teams. It is a leaf lock.
 	mu sync.Mutex
-	// epoch is the fencing number last seen as held, from since on.
-	epoch uint64
-	since time.Time
-	// hint is the address that was named as holder of the lease.
-	hint string
-	// turn rotates through the addresses tried without a hint.
-	turn int
+	// epoch is the last fencing token with which the lease was held, from epochSince on.
+	epoch      uint64
+	epochSince time.Time
+	// hintAddress is the address that last returned grants or that a redirect named.
+	hintAddress string
+	// nextAddress rotates through the addresses tried without a hint.
+	nextAddress int
 }
 
-// holder returns the text that names a holder and its address in the lease.
-func holder(node uint64, address string) string {
+// leaseHolderName returns the name of a node and its address as holder of the lease.
+func leaseHolderName(node uint64, address string) string {
 	return strconv.FormatUint(node, 16) + "@" + address
 }
 
@@ -43,25 +43,25 @@
 	return address
 }
 
-// authority returns the fencing number if grants may be issued. A holder waits
-// until the grants of a predecessor have ended, which may have released the lease.
-// The caller holds mu.
-func (s *shard) authority(now time.Time) (epoch uint64, ok bool) {
+// grantEpoch returns the fencing token if grants may be issued. A new holder waits
+// until the grants of its predecessor, which may have released the lease, have
+// expired. The caller holds mu.
+func (s *shard) grantEpoch(now time.Time) (epoch uint64, ok bool) {
 	epoch, ok = s.lease.Valid(now)
 	if !ok {
 		return 0, false
 	}
 	if epoch != s.epoch {
-		s.epoch, s.since = epoch, now
+		s.epoch, s.epochSince = epoch, now
 	}
-	if epoch > 1 && now.Sub(s.since) < limit.MaxGrantDuration {
+	if epoch > 1 && now.Sub(s.epochSince) < limit.MaxGrantDuration {
 		return 0, false
 	}
 	return epoch, true
 }
 
-// Handle answers the demands of an entry of the zone or of another zone's
-// holder. It is a transport.Handler and does not block.
+// Handle answers the demands of an entry of the zone or of another zone's leader.
+// It is a transport.Handler and does not block.
 func (l *Limiter) Handle(_ context.Context, payload []byte) ([]byte, error) {
 	var r request
 	if err := codec.Unmarshal(payload, &r); err != nil {
@@ -76,16 +76,16 @@
 func (l *Limiter) answer(r *request) *answer {
 	switch r.Level {
 	case zoneLevel:
-		return l.divideZone(r)
+		return l.allocateZone(r)
 	case fleetLevel:
-		return l.divideFleet(r)
+		return l.allocateFleet(r)
 	}
 	return &answer{}
 }
 
-// divideZone divides the zone's grants between its entries. Two entries that do
-// so at the same time are safe, as each divides its own grants only.
-func (l *Limiter) divideZone(r *request) *answer {
+// allocateZone divides the zone's grants between its entries. Two leaders at the same
+// time are safe, as each divides its own grants only.
+func (l *Limiter) allocateZone(r *request) *answer {
 	now := l.config.Now()
 	teams := l.teams.Load()
 	a := &answer{}
@@ -95,21 +95,21 @@
 			a.add(limit.Grant{}, false)
 			continue
 		}
-		a.add(t.zone.Grant(r.Node, r.demand(i), now))
+		a.add(t.zoneAllocator.Grant(r.Node, r.demand(i), now))
 	}
 	return a
 }
 
-// divideFleet divides the limits between zones if this entry has the authority,
-// and otherwise names the entry that may have it.
-func (l *Limiter) divideFleet(r *request) *answer {
+// allocateFleet divides the limits between zones if this entry may issue grants, and
+// otherwise returns a redirect.
+func (l *Limiter) allocateFleet(r *request) *answer {
 	s := &l.shards[r.Shard]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := l.config.Now()
-	epoch, ok := s.authority(now)
+	epoch, ok := s.grantEpoch(now)
 	if !ok {
-		return &answer{Redirect: l.redirect(int(r.Shard))}
+		return &answer{Redirect: l.redirectAddress(int(r.Shard))}
 	}
 	teams := l.teams.Load()
 	until := s.lease.Until()
@@ -121,25 +121,25 @@
 			continue
 		}
 		rate := t.limit * (1 - l.config.FloorFraction)
-		t.fleet.SetPool(limit.Pool{Generation: epoch, Rate: rate, Until: until})
-		a.add(t.fleet.Grant(r.Node, r.demand(i), now))
+		t.fleetAllocator.SetPool(limit.Pool{Generation: epoch, Rate: rate, Until: until})
+		a.add(t.fleetAllocator.Grant(r.Node, r.demand(i), now))
 	}
 	return a
 }
 
-// redirect returns the address of an entry that may have the authority: the one
-// named in the lease, or the zone's holder of the duty, which reads the lease.
-func (l *Limiter) redirect(shard int) string {
+// redirectAddress returns the address of an entry that may hold the lease: the one
+// named in the lease, or the zone's leader of the shard, which reads the lease.
+func (l *Limiter) redirectAddress(shard int) string {
 	if address := l.shards[shard].leaseAddress(); address != "" {
 		return address
 	}
-	return l.holders()[shard]
+	return l.zoneLeaders()[shard]
 }
 
-// holders returns the addresses of the zone's holders of the duties for all
-// shards, empty if no entry is live. They are ranked by rendezvous hashing, and
-// no entry has more shards than an even division gives.
-func (l *Limiter) holders() [shards]string {
+// zoneLeaders returns the address of the zone's leader of each shard, empty if no
+// entry is live. Leaders are chosen by rendezvous hashing, and no entry leads more
+// shards than an even division, rounded up.
+func (l *Limiter) zoneLeaders() [shardCount]string {
 	live := l.deps.Members.Live()
 	addresses := make(map[id.Host]string, len(live))
 	hosts := make([]id.Host, len(live))
@@ -147,11 +147,11 @@
 		hosts[i] = p.Host
 		addresses[p.Host] = p.Address
 	}
-	var out [shards]string
+	var out [shardCount]string
 	load := make(map[id.Host]int, len(live))
 	for i := range out {
 		for _, h := range rendezvous.Rank(l.dutyKey(i), hosts) {
-			if load[h]*len(hosts) < shards {
+			if load[h]*len(hosts) < shardCount {
 				load[h]++
 				out[i] = addresses[h]
 				break
@@ -161,7 +161,7 @@
 	return out
 }
 
-// dutyKey is the key of the zone's duty for a shard.
+// dutyKey returns the rendezvous hashing key of a shard in this zone.
 func (l *Limiter) dutyKey(shard int) string {
 	return fmt.Sprintf("limits/%s/%d", l.config.Zone, shard)
 }
--- a/entry/limits/message.go
+++ b/entry/limits/message.go
@@ -6,13 +6,13 @@
 	"github.com/siskinford/siskinford/balance/limit"
 )
 
-// level tells between whom a limit is divided.
+// level is either the division between a zone's entries or that between zones.
 type level uint8
 
 const (
-	// zoneLevel demands come from an entry to the zone's holder.
+	// zoneLevel demands come from an entry to the zone's leader.
 	zoneLevel level = iota + 1
-	// fleetLevel demands come from a zone's holder to the holder of the lease.
+	// fleetLevel demands come from a zone's leader to the lease holder.
 	fleetLevel
 )
 
@@ -22,7 +22,7 @@
 	_     struct{} `cbor:",toarray"`
 	Level level
 	Shard uint8
-	// Node is the random name of the asking process.
+	// Node is the random ID of the requesting process.
 	Node  uint64
 	Teams []teamKey
 	Seqs  []uint64
@@ -36,16 +36,16 @@
 type answer struct {
 	_          struct{} `cbor:",toarray"`
 	Generation uint64
-	// TTL is in milliseconds and holds for all grants.
+	// TTL is in milliseconds and applies to all grants.
 	TTL int64
 	// Rates are in tokens per second, negative for teams without a grant.
 	Rates []float32
-	// Redirect is the address of an entry that may hold the shard's lease. It is
-	// set in place of grants.
+	// Redirect is the address of an entry that may hold the shard's lease. It
+	// replaces the grants.
 	Redirect string
 }
 
-// noGrant stands in answer.Rates for a team without a grant.
+// noGrant is the value in answer.Rates for a team without a grant.
 const noGrant = -1
 
 // maxLag is the greatest value of an element of request.Lags.
@@ -66,7 +66,7 @@
 // valid reports whether the request is complete.
 func (r *request) valid() bool {
 	n := len(r.Teams)
-	return len(r.Seqs) == n && len(r.Lags) == n && len(r.Rates) == n && r.Shard < shards
+	return len(r.Seqs) == n && len(r.Lags) == n && len(r.Rates) == n && r.Shard < shardCount
 }
 
 // demand returns the demand of a team by its position.
@@ -78,7 +78,7 @@
 	return d
 }
 
-// add appends the answer for one team. The shortest lease holds for all.
+// add appends the grant of one team. The shortest TTL applies to all.
 func (a *answer) add(g limit.Grant, ok bool) {
 	if !ok {
 		a.Rates = append(a.Rates, noGrant)
