--- a/entry/edge/clients.go
+++ b/entry/edge/clients.go
@@ -22,11 +22,11 @@
 	limits   atomic.Pointer[routes.Limits]
 
 	mu    sync.Mutex             // leaf lock
-	conns map[net.Conn]time.Time // since when each is idle; zero while it is active
+	conns map[net.Conn]time.Time // when each became idle; zero while active
 }
 
 const (
-	// defaultHeaderTimeout and defaultIdleTimeout hold until a configuration is known.
+	// defaultHeaderTimeout and defaultIdleTimeout apply until a configuration is in force.
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
 )
@@ -37,7 +37,7 @@
 	c.server = &http.Server{
 		Handler:   c.wrap(h),
 		ConnState: c.track,
-		// The idle timeout is enforced by sweep, as it may change.
+		// sweep enforces the idle timeout, because it may change at run time.
 		ReadHeaderTimeout: defaultHeaderTimeout,
 		IdleTimeout:       -1,
 		ErrorLog:          nil,
@@ -45,11 +45,11 @@
 	return c
 }
 
-// setLimits brings the limits of a configuration into force. The bounds of the
-// header hold for connections that are opened later.
+// setLimits brings the limits of a configuration into force. ReadHeaderTimeout stays
+// at its default.
 func (c *clientServer) setLimits(l routes.Limits) { c.limits.Store(&l) }
 
-// wrap tells clients how long a connection may stay idle.
+// wrap announces the idle timeout, or while draining the end of the connection.
 func (c *clientServer) wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.draining.Load() {
@@ -74,7 +74,7 @@
 	}
 }
 
-// sweep closes the connections that have been idle for longer than permitted.
+// sweep closes connections that have been idle for longer than permitted.
 func (c *clientServer) sweep(now time.Time) {
 	idle := c.limits.Load().IdleTimeout
 	if idle <= 0 {
@@ -89,5 +89,5 @@
 	}
 }
 
-// drain asks clients to close their connections after the next answer.
+// drain asks clients to close their connections after the next response.
 func (c *clientServer) drain() { c.draining.Store(true) }
--- a/entry/edge/control.go
+++ b/entry/edge/control.go
@@ -11,15 +11,15 @@
 	"github.com/siskinford/siskinford/core/ops"
 )
 
-// controlTimeout bounds the header of an operator's request.
-const controlTimeout = 5 * time.Second
+// controlHeaderTimeout bounds the time to read the header of an operator's request.
+const controlHeaderTimeout = 5 * time.Second
 
-// startControl serves operators and collectors of metrics.
+// startControl starts the server for operators and metrics collectors.
 func (e *Edge) startControl() error {
 	r := chi.NewRouter()
 	ops.Routes(r, e.set, e.notReady)
-	e.control = &http.Server{Handler: r, ReadHeaderTimeout: controlTimeout}
-	e.gauges()
+	e.controlServer = &http.Server{Handler: r, ReadHeaderTimeout: controlHeaderTimeout}
+	e.registerGauges()
 	for _, address := range []string{e.cfg.ControlListen, e.cfg.MetricsListen} {
 		if address == "" {
 			continue
@@ -28,12 +28,12 @@
 		if err != nil {
 			return errors.Wrap(err, "listen for operators")
 		}
-		go e.serve(e.control, l)
+		go e.serve(e.controlServer, l)
 	}
 	return nil
 }
 
-// notReady tells why the entry does not accept work, empty if it does.
+// notReady returns why the entry does not accept work, or "" if it does.
 func (e *Edge) notReady() string {
 	switch {
 	case e.leaving.Load():
@@ -44,8 +44,8 @@
 	return ""
 }
 
-// gauges registers what is read when metrics are collected.
-func (e *Edge) gauges() {
+// registerGauges registers the gauges that are computed at collection.
+func (e *Edge) registerGauges() {
 	e.set.NewGauge("siskinford_entries_in_touch", func() float64 { return float64(len(e.mesh.Alive())) })
 	e.set.NewGauge("siskinford_entries_registered", func() float64 { return float64(e.mesh.Known()) })
 	e.set.NewGauge("siskinford_configuration_version", func() float64 { return float64(e.values.versions()[topicConfig]) })
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge is an entry whose endpoints are reached directly. It keeps up with
-// the operators' configuration and the platform's list of endpoints, serves
-// clients, and works with the other entries of the fleet.
+// Package edge implements an entry that proxies client requests directly to
+// endpoints. It tracks the operators' configuration and the platform's list of
+// endpoints, and shares both, with load reports, with the other entries of the fleet.
 package edge
 
 import (
@@ -33,18 +33,18 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// Adapter translates between a platform and the product. It keeps no state.
+// Adapter translates between a platform's formats and the product's. It is stateless.
 type Adapter struct {
 	Codec direct.Codec
-	// Protocol is that of the platform's object API.
+	// Protocol is the protocol of the platform's object API.
 	Protocol objectapi.Protocol
-	// ConfigKind and ConfigName name the object that holds the configuration, and
-	// EndpointKind the kind of objects that register endpoints.
+	// ConfigKind and ConfigName identify the configuration object. EndpointKind is
+	// the kind of the objects that register endpoints.
 	ConfigKind, ConfigName, EndpointKind string
-	// DecodeConfig decodes a configuration without checking it.
+	// DecodeConfig decodes a configuration without validating it.
 	DecodeConfig func(data []byte) (routes.Config, error)
-	// DecodeEndpoint decodes the registration of an endpoint under its name. The error
-	// tells why it names no endpoint to use.
+	// DecodeEndpoint decodes the registration of the named endpoint. The error says
+	// why the registration is unusable.
 	DecodeEndpoint func(name string, data []byte) (direct.Endpoint, error)
 	// NewEngine returns a client for the engine at an address.
 	NewEngine func(address string) relay.Engine
@@ -54,34 +54,34 @@
 type Config struct {
 	Host id.Host
 	Zone id.Zone
-	// ClientListen and ReadinessListen are the TCP addresses at which clients and the
-	// platform's readiness checks arrive, as "ip:port". Required.
+	// ClientListen and ReadinessListen are the TCP addresses ("ip:port") for client
+	// requests and for the platform's readiness checks. Required.
 	ClientListen, ReadinessListen string
-	// PeerListen is the UDP address for other entries, as "ip:port". Required.
+	// PeerListen is the UDP address for other entries. Required.
 	PeerListen netip.AddrPort
-	// AdvertiseAddress is the UDP address at which other entries reach this one. Default: PeerListen.
+	// AdvertiseAddress is the UDP address at which other entries reach this one.
+	// Default: PeerListen.
 	AdvertiseAddress netip.AddrPort
-	// Source is the address of this host from which connections are opened.
-	// Default: the operating system's choice.
+	// Source is the local address of outgoing connections. Default: the operating
+	// system's choice.
 	Source netip.Addr
-	// ControlListen is the TCP address for operators and metrics, as "ip:port". Empty for none.
+	// ControlListen is the TCP address ("ip:port") for operators and metrics. Empty for none.
 	ControlListen string
-	// MetricsListen is a further TCP address for metrics, as "ip:port". Empty for none.
+	// MetricsListen is another TCP address ("ip:port") for metrics. Empty for none.
 	MetricsListen string
-	// Seeds are the addresses of other entries that may run, for a start while
-	// the platform is down.
+	// Seeds are addresses of entries to contact if the platform is down at the start.
 	Seeds []string
-	// RelayPort is the TCP port of the relays beside endpoints.
+	// RelayPort is the TCP port of the relays on the endpoints' hosts.
 	RelayPort uint16
 	// StoreAddress is the "ip:port" of the platform's object API. Required.
 	StoreAddress string
-	// MaxConfigDelay is the time in which a configuration must be in force. Default: 2 s.
+	// MaxConfigDelay is the time within which a new configuration must be in force. Default: 2 s.
 	MaxConfigDelay time.Duration
-	// RetryBudget is the budget of all entries for each service. Its length is required.
+	// RetryBudget is each service's budget over all entries. The window length is required.
 	RetryBudget retry.WindowConfig
 }
 
-const defaultConfigBound = 2 * time.Second
+const defaultMaxConfigDelay = 2 * time.Second
 
 // Validate returns all findings in the configuration.
 func (c Config) Validate() finding.List {
@@ -117,50 +117,50 @@
 	values  values
 	handler *direct.Handler
 	loads   *direct.LoadExchange
-	maps    maps
-	// followers keep up with the platform's objects while the entry is a reader.
-	followers []*follower
-	pinned    *keys.Pinned
-	pool      *link.Pool
-	mux       *transport.Mux
-	peers     *link.Server
-	mesh      *mesh.Mesh
-	states    states
-	clients   *clientServer
-	ready     *http.Server
-	control   *http.Server
-	leaving   atomic.Bool
-	ctx       context.Context
-	cancel    context.CancelFunc
-	wg        sync.WaitGroup
+	groups  groupManager
+	// watchers track the platform's objects while the entry is a reader.
+	watchers      []*objectWatcher
+	pinned        *keys.Pinned
+	pool          *link.Pool
+	mux           *transport.Mux
+	peers         *link.Server
+	mesh          *mesh.Mesh
+	claims        claimTable
+	clients       *clientServer
+	readyServer   *http.Server
+	controlServer *http.Server
+	leaving       atomic.Bool
+	ctx           context.Context
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup
 }
 
 const (
-	// storeBackoffMin and storeBackoffMax space the calls to a platform that
-	// fails. The longest pause is a quarter of the bound for configurations.
+	// storeBackoffMin and storeBackoffMax bound the delay between calls to a failing
+	// platform. The maximum is a quarter of the default MaxConfigDelay.
 	storeBackoffMin = 100 * time.Millisecond
 	storeBackoffMax = 500 * time.Millisecond
-	// storeKeepAlive is the time without traffic after which a connection to the
-	// platform is probed.
+	// storeKeepAlive is the time without traffic before a connection to the platform
+	// is probed.
 	storeKeepAlive = time.Second
-	// memberPollWait is the time for which a watch of the registrations waits. A
-	// missed change is made good by the greetings of the entries.
-	memberPollWait = 20 * time.Second
-	// storeCall bounds a call to the platform, which answers in milliseconds.
-	storeCall = time.Second
-	// sweepInterval is the time between looks at idle connections.
+	// memberWatchWait is the long-poll timeout of the watch of entry registrations.
+	// Exchanges between entries make up for a missed change.
+	memberWatchWait = 20 * time.Second
+	// storeCallTimeout bounds a call to the platform, which normally takes milliseconds.
+	storeCallTimeout = time.Second
+	// sweepInterval is the time between scans for idle connections.
 	sweepInterval = 500 * time.Millisecond
-	// readyIdle is the idle timeout of the platform's readiness checks, which come each second.
-	readyIdle = 30 * time.Second
+	// readyIdleTimeout is the idle timeout for readiness checks, which arrive every second.
+	readyIdleTimeout = 30 * time.Second
 )
 
-// New returns an entry that is not started. The error holds all findings in cfg.
+// New returns an entry that is not started. The error lists all findings in cfg.
 func New(cfg Config, a Adapter, log zerolog.Logger, set *metrics.Set) (*Edge, error) {
 	if err := cfg.Validate().Err(); err != nil {
 		return nil, errors.Wrap(err, "entry")
 	}
 	if cfg.MaxConfigDelay <= 0 {
-		cfg.MaxConfigDelay = defaultConfigBound
+		cfg.MaxConfigDelay = defaultMaxConfigDelay
 	}
 	if !cfg.AdvertiseAddress.IsValid() {
 		cfg.AdvertiseAddress = cfg.PeerListen
@@ -169,7 +169,7 @@
 	var err error
 	e.store, err = objectapi.NewClient(objectapi.ClientConfig{
 		BaseURL: "http://" + cfg.StoreAddress, Caller: string(cfg.Host), Protocol: a.Protocol,
-		CallTimeout: storeCall, KeepAlive: storeKeepAlive, Source: cfg.Source,
+		CallTimeout: storeCallTimeout, KeepAlive: storeKeepAlive, Source: cfg.Source,
 		Backoff: objectapi.Backoff{Min: storeBackoffMin, Max: storeBackoffMax},
 	})
 	if err != nil {
@@ -190,31 +190,31 @@
 	})
 	e.loads = direct.NewLoadExchange(e.handler)
 	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.Changed}
-	e.followers = e.newFollowers()
-	e.maps = maps{edge: e, of: make(map[id.Service]*service)}
+	e.watchers = e.newWatchers()
+	e.groups = groupManager{edge: e, services: make(map[id.Service]*groupedService)}
 	e.clients = newClientServer(e.handler, log)
-	e.ready = &http.Server{Handler: http.HandlerFunc(e.serveReady), IdleTimeout: readyIdle, ReadHeaderTimeout: readyIdle}
+	e.readyServer = &http.Server{Handler: http.HandlerFunc(e.serveReady), IdleTimeout: readyIdleTimeout, ReadHeaderTimeout: readyIdleTimeout}
 	return e, nil
 }
 
 const (
-	// alonePoll and fleetPoll are the times for which a watch waits, as parts of
-	// the bound for configurations. A watch may miss a change; a fleet makes up
-	// for that as its entries renew their watches at different times.
-	alonePoll = 0.75
-	fleetPoll = 1.5
-	// pollJitter is the part of the time that is taken off at random.
-	pollJitter = 0.25
+	// aloneWatchFraction and fleetWatchFraction are the long-poll timeouts as fractions
+	// of MaxConfigDelay. A watch may miss a change; a fleet tolerates longer timeouts,
+	// as its entries renew their watches at different times.
+	aloneWatchFraction = 0.75
+	fleetWatchFraction = 1.5
+	// watchJitter is the maximum fraction by which a timeout is randomly shortened.
+	watchJitter = 0.25
 )
 
-// pollWait returns the time for which the next watch waits.
-func (e *Edge) pollWait() time.Duration {
-	part := alonePoll
+// watchWait returns the long-poll timeout of the next watch.
+func (e *Edge) watchWait() time.Duration {
+	fraction := aloneWatchFraction
 	if len(e.mesh.Alive()) > 0 {
-		part = fleetPoll
+		fraction = fleetWatchFraction
 	}
-	part *= 1 - pollJitter*rand.Float64()
-	return time.Duration(part * float64(e.cfg.MaxConfigDelay))
+	fraction *= 1 - watchJitter*rand.Float64()
+	return time.Duration(fraction * float64(e.cfg.MaxConfigDelay))
 }
 
 func (e *Edge) newMesh() error {
@@ -222,13 +222,13 @@
 	mux := transport.NewMux(peer.NewCaller(e.pool), e.set)
 	var err error
 	e.mesh, err = mesh.New(mesh.Options{
-		Self: e.self, Store: e.store.Patient(memberPollWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
-		Versions: e.versions, Get: e.value, Put: e.take,
+		Self: e.self, Store: e.store.Patient(memberWatchWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
+		Versions: e.versions, Get: e.encodeValue, Put: e.applyValue,
 		Watched: map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
-		State:   e.encodeState, OnState: e.takeState, Summary: e.encodeSummary, OnSummary: e.takeSummary,
-		Reading: e.reading, Log: e.log,
+		State:   e.encodeState, OnState: e.applyState, Summary: e.encodeSummary, OnSummary: e.applySummary,
+		Reading: e.watchesHealthy, Log: e.log,
 	})
-	e.states.interval = e.mesh.Interval
+	e.claims.interval = e.mesh.Interval
 	if err != nil {
 		return err
 	}
@@ -237,15 +237,15 @@
 	return nil
 }
 
-// peerConfig returns the bounds of connections between entries. They are dialed
-// from the host's own address, by which entries know each other.
+// peerConfig returns the settings of connections between entries. They are dialed
+// from the host's own address, by which entries identify each other.
 func (e *Edge) peerConfig() link.Config {
 	c := link.PeerConfig()
 	c.LocalIP = e.cfg.PeerListen.Addr().String()
 	return c
 }
 
-// listenPeers accepts the calls of other entries.
+// listenPeers starts the server for calls from other entries.
 func (e *Edge) listenPeers() (err error) {
 	events := func(*msg.EventsOrder) *msg.Events { return &msg.Events{Process: string(e.self.Host)} }
 	e.peers, err = link.Listen(e.cfg.PeerListen.String(), e.pinned.Server(keys.RoleEntry, e.mesh.Trust), e.peerConfig(),
@@ -256,7 +256,7 @@
 func (e *Edge) onConfig(t *routes.Table) {
 	e.handler.SetTable(t)
 	e.clients.setLimits(t.Limits())
-	e.maps.apply(t)
+	e.groups.apply(t)
 }
 
 func (e *Edge) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -284,21 +284,21 @@
 	e.log.Info().Str("event", "process.started").Str("incarnation", string(e.self.Incarnation)).
 		Str("clients", e.cfg.ClientListen).Str("peers", e.self.Address).Send()
 	go e.serve(e.clients.server, clients)
-	go e.serve(e.ready, ready)
+	go e.serve(e.readyServer, ready)
 	if err := e.startControl(); err != nil {
 		return err
 	}
-	for _, f := range e.followers {
-		e.wg.Go(func() { f.run(e.ctx) })
+	for _, w := range e.watchers {
+		e.wg.Go(func() { w.run(e.ctx) })
 	}
 	e.wg.Go(func() { e.mesh.Run(e.ctx) })
 	e.wg.Go(e.sweep)
 	e.wg.Go(e.applyLoads)
-	e.wg.Go(func() { e.maps.run(e.ctx) })
+	e.wg.Go(func() { e.groups.run(e.ctx) })
 	return nil
 }
 
-// loadsInterval is the time between looks at the loads that other entries told, a
+// loadsInterval is the time between applications of other entries' load reports, a
 // quarter of the shortest time between exchanges.
 const loadsInterval = 25 * time.Millisecond
 
@@ -335,27 +335,27 @@
 	}
 }
 
-// noticeTime is the time in which the platform notices that an entry is no longer
-// ready: it asks each second and counts two misses.
-const noticeTime = 2300 * time.Millisecond
+// unreadyDetectionTime is the time the platform takes to detect that an entry is no
+// longer ready: it checks every second and requires two failures.
+const unreadyDetectionTime = 2300 * time.Millisecond
 
-// Shutdown implements process.Daemon. New connections are accepted until the
-// platform has noticed that the entry is leaving.
+// Shutdown implements process.Daemon. It accepts new connections until the platform
+// has had time to detect that the entry is not ready.
 func (e *Edge) Shutdown(ctx context.Context) error {
 	e.leaving.Store(true)
-	e.maps.stop()
+	e.groups.stop()
 	e.clients.drain()
-	pause(ctx, noticeTime)
+	pause(ctx, unreadyDetectionTime)
 	err := e.clients.server.Shutdown(ctx)
 	e.cancel()
 	e.wg.Wait()
-	_ = e.control.Close()
+	_ = e.controlServer.Close()
 	e.pool.Close()
 	e.peers.Close()
 	e.store.Close()
 	return err
 }
 
-// Reload implements process.Daemon. No setting changes while the process runs: the
-// platform starts it anew at another address.
+// Reload implements process.Daemon. Settings never change at run time: the platform
+// starts a new process at another address instead.
 func (e *Edge) Reload() error { return nil }
--- a/entry/edge/registrations.go
+++ b/entry/edge/registrations.go
@@ -7,7 +7,7 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// registration is one endpoint's object in the platform.
+// registration is the platform's object of one endpoint.
 type registration struct {
 	Created uint64          `json:"created"`
 	Value   json.RawMessage `json:"value"`
@@ -17,31 +17,31 @@
 	return r.Created == o.Created && bytes.Equal(r.Value, o.Value)
 }
 
-// maxChanges bounds the changes that are kept for entries that are behind, more
-// than a release of all endpoints of a fleet of today takes.
+// maxChanges bounds the changes kept for entries that are behind. A rollout of all
+// endpoints of a present-day fleet has fewer.
 const maxChanges = 256
 
-// registrations holds the registrations of endpoints with their last changes.
+// registrations holds the registrations of endpoints and their latest changes.
 type registrations struct {
-	// version is the revision of the last change, and known the one up to which the
-	// registrations are known.
-	version, known uint64
-	listed         map[string]registration
-	// changes holds the changes after the revision base, the oldest first.
+	// version is the revision of the last change, and synced the revision up to which
+	// changes have been applied.
+	version, synced uint64
+	byName          map[string]registration
+	// changes holds the changes after the revision base, oldest first.
 	changes []change
 	base    uint64
 }
 
-// change is one registration or its removal.
+// change is one new, updated or removed registration.
 type change struct {
 	// revision is that of the change or a later one.
 	revision uint64
 	name     string
-	// now is nil after a removal.
-	now *registration
+	// value is nil for a removal.
+	value *registration
 }
 
-// update is what an entry that is behind lacks: all registrations, or what changed
+// update is the content of the endpoints topic: all registrations, or the changes
 // after a revision.
 type update struct {
 	All     map[string]registration  `json:"all"`
@@ -49,74 +49,73 @@
 	Changed map[string]*registration `json:"changed,omitempty"`
 }
 
-// list takes in all registrations at a revision. It is true if anything changed.
-func (r *registrations) list(listed map[string]registration, revision uint64) bool {
-	if revision < r.known || (revision == r.known && r.listed != nil) {
+// replace replaces all registrations at a revision and reports whether any changed.
+func (r *registrations) replace(listed map[string]registration, revision uint64) bool {
+	if revision < r.synced || (revision == r.synced && r.byName != nil) {
 		return false
 	}
-	r.known = revision
-	if r.listed != nil && sameRegistrations(listed, r.listed) {
+	r.synced = revision
+	if r.byName != nil && sameRegistrations(listed, r.byName) {
 		return false
 	}
-	r.listed, r.version = listed, revision
+	r.byName, r.version = listed, revision
 	r.changes, r.base = nil, revision
 	return true
 }
 
-// watch takes in the events of a watch up to a revision. It is true if anything changed.
-func (r *registrations) watch(objects []objectapi.Object, revision uint64) bool {
-	if revision <= r.known {
+// applyEvents applies watch events up to a revision and reports whether any applied.
+func (r *registrations) applyEvents(objects []objectapi.Object, revision uint64) bool {
+	if revision <= r.synced {
 		return false
 	}
 	changed := make(map[string]*registration)
 	for _, o := range objects {
 		switch {
-		case o.Revision != 0 && o.Revision <= r.known: // Another entry handed a later list over.
+		case o.Revision != 0 && o.Revision <= r.synced: // A later list from another entry includes it.
 		case o.Deleted:
 			changed[o.Name] = nil
 		default:
 			changed[o.Name] = &registration{Created: o.Created, Value: o.Value}
 		}
 	}
-	r.known = revision
+	r.synced = revision
 	return r.apply(changed, revision)
 }
 
-// hand takes in what another entry handed over with its version. It is true if
-// anything changed.
-func (r *registrations) hand(u update, version uint64) (changed bool) {
+// merge applies another entry's update and reports whether any registration changed.
+func (r *registrations) merge(u update, version uint64) (changed bool) {
 	switch {
-	case version <= r.known:
+	case version <= r.synced:
 	case u.All != nil:
-		changed = r.list(u.All, version)
+		changed = r.replace(u.All, version)
 	case u.Since == 0:
-		return false // Neither of both.
-	case r.known < u.Since:
-		return false // It does not follow on what is held.
+		return false // Neither a list nor changes.
+	case r.synced < u.Since:
+		return false // The changes in between are missing.
 	default:
-		r.known = version
+		r.synced = version
 		changed = r.apply(u.Changed, version)
 	}
-	// Nothing that is held is older than the other entry's.
+	// The registrations are at least as new as the other entry's.
 	r.version = max(r.version, version)
 	return changed
 }
 
-// apply notes changes up to a revision. It is true if there are any.
+// apply records changes up to a revision and reports whether there are any.
 func (r *registrations) apply(changed map[string]*registration, revision uint64) bool {
 	if len(changed) == 0 {
 		return false
 	}
-	if r.listed == nil {
-		r.listed = make(map[string]registration)
+	if r.byName == nil {
+		r.byName = make(map[string]registration)
 	}
-	for name, now := range changed {
-		if now == nil {
-			delete(r.listed, name)
+	for name, value := range changed {
+		if value == nil {
+			delete(r.byName, name)
 		} else {
-			r.listed[name] = *now
+			r.byName[name] = *value
 		}
-		r.changes = append(r.changes, change{revision, name, now})
+		r.changes = append(r.changes, change{revision, name, value})
 	}
 	r.version = revision
 	if over := len(r.changes) - maxChanges; over > 0 {
@@ -126,15 +125,15 @@
 	return true
 }
 
-// since returns what an entry that has a version lacks.
+// since returns the changes after version have, or all registrations if it is too old.
 func (r *registrations) since(have uint64) update {
 	if have == 0 || have < r.base {
-		return update{All: r.listed}
+		return update{All: r.byName}
 	}
 	u := update{Since: have, Changed: make(map[string]*registration)}
 	for _, c := range r.changes {
 		if c.revision > have {
-			u.Changed[c.name] = c.now
+			u.Changed[c.name] = c.value
 		}
 	}
 	return u
--- a/entry/edge/states.go
+++ b/entry/edge/states.go
@@ -12,127 +12,128 @@
 	"github.com/siskinford/siskinford/fleet/mesh"
 )
 
-// state is what entries tell each other at each greeting.
+// state is an entry's payload in each exchange within its cell.
 type state struct {
-	// Loads is what the entry runs at the endpoints, as direct.LoadExchange encodes it.
+	// Loads is the entry's load at each endpoint, encoded by direct.LoadExchange.
 	Loads []byte `cbor:"1,keyasint,omitempty"`
-	// Claims are the fencing numbers under which the entry performs duties.
+	// Claims holds the fencing tokens of the duties that the entry performs.
 	Claims map[duty.Name]uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// summary is what entries tell other cells of their own.
+// summary is the payload sent to other cells: the combined state of the own cell.
 type summary struct {
-	// Loads is what the cell runs at the endpoints.
+	// Loads is the cell's load at each endpoint.
 	Loads []byte `cbor:"1,keyasint,omitempty"`
-	// Claims are those of the members of the cell that have any, by holder.
+	// Claims holds the claims of the cell's members that have any, by lease holder.
 	Claims map[string]map[duty.Name]uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	// claimsFor is the time for which the claims of another entry count after they arrived.
-	claimsFor = 2 * time.Second
-	// claimIntervals is the number of exchanges for which they count at least.
-	claimIntervals = 4
+	// claimTTL is the time for which a received claim is valid.
+	claimTTL = 2 * time.Second
+	// claimTTLExchanges is the minimum of that time in exchange intervals.
+	claimTTLExchanges = 4
 )
 
-// states holds the claims of other entries. It is safe for concurrent use.
-type states struct {
+// claimTable holds the latest claims of other entries. It is safe for concurrent use.
+type claimTable struct {
 	// interval returns the time between exchanges.
 	interval func() time.Duration
 
 	mu     sync.Mutex // leaf lock
-	claims map[id.Host]claims
+	claims map[id.Host]hostClaims
 }
 
-// lasts returns a time that is a number of exchanges at least.
-func (s *states) lasts(d time.Duration, exchanges int) time.Duration {
-	return max(d, time.Duration(exchanges)*s.interval())
+// atLeastExchanges returns the longer of d and n exchange intervals.
+func (s *claimTable) atLeastExchanges(d time.Duration, n int) time.Duration {
+	return max(d, time.Duration(n)*s.interval())
 }
 
-type claims struct {
-	at time.Time
-	// holder is the name of the entry's incarnation as the holder of leases.
+type hostClaims struct {
+	receivedAt time.Time
+	// holder is the lease holder name of the entry's incarnation.
 	holder string
-	of     map[duty.Name]uint64
+	epochs map[duty.Name]uint64
 }
 
-// note takes in what a holder claims.
-func (s *states) note(holder string, of map[duty.Name]uint64) {
+// record stores the latest claims of a holder.
+func (s *claimTable) record(holder string, epochs map[duty.Name]uint64) {
 	host, _, _ := strings.Cut(holder, "/")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.claims == nil {
-		s.claims = make(map[id.Host]claims)
+		s.claims = make(map[id.Host]hostClaims)
 	}
-	s.claims[id.Host(host)] = claims{at: time.Now(), holder: holder, of: of}
+	s.claims[id.Host(host)] = hostClaims{receivedAt: time.Now(), holder: holder, epochs: epochs}
 }
 
-// of returns what some entries claim, by holder.
-func (s *states) of(hosts func(id.Host) bool) map[string]map[duty.Name]uint64 {
-	limit := s.lasts(claimsFor, claimIntervals)
+// byHolder returns the valid claims of the included hosts by lease holder.
+func (s *claimTable) byHolder(include func(id.Host) bool) map[string]map[duty.Name]uint64 {
+	limit := s.atLeastExchanges(claimTTL, claimTTLExchanges)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]map[duty.Name]uint64)
 	for host, c := range s.claims {
-		if len(c.of) > 0 && hosts(host) && time.Since(c.at) < limit {
-			out[c.holder] = c.of
+		if len(c.epochs) > 0 && include(host) && time.Since(c.receivedAt) < limit {
+			out[c.holder] = c.epochs
 		}
 	}
 	return out
 }
 
-// silence returns the time since a holder last claimed anything. It is false if
-// that was long ago.
-func (s *states) silence(holder string) (time.Duration, bool) {
+// sinceClaim returns the time since a holder's last claim. It is false if the table
+// has none.
+func (s *claimTable) sinceClaim(holder string) (time.Duration, bool) {
 	host, _, _ := strings.Cut(holder, "/")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, ok := s.claims[id.Host(host)]
-	return time.Since(c.at), ok && c.holder == holder && len(c.of) > 0
+	return time.Since(c.receivedAt), ok && c.holder == holder && len(c.epochs) > 0
 }
 
-// claimed returns the highest fencing number that another entry claims for a duty.
-func (s *states) claimed(d duty.Name) uint64 {
-	limit := s.lasts(claimsFor, claimIntervals)
+// highestEpoch returns the highest fencing token that another entry claims for a
+// duty. It deletes expired claims.
+func (s *claimTable) highestEpoch(d duty.Name) uint64 {
+	limit := s.atLeastExchanges(claimTTL, claimTTLExchanges)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var highest uint64
 	for host, c := range s.claims {
-		if time.Since(c.at) > limit {
+		if time.Since(c.receivedAt) > limit {
 			delete(s.claims, host)
 			continue
 		}
-		highest = max(highest, c.of[d])
+		highest = max(highest, c.epochs[d])
 	}
 	return highest
 }
 
-// actingFor and actingIntervals are the time and the number of exchanges for which
-// an entry is taken to act after it said so.
+// activeTTL and activeTTLExchanges are the time and the minimum number of exchange
+// intervals for which an entry is assumed to perform a duty after claiming it.
 const (
-	actingFor       = 500 * time.Millisecond
-	actingIntervals = 3
+	activeTTL          = 500 * time.Millisecond
+	activeTTLExchanges = 3
 )
 
-// acting reports whether a holder lately claimed a duty.
-func (s *states) acting(holder string, d duty.Name) bool {
-	limit := s.lasts(actingFor, actingIntervals)
+// isActive reports whether a holder recently claimed a duty.
+func (s *claimTable) isActive(holder string, d duty.Name) bool {
+	limit := s.atLeastExchanges(activeTTL, activeTTLExchanges)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.claims {
-		if c.holder == holder && time.Since(c.at) < limit && c.of[d] != 0 {
+		if c.holder == holder && time.Since(c.receivedAt) < limit && c.epochs[d] != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// encodeState returns what this entry tells the others.
+// encodeState returns the state to send to other entries of the cell.
 func (e *Edge) encodeState() []byte {
 	loads, err := e.loads.Encode()
 	if err == nil {
 		var b []byte
-		if b, err = cbor.Marshal(state{Loads: loads, Claims: e.maps.claimed()}); err == nil {
+		if b, err = cbor.Marshal(state{Loads: loads, Claims: e.groups.claimedEpochs()}); err == nil {
 			return b
 		}
 	}
@@ -140,12 +141,12 @@
 	return nil
 }
 
-// encodeSummary returns what this entry tells other cells of some of its own.
-func (e *Edge) encodeSummary(of func(id.Host) bool) []byte {
-	loads, err := e.loads.EncodeSum(of)
+// encodeSummary returns the combined state of the included hosts to send to other cells.
+func (e *Edge) encodeSummary(include func(id.Host) bool) []byte {
+	loads, err := e.loads.EncodeSum(include)
 	if err == nil {
-		claims := e.states.of(of)
-		if own := e.maps.claimed(); len(own) > 0 {
+		claims := e.claims.byHolder(include)
+		if own := e.groups.claimedEpochs(); len(own) > 0 {
 			claims[holderName(e.self.Host, e.self.Incarnation)] = own
 		}
 		var b []byte
@@ -157,12 +158,12 @@
 	return nil
 }
 
-// takeState takes in what another entry tells.
-func (e *Edge) takeState(m mesh.Member, data []byte) {
+// applyState records the state received from another entry.
+func (e *Edge) applyState(m mesh.Member, data []byte) {
 	var s state
 	err := cbor.Unmarshal(data, &s)
 	if err == nil {
-		e.states.note(holderName(m.Host, m.Incarnation), s.Claims)
+		e.claims.record(holderName(m.Host, m.Incarnation), s.Claims)
 		err = e.loads.SetHostLoads(m.Host, s.Loads)
 	}
 	if err != nil {
@@ -170,13 +171,13 @@
 	}
 }
 
-// takeSummary takes in what an entry of another cell tells of it.
-func (e *Edge) takeSummary(cell string, data []byte) {
+// applySummary records the combined state received from another cell.
+func (e *Edge) applySummary(cell string, data []byte) {
 	var s summary
 	err := cbor.Unmarshal(data, &s)
 	if err == nil {
-		for holder, of := range s.Claims {
-			e.states.note(holder, of)
+		for holder, epochs := range s.Claims {
+			e.claims.record(holder, epochs)
 		}
 		err = e.loads.SetCellLoads(cell, s.Loads)
 	}
--- a/entry/edge/values.go
+++ b/entry/edge/values.go
@@ -14,23 +14,23 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// The topics that entries hand to each other.
+// Topics of the values that entries replicate.
 const (
 	topicConfig    mesh.Topic = "configuration"
 	topicEndpoints mesh.Topic = "endpoints"
 )
 
-// values holds the configuration and the endpoints in force, in the platform's form,
-// so that they can be handed to other entries. Versions never decrease.
+// values holds the configuration and endpoints in force in the platform's encoding,
+// to replicate them to other entries. Versions never decrease.
 type values struct {
 	adapter     Adapter
 	log         zerolog.Logger
 	onConfig    func(*routes.Table)
 	onEndpoints func([]direct.Endpoint)
-	// onChange is told that a version has changed. It must not block.
+	// onChange is called after a version changed. It must not block.
 	onChange func()
 
-	mu        sync.Mutex // taken before the locks of the handler and of maps
+	mu        sync.Mutex // acquired before the locks of the handler and of groupManager
 	config    mesh.Value
 	endpoints registrations
 }
@@ -41,7 +41,7 @@
 	return map[mesh.Topic]uint64{topicConfig: v.config.Version, topicEndpoints: v.endpoints.version}
 }
 
-// get returns what an entry that has a version lacks.
+// get returns the part of a topic's value that an entry at version have lacks.
 func (v *values) get(t mesh.Topic, have uint64) mesh.Value {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -71,13 +71,13 @@
 		}
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		if v.endpoints.hand(u, value.Version) {
-			v.applyEndpoints("another entry")
+		if v.endpoints.merge(u, value.Version) {
+			v.publishEndpoints("another entry")
 		}
 	}
 }
 
-// setConfig brings a configuration into force if its version is greater.
+// setConfig brings a configuration into force if its version is newer.
 func (v *values) setConfig(data []byte, source string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -89,7 +89,7 @@
 	if err != nil {
 		v.log.Error().Err(err).Str("event", "configuration.rejected").Str("source", source).
 			Str("object", v.adapter.ConfigKind+"/"+v.adapter.ConfigName).Uint64("in_force", v.config.Version).
-			Msg("the last good configuration stays")
+			Msg("configuration is invalid; keeping the version in force")
 		return
 	}
 	if c.Version <= v.config.Version {
@@ -102,8 +102,8 @@
 	v.onConfig(table)
 }
 
-// takeConfig applies the configuration among objects of its kind.
-func (v *values) takeConfig(objects []objectapi.Object) {
+// applyConfigObjects applies the configuration among objects of its kind.
+func (v *values) applyConfigObjects(objects []objectapi.Object) {
 	for _, o := range objects {
 		if o.Name == v.adapter.ConfigName && !o.Deleted {
 			v.setConfig(o.Value, "the platform")
@@ -111,8 +111,8 @@
 	}
 }
 
-// listEndpoints replaces all registrations by a list at a revision.
-func (v *values) listEndpoints(objects []objectapi.Object, revision uint64) {
+// replaceEndpoints replaces all registrations by a list at a revision.
+func (v *values) replaceEndpoints(objects []objectapi.Object, revision uint64) {
 	listed := make(map[string]registration, len(objects))
 	for _, o := range objects {
 		if !o.Deleted {
@@ -121,26 +121,26 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.endpoints.list(listed, revision) {
-		v.applyEndpoints("the platform")
+	if v.endpoints.replace(listed, revision) {
+		v.publishEndpoints("the platform")
 	}
 }
 
-// changeEndpoints applies the events of a watch up to a revision.
-func (v *values) changeEndpoints(objects []objectapi.Object, revision uint64) {
+// applyEndpointEvents applies the events of a watch up to a revision.
+func (v *values) applyEndpointEvents(objects []objectapi.Object, revision uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.endpoints.watch(objects, revision) {
-		v.applyEndpoints("the platform")
+	if v.endpoints.applyEvents(objects, revision) {
+		v.publishEndpoints("the platform")
 	}
 }
 
-// applyEndpoints brings the registrations into force. The caller holds mu.
-func (v *values) applyEndpoints(source string) {
+// publishEndpoints brings the registrations into force. The caller holds mu.
+func (v *values) publishEndpoints(source string) {
 	v.onChange()
 	var out []direct.Endpoint
 	draining := 0
-	for name, r := range v.endpoints.listed {
+	for name, r := range v.endpoints.byName {
 		e, err := v.adapter.DecodeEndpoint(name, r.Value)
 		if err != nil {
 			v.log.Warn().Err(err).Str("event", "endpoint.rejected").Str("object", v.adapter.EndpointKind+"/"+name).Send()
@@ -158,20 +158,20 @@
 	v.onEndpoints(out)
 }
 
-// versions returns the versions of all that the entry hands to others.
+// versions returns the versions of all replicated values.
 func (e *Edge) versions() map[mesh.Topic]uint64 {
 	out := e.values.versions()
-	e.maps.addVersions(out)
+	e.groups.addVersions(out)
 	return out
 }
 
-// value returns what an entry that has a version of a topic lacks.
-func (e *Edge) value(t mesh.Topic, have uint64) mesh.Value {
-	book := e.maps.book(t)
-	if book == nil {
+// encodeValue returns the part of a topic's value that an entry at version have lacks.
+func (e *Edge) encodeValue(t mesh.Topic, have uint64) mesh.Value {
+	roster := e.groups.rosterOf(t)
+	if roster == nil {
 		return e.values.get(t, have)
 	}
-	version, data, err := book.Encode()
+	version, data, err := roster.Encode()
 	if err != nil {
 		e.log.Error().Err(err).Str("event", "roster.not_encoded").Str("topic", string(t)).Send()
 		return mesh.Value{}
@@ -179,14 +179,14 @@
 	return mesh.Value{Version: version, Data: data}
 }
 
-// take takes in a value of another entry.
-func (e *Edge) take(t mesh.Topic, v mesh.Value) {
-	book := e.maps.book(t)
-	if book == nil {
+// applyValue applies a value received from another entry.
+func (e *Edge) applyValue(t mesh.Topic, v mesh.Value) {
+	roster := e.groups.rosterOf(t)
+	if roster == nil {
 		e.values.put(t, v)
 		return
 	}
-	if err := book.Update(v.Version, v.Data); err != nil {
+	if err := roster.Update(v.Version, v.Data); err != nil {
 		e.log.Error().Err(err).Str("event", "roster.rejected").Str("topic", string(t)).Send()
 	}
 }
--- a/entry/edge/values_test.go
+++ b/entry/edge/values_test.go
@@ -16,7 +16,7 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// applied holds what values brought into force.
+// applied records what its values brought into force.
 type applied struct {
 	*values
 	table     *routes.Table
@@ -68,15 +68,15 @@
 
 func TestVersionsNeverDecrease(t *testing.T) {
 	a := newApplied()
-	a.takeConfig([]objectapi.Object{object("other", `{"version":9}`, 1), object("main", `{"version":5}`, 1)})
+	a.applyConfigObjects([]objectapi.Object{object("other", `{"version":9}`, 1), object("main", `{"version":5}`, 1)})
 	assert.Equal(t, a.table.Version(), uint64(5))
 	a.put(topicConfig, mesh.Value{Version: 4, Data: []byte(`{"version":4}`)})
 	assert.Equal(t, a.table.Version(), uint64(5))
-	a.takeConfig([]objectapi.Object{object("main", `{"version":"x"}`, 2)})
+	a.applyConfigObjects([]objectapi.Object{object("main", `{"version":"x"}`, 2)})
 	assert.Equal(t, a.table.Version(), uint64(5), "the last good configuration stays")
 	deleted := object("main", `{"version":7}`, 3)
 	deleted.Deleted = true
-	a.takeConfig([]objectapi.Object{deleted})
+	a.applyConfigObjects([]objectapi.Object{deleted})
 	assert.Equal(t, a.table.Version(), uint64(5))
 	a.put(topicConfig, mesh.Value{Version: 6, Data: []byte(`{"version":6}`)})
 	assert.Equal(t, a.table.Version(), uint64(6))
@@ -85,19 +85,19 @@
 
 func TestEndpointsFollowListAndWatch(t *testing.T) {
 	a := newApplied()
-	a.listEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3), object("b", `{"address":"2"}`, 4), object("c", `{}`, 4)}, 5)
+	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3), object("b", `{"address":"2"}`, 4), object("c", `{}`, 4)}, 5)
 	assert.Equal(t, len(a.endpoints), 2, "a registration that cannot be read is left out")
-	a.changeEndpoints([]objectapi.Object{object("b", `{"address":"2","draining":true}`, 6), object("d", `{"address":"4"}`, 7)}, 7)
+	a.applyEndpointEvents([]objectapi.Object{object("b", `{"address":"2","draining":true}`, 6), object("d", `{"address":"4"}`, 7)}, 7)
 	assert.Assert(t, a.endpoints["b"].Draining)
 	assert.Equal(t, a.endpoints["d"].RegistrationRevision, uint64(7))
 	gone := object("a", ``, 8)
 	gone.Deleted = true
-	a.changeEndpoints([]objectapi.Object{gone}, 8)
+	a.applyEndpointEvents([]objectapi.Object{gone}, 8)
 	assert.Equal(t, len(a.endpoints), 2)
-	a.listEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 6)
+	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 6)
 	assert.Equal(t, len(a.endpoints), 2, "an older list changes nothing")
 	before := a.changes
-	a.changeEndpoints(nil, 9)
+	a.applyEndpointEvents(nil, 9)
 	assert.Equal(t, a.changes, before, "a watch without events changes nothing")
 	assert.Equal(t, a.versions()[topicEndpoints], uint64(8), "others need not fetch what has not changed")
 	a.put(topicEndpoints, mesh.Value{Version: 9, Data: []byte(`{"all":{"x":{"value":{"address":"9"}}}}`)})
@@ -106,78 +106,78 @@
 	assert.Equal(t, len(a.endpoints), 1)
 }
 
-// TestHandedOnEndpoints names the pattern "the platform turns an entry away": a
-// list of another entry counts, and events that it holds already are skipped.
-func TestHandedOnEndpoints(t *testing.T) {
+// TestEndpointsFromAnotherEntry covers an entry that the platform refuses to serve: it
+// uses another entry's list and skips older events that the list already includes.
+func TestEndpointsFromAnotherEntry(t *testing.T) {
 	a, b := newApplied(), newApplied()
-	a.listEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
+	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
 	b.put(topicEndpoints, a.get(topicEndpoints, 0))
 	assert.Equal(t, b.endpoints["a"].Address, "1")
-	b.changeEndpoints([]objectapi.Object{object("a", `{"address":"old"}`, 2), object("b", `{"address":"2"}`, 9)}, 9)
+	b.applyEndpointEvents([]objectapi.Object{object("a", `{"address":"old"}`, 2), object("b", `{"address":"2"}`, 9)}, 9)
 	assert.Equal(t, b.endpoints["a"].Address, "1")
 	assert.Equal(t, b.endpoints["b"].Address, "2")
 }
 
-func TestHandedOnListsThatCannotBeUsed(t *testing.T) {
+func TestUnusableUpdatesAreIgnored(t *testing.T) {
 	a := newApplied()
-	a.listEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
+	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
 	a.put(topicEndpoints, mesh.Value{Version: 9, Data: []byte(`[`)})
 	assert.Equal(t, len(a.endpoints), 1)
 	a.put(topicEndpoints, mesh.Value{Version: 10, Data: []byte(`null`)})
-	a.changeEndpoints([]objectapi.Object{object("b", `{"address":"2"}`, 11)}, 11)
+	a.applyEndpointEvents([]objectapi.Object{object("b", `{"address":"2"}`, 11)}, 11)
 	assert.Equal(t, a.endpoints["b"].Address, "2")
 	assert.Equal(t, a.endpoints["a"].Address, "1")
 }
 
-// TestOnlyChangesAreHandedOn names the pattern "the endpoints of a large service are
-// replaced one after the other": an entry that is a little behind gets the changes.
-func TestOnlyChangesAreHandedOn(t *testing.T) {
+// TestUpdatesCarryOnlyChanges covers a rollout that replaces the endpoints of a large
+// service one by one: an entry that is slightly behind must not get the whole list.
+func TestUpdatesCarryOnlyChanges(t *testing.T) {
 	a, b := newApplied(), newApplied()
 	var list []objectapi.Object
 	for i := range 200 {
 		list = append(list, object(fmt.Sprintf("e%d", i), `{"address":"1"}`, 3))
 	}
-	a.listEndpoints(list, 5)
+	a.replaceEndpoints(list, 5)
 	whole := a.get(topicEndpoints, b.versions()[topicEndpoints])
 	b.put(topicEndpoints, whole)
 	assert.Equal(t, len(b.endpoints), 200)
 
 	gone := object("e7", ``, 8)
 	gone.Deleted = true
-	a.changeEndpoints([]objectapi.Object{object("new", `{"address":"2"}`, 7), gone}, 8)
+	a.applyEndpointEvents([]objectapi.Object{object("new", `{"address":"2"}`, 7), gone}, 8)
 	part := a.get(topicEndpoints, b.versions()[topicEndpoints])
 	assert.Assert(t, len(part.Data) < len(whole.Data)/20, "%d of %d bytes", len(part.Data), len(whole.Data))
 	b.put(topicEndpoints, part)
 	assert.DeepEqual(t, b.endpoints, a.endpoints)
 	assert.Equal(t, b.versions()[topicEndpoints], a.versions()[topicEndpoints])
 
-	// What b got, it hands on, and its own watch goes on where the other one's was.
+	// b forwards what it received, and its own watch continues at a's revision.
 	c := newApplied()
 	c.put(topicEndpoints, whole)
 	c.put(topicEndpoints, b.get(topicEndpoints, c.versions()[topicEndpoints]))
 	assert.DeepEqual(t, c.endpoints, a.endpoints)
-	b.changeEndpoints([]objectapi.Object{object("new", `{"address":"2"}`, 7), object("e8", `{"address":"3"}`, 9)}, 9)
+	b.applyEndpointEvents([]objectapi.Object{object("new", `{"address":"2"}`, 7), object("e8", `{"address":"3"}`, 9)}, 9)
 	assert.Equal(t, b.endpoints["e8"].Address, "3")
 
-	// One that is too far behind gets all again.
+	// An entry that is too far behind gets the whole list.
 	for i := range 2 * maxChanges {
-		a.changeEndpoints([]objectapi.Object{object("new", fmt.Sprintf(`{"address":"%d"}`, i), uint64(10+i))}, uint64(10+i))
+		a.applyEndpointEvents([]objectapi.Object{object("new", fmt.Sprintf(`{"address":"%d"}`, i), uint64(10+i))}, uint64(10+i))
 	}
 	c.put(topicEndpoints, a.get(topicEndpoints, c.versions()[topicEndpoints]))
 	assert.DeepEqual(t, c.endpoints, a.endpoints)
 }
 
-// TestVersionsAgreeAfterAHandOver: an entry is not behind once it got what another
-// one has, also if that was no news to it.
-func TestVersionsAgreeAfterAHandOver(t *testing.T) {
+// TestVersionsAgreeAfterUpdate guards against an entry that stays behind because the
+// update it received had the same content under a later version.
+func TestVersionsAgreeAfterUpdate(t *testing.T) {
 	a, b := newApplied(), newApplied()
-	a.listEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
-	b.listEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 50)
+	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
+	b.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 50)
 	a.put(topicEndpoints, b.get(topicEndpoints, 8))
 	assert.Equal(t, a.versions()[topicEndpoints], uint64(50), "the same content under a later version")
-	a.changeEndpoints(nil, 70)
+	a.applyEndpointEvents(nil, 70)
 	c := newApplied()
-	c.listEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 60)
+	c.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 60)
 	before := a.changes
 	a.put(topicEndpoints, c.get(topicEndpoints, 50))
 	assert.Equal(t, a.versions()[topicEndpoints], uint64(60), "it is known up to 70")
