--- a/cmd/siskinford-platform/main.go
+++ b/cmd/siskinford-platform/main.go
@@ -52,5 +52,5 @@
 		log.Error().Err(err).Str("event", "process.failed").Msg("start failed")
 		return process.ExitFailure
 	}
-	return process.Run(e, log.Logger, s.Grace)
+	return process.Run(e, log.Logger, s.TerminationGrace)
 }
--- a/cmd/siskinford-relay/main.go
+++ b/cmd/siskinford-relay/main.go
@@ -37,10 +37,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGHUP) // The settings that matter do not change while the process runs.
-	address := netip.AddrPortFrom(s.IP, s.Internal[0]).String()
-	log.Info().Str("event", "process.started").Str("address", address).Str("engine", s.Replica).Msg("relay started")
+	address := netip.AddrPortFrom(s.IP, s.InternalPorts[0]).String()
+	log.Info().Str("event", "process.started").Str("address", address).Str("engine", s.ReplicaAddress).Msg("relay started")
 	other := func(address string) wire.Engine { return replica.New(address) }
-	server := relay.New(replica.New(s.Replica), other, func(event string, err error) {
+	server := relay.New(replica.New(s.ReplicaAddress), other, func(event string, err error) {
 		log.Info().Err(err).Str("event", event).Send()
 	})
 	if err := server.Listen(ctx, address); err != nil {
