--- a/cmd/internal/own/own.go
+++ b/cmd/internal/own/own.go
@@ -45,7 +45,7 @@
 
 // Settings are the program's own settings.
 type Settings struct {
-	Own run.Own
+	Own run.Options
 	Log LogMode
 	// LogLines bounds the lines per second in mode bounded.
 	LogLines int
@@ -63,7 +63,7 @@
 	set := settings.New(Program)
 	set.Int(&s.Own.MetricsPort, "metrics-port", "port", "Port of a further address for metrics, 0 for none")
 	set.Bool(&s.Own.BindSource, "bind-source", "Open connections from the host's own address, for hosts with several")
-	set.String(&s.Own.Advertised, "advertise", "Address (ip:port) for other entries, if they do not reach the one listened at")
+	set.String(&s.Own.AdvertiseAddress, "advertise", "Address (ip:port) for other entries, if they do not reach the one listened at")
 	settings.Text(set, &s.Log, "log", "How much is logged: full, bounded or off")
 	set.Int(&s.LogLines, "log-lines", "lines per second", "Lines below level warn in mode bounded")
 	set.Int(&s.GCPercent, "gc-percent", "percent", "Growth of the heap at which garbage is collected")
@@ -76,8 +76,8 @@
 	if s.Own.MetricsPort < 0 || s.Own.MetricsPort > maxPort {
 		l.Addf("metrics-port", "%d is not a port", s.Own.MetricsPort)
 	}
-	if _, err := netip.ParseAddrPort(s.Own.Advertised); err != nil && s.Own.Advertised != "" {
-		l.Addf("advertise", "%q is not ip:port", s.Own.Advertised)
+	if _, err := netip.ParseAddrPort(s.Own.AdvertiseAddress); err != nil && s.Own.AdvertiseAddress != "" {
+		l.Addf("advertise", "%q is not ip:port", s.Own.AdvertiseAddress)
 	}
 	switch s.Log {
 	case LogFull, LogBounded, LogOff:
--- a/cmd/siskinford-platform/main.go
+++ b/cmd/siskinford-platform/main.go
@@ -47,7 +47,7 @@
 }
 
 func serve(s settings.Settings, flags *own.Settings, log *process.BoundedLog, set *metrics.Set) int {
-	e, err := run.Edge(s, flags.Own, log.Logger, set)
+	e, err := run.NewEdge(s, flags.Own, log.Logger, set)
 	if err != nil {
 		log.Error().Err(err).Str("event", "process.failed").Msg("start failed")
 		return process.ExitFailure
