--- a/cmd/internal/sitelab/sitelab.go
+++ b/cmd/internal/sitelab/sitelab.go
@@ -78,7 +78,7 @@
 // config describes a group whose passes take some ten milliseconds.
 func (c *Command) config(dir string, ports []int) standin.SiteConfig {
 	return standin.SiteConfig{
-		Network: c.network, Zones: 3, Entries: c.entries, Ranks: c.ranks, Plain: 3, Events: streamEvents, Dir: dir,
+		IPPrefix: c.network, Zones: 3, Entries: c.entries, Ranks: c.ranks, PlainReplicas: 3, EventsPerStream: streamEvents, Dir: dir,
 		ClientPort: ports[0], ReadyPort: ports[1], ControlPort: ports[2], InternalPort: ports[3], AppPort: ports[4], StorePort: ports[5],
 		Group: replicas.GroupConfig{
 			Name: "g0", Slots: slots, Queue: 2 * slots, Sets: 4, PerSet: 4 * c.ranks, Places: 5, MaxNew: 2,
