--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -222,7 +222,7 @@
 	mux := transport.NewMux(peer.NewCaller(e.pool), e.set)
 	var err error
 	e.mesh, err = mesh.New(mesh.Options{
-		Self: e.self, Store: e.store.Patient(memberPollWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
+		Self: e.self, Store: e.store.WithPollWait(memberPollWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
 		Versions: e.versions, Get: e.value, Put: e.take,
 		Watched: map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
 		State:   e.encodeState, OnState: e.takeState, Summary: e.encodeSummary, OnSummary: e.takeSummary,
--- a/entry/edge/follow.go
+++ b/entry/edge/follow.go
@@ -82,7 +82,7 @@
 func (f *follower) watch(ctx context.Context, revision uint64) {
 	gather := rate.NewLimiter(watchRate, watchBurst)
 	for gather.Wait(ctx) == nil && f.edge.mesh.Reader() {
-		changed, at, err := f.edge.store.Patient(f.edge.pollWait()).Watch(ctx, f.kind, revision)
+		changed, at, err := f.edge.store.WithPollWait(f.edge.pollWait()).Watch(ctx, f.kind, revision)
 		var gone *objectapi.HistoryGoneError
 		if errors.As(err, &gone) {
 			return
--- a/fleet/objectapi/client.go
+++ b/fleet/objectapi/client.go
@@ -186,9 +186,9 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Patient returns a client whose watches wait for another time. It shares the
+// WithPollWait returns a client whose watches wait for another time. It shares the
 // connections, budgets and backoff of c.
-func (c *Client) Patient(wait time.Duration) *Client {
+func (c *Client) WithPollWait(wait time.Duration) *Client {
 	patient := *c
 	patient.cfg.PollWait = min(wait, MaxPollWait)
 	return &patient
--- a/fleet/objectapi/faultstore/faultstore.go
+++ b/fleet/objectapi/faultstore/faultstore.go
@@ -58,15 +58,15 @@
 	s.changed = make(chan struct{})
 }
 
-// LoseAnswers loses the answers of the next n calls that take effect.
-func (s *Store) LoseAnswers(n int) {
+// LoseResponses loses the answers of the next n calls that take effect.
+func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lose = n
 }
 
-// SetBack makes reads show each object as it was n writes ago.
-func (s *Store) SetBack(n int) {
+// SetReadLag makes reads show each object as it was n writes ago.
+func (s *Store) SetReadLag(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.back = n
--- a/fleet/objectapi/memstore/memstore.go
+++ b/fleet/objectapi/memstore/memstore.go
@@ -99,11 +99,11 @@
 
 // Delete removes an object if its stored version equals version.
 func (s *Store) Delete(ctx context.Context, kind, name string, version uint64) error {
-	return s.DeleteAs(ctx, kind, name, version, "")
+	return s.DeleteWithWriteID(ctx, kind, name, version, "")
 }
 
-// DeleteAs is Delete with the writer's ID of the write.
-func (s *Store) DeleteAs(ctx context.Context, kind, name string, version uint64, writeID string) error {
+// DeleteWithWriteID is Delete with the writer's ID of the write.
+func (s *Store) DeleteWithWriteID(ctx context.Context, kind, name string, version uint64, writeID string) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 		conflict := current
 		conflict.Kind, conflict.Name = o.Kind, o.Name
 		conflict.Version = seen
-		return objectapi.Object{}, &objectapi.ConflictError{Want: o.Version, Current: conflict}
+		return objectapi.Object{}, &objectapi.ConflictError{ExpectedVersion: o.Version, Current: conflict}
 	}
 	s.revision++
 	o.Version = current.Version + 1
--- a/fleet/objectapi/store.go
+++ b/fleet/objectapi/store.go
@@ -86,15 +86,15 @@
 
 // ConflictError reports a conditional update against another version.
 type ConflictError struct {
-	// Want is the version that the writer expected.
-	Want uint64
+	// ExpectedVersion is the version that the writer expected.
+	ExpectedVersion uint64
 	// Current is the object as it is stored.
 	Current Object
 }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("object %q of kind %q has version %d, not %d",
-		e.Current.Name, e.Current.Kind, e.Current.Version, e.Want)
+		e.Current.Name, e.Current.Kind, e.Current.Version, e.ExpectedVersion)
 }
 
 // OutcomeUnknownError reports a write that may or may not have taken effect,
--- a/fleet/objectapi/write.go
+++ b/fleet/objectapi/write.go
@@ -153,7 +153,7 @@
 }
 
 func (w write) conflictError(current Object) error {
-	return &ConflictError{Want: w.object.Version, Current: current}
+	return &ConflictError{ExpectedVersion: w.object.Version, Current: current}
 }
 
 // resolve learns the outcome of a write whose answer was lost. It reads the
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -152,7 +152,7 @@
 	virtual(t, 1, 6, 0, func(b *bench) {
 		version := b.accept(config.KindServices, "second")
 		b.await(config.KindServices, version, spreadBound, b.all)
-		b.each(func(s *faultstore.Store) { s.SetBack(1) })
+		b.each(func(s *faultstore.Store) { s.SetReadLag(1) })
 		pass(2 * time.Minute)
 		recorded := 0
 		for _, p := range b.all {
@@ -167,7 +167,7 @@
 	virtual(t, 1, 6, 0, func(b *bench) {
 		version := b.accept(config.KindTeams, "teams")
 		b.await(config.KindTeams, version, spreadBound, b.all)
-		b.each(func(s *faultstore.Store) { s.LoseAnswers(3) })
+		b.each(func(s *faultstore.Store) { s.LoseResponses(3) })
 		pass(6 * time.Second) // The watch that waits ends and its answer is lost.
 		b.await(config.KindTeams, b.accept(config.KindTeams, "later"), 4*time.Second, b.all)
 	})
--- a/itest/histories/histories_test.go
+++ b/itest/histories/histories_test.go
@@ -207,8 +207,8 @@
 		case 9:
 			w.store.SetDown(c.percent(50))
 		case 10:
-			w.store.LoseAnswers(1 + c.below(4))
-			w.store.SetBack(c.below(3))
+			w.store.LoseResponses(1 + c.below(4))
+			w.store.SetReadLag(c.below(3))
 		case 11:
 			w.drain(e, c.percent(60))
 		case 12, 13:
@@ -227,7 +227,7 @@
 // heal ends all faults.
 func (h *history) heal() {
 	h.world.store.SetDown(false)
-	h.world.store.SetBack(0)
+	h.world.store.SetReadLag(0)
 	for _, e := range h.world.endpoints {
 		e.proxy.Set(faultproxy.Faults{})
 	}
--- a/lab/platform/handler.go
+++ b/lab/platform/handler.go
@@ -174,7 +174,7 @@
 	kind, name := objectKey(r)
 	writeID := r.Header.Get(objectapi.HeaderWriteID)
 	p.write(w, func(ctx context.Context) (objectapi.Object, error) {
-		err := p.store.DeleteAs(ctx, kind, name, version, writeID)
+		err := p.store.DeleteWithWriteID(ctx, kind, name, version, writeID)
 		return objectapi.Object{Kind: kind, Name: name, Deleted: true}, err
 	})
 }
