--- a/fleet/claim/claim.go
+++ b/fleet/claim/claim.go
@@ -168,9 +168,9 @@
 // Result is the committed claim of a key.
 type Result struct {
 	Record Record
-	// Mine is true if the claim is that of the request's nonce. Only then may the
+	// Owned is true if the claim is that of the request's nonce. Only then may the
 	// caller dispatch the action; otherwise it reattaches to the record's target.
-	Mine bool
+	Owned bool
 }
 
 // Claim commits a claim of a key or returns the one that exists. It blocks for
--- a/fleet/claim/claim_test.go
+++ b/fleet/claim/claim_test.go
@@ -132,7 +132,7 @@
 	assert.Assert(t, errors.As(err, &notClaimed), "%v", err)
 	first, err := a.Claim(ctx, request(k, "e1"))
 	assert.NilError(t, err)
-	assert.Assert(t, first.Mine)
+	assert.Assert(t, first.Owned)
 	assert.Equal(t, first.Record.Target, claim.Target{Endpoint: "e1", Incarnation: "inc_1"})
 	assert.Equal(t, first.Record.Action, claim.HashKey("puno", "mostrador", k).Action())
 	record, err := b.Lookup(ctx, "puno", "mostrador", k)
@@ -152,7 +152,7 @@
 	other.Team = "arequipa"
 	result, err := b.Claim(ctx, other)
 	assert.NilError(t, err)
-	assert.Assert(t, result.Mine)
+	assert.Assert(t, result.Owned)
 }
 
 func TestKeyTimes(t *testing.T) {
@@ -192,7 +192,7 @@
 	store.list = nil
 	result, err := c.Claim(ctx, request(k, "e1"))
 	assert.NilError(t, err)
-	assert.Assert(t, result.Mine)
+	assert.Assert(t, result.Owned)
 }
 
 // TestHangingPlatform has a write that gets no answer: its claim is unknown,
@@ -232,7 +232,7 @@
 	close(release)
 	result, err := newClaimer(t, store, clock, nil).Claim(ctx, request(k[2], "e2"))
 	assert.NilError(t, err)
-	assert.Assert(t, result.Mine, "a claim that was reported as not made exists")
+	assert.Assert(t, result.Owned, "a claim that was reported as not made exists")
 }
 
 // segments returns the names of the stored objects of the only shard.
@@ -261,7 +261,7 @@
 	clock.advance(time.Hour + 20*time.Second)
 	late, err := c.Claim(ctx, request(newKey(clock.now(), rand.New(rand.NewPCG(2, 2))), "e1"))
 	assert.NilError(t, err)
-	assert.Assert(t, late.Mine)
+	assert.Assert(t, late.Owned)
 	assert.NilError(t, c.Expire(ctx))
 	assert.Equal(t, segments(t, store), "1 2 3 4 head")
 	clock.advance(time.Millisecond)
@@ -312,7 +312,7 @@
 	clock.advance(90 * time.Minute)
 	fromB, err := b.Claim(ctx, request(contested, "e2"))
 	assert.NilError(t, err)
-	assert.Assert(t, fromB.Mine)
+	assert.Assert(t, fromB.Owned)
 	assert.NilError(t, b.Expire(ctx))
 	assert.Equal(t, segments(t, store), "5 head")
 	close(release)
--- a/fleet/claim/history_test.go
+++ b/fleet/claim/history_test.go
@@ -273,7 +273,7 @@
 
 func (h *history) record(client int, in call, begun int64, result claim.Result, err error) {
 	ended := h.time.Add(1)
-	out := reply{record: string(result.Record.Target.Endpoint), mine: result.Mine}
+	out := reply{record: string(result.Record.Target.Endpoint), mine: result.Owned}
 	var unknown *claim.OutcomeUnknownError
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/fleet/claim/route_test.go
+++ b/fleet/claim/route_test.go
@@ -73,7 +73,7 @@
 				return
 			}
 			assert.NilError(t, err)
-			assert.Assert(t, result.Mine)
+			assert.Assert(t, result.Owned)
 		})
 	}
 }
--- a/fleet/claim/shard.go
+++ b/fleet/claim/shard.go
@@ -228,7 +228,7 @@
 	case r.Payload != p.request.Payload:
 		s.answer(p, Result{}, &PayloadMismatchError{Key: p.request.Key, Record: r})
 	default:
-		s.answer(p, Result{Record: r, Mine: r.Nonce == p.request.Nonce}, nil)
+		s.answer(p, Result{Record: r, Owned: r.Nonce == p.request.Nonce}, nil)
 	}
 }
 
--- a/lab/platform/claim_test.go
+++ b/lab/platform/claim_test.go
@@ -37,7 +37,7 @@
 			assert.NilError(t, p.SetFaults(faults))
 			first, err := a.Claim(context.Background(), claimRequest(key, "mostrador", "e1"))
 			assert.NilError(t, err)
-			assert.Assert(t, first.Mine)
+			assert.Assert(t, first.Owned)
 			second, err := b.Claim(context.Background(), claimRequest(key, "mostrador", "e2"))
 			assert.NilError(t, err)
 			assert.Equal(t, second, claim.Result{Record: first.Record})
