--- a/entry/caller/models.go
+++ b/entry/caller/models.go
@@ -22,7 +22,7 @@
 func (a *API) models(w http.ResponseWriter, _ *http.Request, c requestInfo) {
 	list := ModelList{Object: "list", Data: []Model{}}
 	for _, s := range c.catalog.Services() {
-		if s.Type == config.ModelService && permitted(c.team, s.Name) {
+		if s.Type == config.ServiceTypeModel && permitted(c.team, s.Name) {
 			list.Data = append(list.Data, Model{ID: s.Model, Object: "model", OwnedBy: string(s.Name)})
 		}
 	}
--- a/entry/caller/plain.go
+++ b/entry/caller/plain.go
@@ -65,7 +65,7 @@
 func (a *API) plainService(r *http.Request, c requestInfo) (config.Service, *problem.Problem) {
 	name := id.Service(chi.URLParam(r, "service"))
 	service, ok := c.catalog.Service(name)
-	if !ok || service.Type != config.PlainService {
+	if !ok || service.Type != config.ServiceTypePlain {
 		return service, problem.Newf(problem.UnknownService, "plain service %q does not exist", name)
 	}
 	if !permitted(c.team, name) {
--- a/fleet/config/accept.go
+++ b/fleet/config/accept.go
@@ -54,19 +54,19 @@
 // that the operator saw. Nothing was written.
 type LostRaceError struct {
 	Kind Kind
-	// Seen is the version that the operator changed, Version the current one.
-	Seen, Version uint64
+	// SeenVersion is the version that the operator changed, CurrentVersion the current one.
+	SeenVersion, CurrentVersion uint64
 	// Writer and WrittenAt tell who wrote the current version and when.
 	Writer    string
 	WrittenAt time.Time
 }
 
 func (e *LostRaceError) Error() string {
-	if e.Version == 0 {
-		return fmt.Sprintf("configuration %q does not exist, the change was made to version %d", string(e.Kind), e.Seen)
+	if e.CurrentVersion == 0 {
+		return fmt.Sprintf("configuration %q does not exist, the change was made to version %d", string(e.Kind), e.SeenVersion)
 	}
 	return fmt.Sprintf("configuration %q was changed by %q at %s: it has version %d, the change was made to version %d",
-		string(e.Kind), e.Writer, e.WrittenAt.UTC().Format(time.RFC3339), e.Version, e.Seen)
+		string(e.Kind), e.Writer, e.WrittenAt.UTC().Format(time.RFC3339), e.CurrentVersion, e.SeenVersion)
 }
 
 // Accept validates a change by itself and against the other kinds and commits
@@ -111,7 +111,7 @@
 }
 
 func lostRace(c Change, current objectapi.Object) error {
-	e := &LostRaceError{Kind: c.Kind, Seen: c.SeenVersion, Version: current.Version}
+	e := &LostRaceError{Kind: c.Kind, SeenVersion: c.SeenVersion, CurrentVersion: current.Version}
 	if envelope, err := DecodeEnvelope(current.Value); err == nil {
 		e.Writer, e.WrittenAt = envelope.Writer, envelope.WrittenAt
 	}
--- a/fleet/config/config.go
+++ b/fleet/config/config.go
@@ -31,10 +31,10 @@
 type ServiceType string
 
 const (
-	// ModelService answers chat completions by a model engine.
-	ModelService ServiceType = "model"
-	// PlainService forwards HTTP requests to a plain back end.
-	PlainService ServiceType = "plain"
+	// ServiceTypeModel answers chat completions by a model engine.
+	ServiceTypeModel ServiceType = "model"
+	// ServiceTypePlain forwards HTTP requests to a plain back end.
+	ServiceTypePlain ServiceType = "plain"
 )
 
 // Service is one service that callers use.
--- a/fleet/config/config_test.go
+++ b/fleet/config/config_test.go
@@ -170,7 +170,7 @@
 	var lost *config.LostRaceError
 	assert.Assert(t, errors.As(err, &lost), "%v", err)
 	assert.DeepEqual(t, *lost, config.LostRaceError{
-		Kind: config.KindServices, Version: 1, Writer: "ana", WrittenAt: time.Unix(noon, 0).UTC(),
+		Kind: config.KindServices, CurrentVersion: 1, Writer: "ana", WrittenAt: time.Unix(noon, 0).UTC(),
 	})
 	o, err := store.Get(ctx, config.ObjectKind, string(config.KindServices))
 	assert.NilError(t, err)
--- a/fleet/config/ranks_test.go
+++ b/fleet/config/ranks_test.go
@@ -17,7 +17,7 @@
 }
 
 func groupService(e *Experts) Service {
-	return Service{Name: "asistente", Type: ModelService, Model: "m", Group: "g", Experts: e}
+	return Service{Name: "asistente", Type: ServiceTypeModel, Model: "m", Group: "g", Experts: e}
 }
 
 func TestExpertsAreValidated(t *testing.T) {
@@ -40,7 +40,7 @@
 			[]string{"services[0].experts.slots_per_rank"},
 		},
 		{"no group", Service{
-			Name: "s", Type: ModelService, Model: "m", Experts: &Experts{Ranks: 1, Layers: 1, PerLayer: 1, SlotsPerRank: 1},
+			Name: "s", Type: ServiceTypeModel, Model: "m", Experts: &Experts{Ranks: 1, Layers: 1, PerLayer: 1, SlotsPerRank: 1},
 		}, []string{"services[0].group"}},
 	}
 	for _, tt := range tests {
--- a/fleet/config/validate.go
+++ b/fleet/config/validate.go
@@ -143,11 +143,11 @@
 
 func (s Service) validate(l *finding.List, place string) {
 	switch s.Type {
-	case ModelService:
+	case ServiceTypeModel:
 		if s.Model == "" {
 			l.Addf(place+".model", "is not set on model service %q", string(s.Name))
 		}
-	case PlainService:
+	case ServiceTypePlain:
 		if s.Model != "" {
 			l.Addf(place+".model", "is set on plain service %q", string(s.Name))
 		}
@@ -155,7 +155,7 @@
 			l.Addf(place+".group", "is set on plain service %q", string(s.Name))
 		}
 	default:
-		l.Addf(place+".type", "%q is neither %q nor %q", string(s.Type), string(ModelService), string(PlainService))
+		l.Addf(place+".type", "%q is neither %q nor %q", string(s.Type), string(ServiceTypeModel), string(ServiceTypePlain))
 	}
 	if s.DeadlineMS < 0 || s.DeadlineMS > maxDeadlineMS {
 		l.Addf(place+".deadline_ms", "%d is outside 0 to %d", s.DeadlineMS, maxDeadlineMS)
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -64,10 +64,10 @@
 		Entries: 4,
 		Services: []Service{
 			{Replicas: 16, Service: config.Service{
-				Name: "asistente", Type: config.ModelService, Model: "asistente-1", DeadlineMS: 5000, Idempotent: true,
+				Name: "asistente", Type: config.ServiceTypeModel, Model: "asistente-1", DeadlineMS: 5000, Idempotent: true,
 			}},
 			{Replicas: 3, Service: config.Service{
-				Name: "mostrador", Type: config.PlainService, DeadlineMS: 5000,
+				Name: "mostrador", Type: config.ServiceTypePlain, DeadlineMS: 5000,
 			}},
 		},
 		Teams:  []Team{{Team: config.Team{Name: "puno"}, Key: DemoKey}},
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -169,7 +169,7 @@
 
 func (f *Fleet) startBackend(s config.Service, a *Agent, d *gate.Deps) error {
 	var err error
-	if s.Type == config.PlainService {
+	if s.Type == config.ServiceTypePlain {
 		a.Plain = plainservice.New(f.Config.Plain)
 		if a.URL, err = f.serve(a.Plain.Handler()); err != nil {
 			return err
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -37,7 +37,7 @@
 	c, err := procs.NewCluster(ctx, procs.Options{
 		Binaries: b, Zones: zones, Entries: entries, Models: s.Models, NoProxy: true, Teams: s.Shape.Teams,
 		Services: []config.Service{{
-			Name: procs.ModelService, Type: config.ModelService, Model: procs.Model,
+			Name: procs.ModelService, Type: config.ServiceTypeModel, Model: procs.Model,
 			DeadlineMS: int(deadline.Milliseconds()), Idempotent: true,
 		}},
 		EngineArgs: append([]string{fmt.Sprintf("--slots=%d", s.Slots)}, s.EngineArgs...),
--- a/lab/procs/cluster.go
+++ b/lab/procs/cluster.go
@@ -109,8 +109,8 @@
 
 func defaultServices() []config.Service {
 	return []config.Service{
-		{Name: ModelService, Type: config.ModelService, Model: Model, DeadlineMS: 10_000},
-		{Name: PlainService, Type: config.PlainService, DeadlineMS: 10_000},
+		{Name: ModelService, Type: config.ServiceTypeModel, Model: Model, DeadlineMS: 10_000},
+		{Name: PlainService, Type: config.ServiceTypePlain, DeadlineMS: 10_000},
 	}
 }
 
--- a/lab/slopes/memory.go
+++ b/lab/slopes/memory.go
@@ -51,7 +51,7 @@
 	for i := range n {
 		set.Services = append(set.Services, config.Service{
 			Name:  id.Service(fmt.Sprintf("service-%02d", i)),
-			Type:  config.ModelService,
+			Type:  config.ServiceTypeModel,
 			Model: fmt.Sprintf("model-%02d", i),
 		})
 	}
