--- a/fleet/objectapi/circuit.go
+++ b/fleet/objectapi/circuit.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// circuitThreshold is the number of failures in a row that opens a circuit.
+	// circuitThreshold is the number of consecutive failures that opens the circuit.
 	circuitThreshold = 3
-	// backoffJitter spreads each backoff uniformly by this fraction up and down.
+	// backoffJitter is the fraction of the mean delay by which a delay may be shorter or longer.
 	backoffJitter = 0.5
 )
 
-// Backoff computes jittered exponential delays.
+// Backoff configures exponential delays with jitter.
 type Backoff struct {
 	// Min is the mean delay after the first failure.
 	Min time.Duration
@@ -21,7 +21,7 @@
 	Max time.Duration
 }
 
-// Delay returns the delay after the given number of failures in a row. The
+// Delay returns the delay after the given number of consecutive failures. The
 // random number must be uniform in [0, 1).
 func (b Backoff) Delay(failures int, random float64) time.Duration {
 	mean := b.Min
@@ -33,9 +33,9 @@
 	return time.Duration(float64(mean) * factor)
 }
 
-// circuit refuses calls after repeated failures until a backoff has passed, and
-// then admits one probe at a time until one succeeds.
-type circuit struct {
+// circuitBreaker rejects calls after repeated failures until a backoff has passed,
+// then admits one probe at a time until a probe succeeds.
+type circuitBreaker struct {
 	backoff Backoff
 
 	mu       sync.Mutex // leaf lock
@@ -45,13 +45,13 @@
 	probing  bool
 }
 
-func newCircuit(b Backoff, random *rand.Rand) *circuit {
-	return &circuit{backoff: b, random: random}
+func newCircuitBreaker(b Backoff, random *rand.Rand) *circuitBreaker {
+	return &circuitBreaker{backoff: b, random: random}
 }
 
-// admit reports whether a call may start at now, and otherwise for how long
-// calls are refused. After a true result, done must be called.
-func (c *circuit) admit(now time.Time) (bool, time.Duration) {
+// admit reports whether a call may start at now, and otherwise the delay before the
+// next attempt. The caller must pass the result of an admitted call to record.
+func (c *circuitBreaker) admit(now time.Time) (bool, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.failures < circuitThreshold {
@@ -67,8 +67,7 @@
 	return true, 0
 }
 
-// done records the result of an admitted call.
-func (c *circuit) done(now time.Time, r result) {
+func (c *circuitBreaker) record(now time.Time, r callResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.probing = false
@@ -78,39 +77,39 @@
 	case resultFailed:
 		c.failures++
 		c.retryAt = now.Add(c.backoff.Delay(c.failures-circuitThreshold+1, c.random.Float64()))
-	case resultNone:
+	case resultCanceled:
 	}
 }
 
-// failing reports whether the last calls failed, so that the next one is a probe.
-func (c *circuit) failing() bool {
+// failing reports whether the circuit has opened and no call has succeeded since, so
+// that the next call is a probe.
+func (c *circuitBreaker) failing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failures >= circuitThreshold
 }
 
-// delay returns a jittered delay after the given number of failures in a row.
-func (c *circuit) delay(failures int) time.Duration {
+func (c *circuitBreaker) delay(failures int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.backoff.Delay(failures, c.random.Float64())
 }
 
-// open reports whether calls are refused at now.
-func (c *circuit) open(now time.Time) bool {
+// open reports whether calls are rejected at now.
+func (c *circuitBreaker) open(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failures >= circuitThreshold && (c.probing || c.retryAt.After(now))
 }
 
-// result tells a circuit how a call ended.
-type result int
+// callResult is the result of a call as a circuitBreaker counts it.
+type callResult int
 
 const (
-	// resultOK means that the platform answered.
-	resultOK result = iota
-	// resultFailed means that the platform did not answer or is down.
+	// resultOK means a response other than a server error or status 429.
+	resultOK callResult = iota
+	// resultFailed means that there was no response, a server error or status 429.
 	resultFailed
-	// resultNone means that the caller ended the call, which says nothing about the platform.
-	resultNone
+	// resultCanceled means that the caller's context ended first. It is not counted.
+	resultCanceled
 )
--- a/fleet/objectapi/circuit_test.go
+++ b/fleet/objectapi/circuit_test.go
@@ -28,12 +28,12 @@
 }
 
 func TestCircuit(t *testing.T) {
-	c := newCircuit(Backoff{Min: time.Second, Max: time.Minute}, rand.New(rand.NewPCG(1, 1)))
+	c := newCircuitBreaker(Backoff{Min: time.Second, Max: time.Minute}, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
 	for range circuitThreshold {
 		ok, _ := c.admit(now)
 		assert.Assert(t, ok)
-		c.done(now, resultFailed)
+		c.record(now, resultFailed)
 	}
 	ok, wait := c.admit(now)
 	assert.Assert(t, !ok && wait > 0 && c.open(now) && c.failing())
@@ -43,10 +43,10 @@
 	assert.Assert(t, ok, "no probe is admitted after the backoff")
 	ok, _ = c.admit(now)
 	assert.Assert(t, !ok, "two probes at once")
-	c.done(now, resultNone)
+	c.record(now, resultCanceled)
 	ok, _ = c.admit(now)
-	assert.Assert(t, ok, "a probe that its caller ended blocks the next")
-	c.done(now, resultOK)
+	assert.Assert(t, ok, "a canceled probe blocks the next one")
+	c.record(now, resultOK)
 	assert.Assert(t, !c.failing())
 	for range 10 {
 		ok, _ = c.admit(now)
--- a/fleet/objectapi/client.go
+++ b/fleet/objectapi/client.go
@@ -21,36 +21,35 @@
 type ClientConfig struct {
 	// BaseURL is the platform's address, for example "http://127.0.0.1:7070". Required.
 	BaseURL string
-	// Caller names this process to the platform. Required.
+	// Caller is the name of this process in the HeaderCaller header. Required.
 	Caller string
-	// Protocol translates calls to the platform's API. Default: Generic.
+	// Protocol encodes and decodes the calls of the platform's API. Default: Generic.
 	Protocol Protocol
-	// CallTimeout bounds each call but watches. Default: 1 s.
+	// CallTimeout bounds each call except watches. Default: 1 s.
 	CallTimeout time.Duration
-	// PollWait is the time for which the platform is asked to hold a watch open. Default: 5 s.
+	// PollWait is the long-poll duration that a watch requests. Default: 5 s.
 	PollWait time.Duration
-	// PollGrace is the time past PollWait after which a watch without an answer
-	// is taken for a silent connection and abandoned. Default: 1 s.
+	// PollGrace is the time after PollWait at which a watch without a response is
+	// canceled, since its connection is presumably dead. Default: 1 s.
 	PollGrace time.Duration
-	// ResolveTimeout bounds the search for the outcome of a write whose answer
-	// was lost. Default: 3 s.
+	// ResolveTimeout bounds the attempts to determine the outcome of a write whose
+	// response was lost. Default: 3 s.
 	ResolveTimeout time.Duration
-	// WritesPerSecond is the process's own budget for writes. Default: 20.
+	// WritesPerSecond is the rate limit of this client for writes. Default: 20.
 	WritesPerSecond float64
-	// ReadsPerSecond is the process's own budget for reads and watches. Default: 50.
+	// ReadsPerSecond is the rate limit of this client for reads and watches. Default: 50.
 	ReadsPerSecond float64
-	// MaxBudgetWait is the longest time for which a call waits for its budget. Default: 250 ms.
+	// MaxBudgetWait bounds the wait of a call for the rate limit. Default: 250 ms.
 	MaxBudgetWait time.Duration
-	// Backoff spaces the calls after failures. Default: 200 ms to 10 s.
+	// Backoff delays calls after failures. Default: 200 ms to 10 s.
 	Backoff Backoff
-	// KeepAlive is the time without traffic after which a connection is probed,
-	// and between probes. Three probes without an answer end a connection.
+	// KeepAlive is the idle time before the first TCP keep-alive probe and the interval
+	// between probes. Three unanswered probes close a connection.
 	// Default: the operating system's.
 	KeepAlive time.Duration
-	// Source is the address of this host from which connections are opened.
-	// Default: the operating system's choice.
+	// Source is the local address of connections. Default: the operating system's choice.
 	Source netip.Addr
-	// Seed seeds the jitter. Zero means a random seed.
+	// Seed seeds the jitter. Default: a random seed.
 	Seed uint64
 }
 
@@ -69,7 +68,7 @@
 	writeIDLen             = 16
 )
 
-// Validate returns all findings in the configuration.
+// Validate returns a finding for each invalid setting.
 func (c ClientConfig) Validate() finding.List {
 	var l finding.List
 	u, err := url.Parse(c.BaseURL)
@@ -111,7 +110,7 @@
 	}
 }
 
-func (c *ClientConfig) provision() {
+func (c *ClientConfig) setDefaults() {
 	orDefault(&c.CallTimeout, defaultCallTimeout)
 	orDefault(&c.PollWait, defaultPollWait)
 	orDefault(&c.PollGrace, defaultPollGrace)
@@ -131,109 +130,109 @@
 
 // Client calls the platform over HTTP. It is safe for concurrent use.
 //
-// Reads share kept-alive connections, which are abandoned after a timeout so
-// that a silent connection is not used again. Each write has a connection of
-// its own: net/http repeats a request only on a connection that it reuses, so a
-// write is sent again only by the client itself, under the same write ID.
+// Reads share persistent connections; a failed call closes the idle ones so that a
+// dead connection is not reused. Each write opens its own connection: net/http
+// retries requests only on reused connections, so only Client retries a write, with
+// the same write ID.
 type Client struct {
-	cfg     ClientConfig
-	reader  *http.Client
-	writer  *http.Client
-	writes  *rate.Limiter
-	reads   *rate.Limiter
-	circuit *circuit
-	now     func() time.Time
+	cfg          ClientConfig
+	readClient   *http.Client
+	writeClient  *http.Client
+	writeLimiter *rate.Limiter
+	readLimiter  *rate.Limiter
+	breaker      *circuitBreaker
+	now          func() time.Time
 }
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client. The error holds all findings in cfg.
+// NewClient returns a Client. The error lists all invalid settings.
 func NewClient(cfg ClientConfig) (*Client, error) {
 	if err := cfg.Validate().Err(); err != nil {
 		return nil, errors.Wrap(err, "platform client")
 	}
-	cfg.provision()
+	cfg.setDefaults()
 	random := mathrand.New(mathrand.NewPCG(cfg.Seed, cfg.Seed))
 	return &Client{
-		cfg:     cfg,
-		reader:  &http.Client{Transport: transport(cfg, false)},
-		writer:  &http.Client{Transport: transport(cfg, true)},
-		writes:  budget(cfg.WritesPerSecond),
-		reads:   budget(cfg.ReadsPerSecond),
-		circuit: newCircuit(cfg.Backoff, random),
-		now:     time.Now,
+		cfg:          cfg,
+		readClient:   &http.Client{Transport: newTransport(cfg, false)},
+		writeClient:  &http.Client{Transport: newTransport(cfg, true)},
+		writeLimiter: newLimiter(cfg.WritesPerSecond),
+		readLimiter:  newLimiter(cfg.ReadsPerSecond),
+		breaker:      newCircuitBreaker(cfg.Backoff, random),
+		now:          time.Now,
 	}, nil
 }
 
-func transport(cfg ClientConfig, single bool) *http.Transport {
+func newTransport(cfg ClientConfig, oneRequestPerConn bool) *http.Transport {
 	d := dial.Config{Source: cfg.Source, Timeout: cfg.CallTimeout, ProbeInterval: cfg.KeepAlive, ProbeCount: keepAliveProbes}
 	return &http.Transport{
 		DialContext:       d.Dialer().DialContext,
-		DisableKeepAlives: single,
+		DisableKeepAlives: oneRequestPerConn,
 		IdleConnTimeout:   idleConnTimeout,
-		Protocols:         http1(),
+		Protocols:         http1Only(),
 	}
 }
 
-// http1 excludes HTTP/2, whose transport repeats requests by rules of its own.
-func http1() *http.Protocols {
+// http1Only disables HTTP/2, whose transport has retry rules of its own.
+func http1Only() *http.Protocols {
 	var p http.Protocols
 	p.SetHTTP1(true)
 	return &p
 }
 
-func budget(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// WithPollWait returns a client whose watches wait for another time. It shares the
-// connections, budgets and backoff of c.
+// WithPollWait returns a client whose watches request a long poll of the given duration,
+// at most MaxPollWait. It shares the connections, rate limits and circuit breaker of c.
 func (c *Client) WithPollWait(wait time.Duration) *Client {
-	patient := *c
-	patient.cfg.PollWait = min(wait, MaxPollWait)
-	return &patient
+	client := *c
+	client.cfg.PollWait = min(wait, MaxPollWait)
+	return &client
 }
 
 // Close closes idle connections.
 func (c *Client) Close() {
-	c.reader.CloseIdleConnections()
-	c.writer.CloseIdleConnections()
+	c.readClient.CloseIdleConnections()
+	c.writeClient.CloseIdleConnections()
 }
 
-// Available reports whether a call would be tried now. It is false while the
-// platform is down and the backoff has not passed.
-func (c *Client) Available() bool { return !c.circuit.open(c.now()) }
+// Available reports whether the circuit breaker admits calls now. It is false while
+// the platform is down and the backoff has not passed.
+func (c *Client) Available() bool { return !c.breaker.open(c.now()) }
 
-// enter takes a call from the budget and passes the circuit. A call that waits
-// for the circuit blocks through the backoff, another is refused at once.
-func (c *Client) enter(ctx context.Context, limit *rate.Limiter, wait bool) error {
+// admit applies the rate limit and the circuit breaker to a call. While the circuit is
+// open, it blocks if wait is true and otherwise fails at once.
+func (c *Client) admit(ctx context.Context, limit *rate.Limiter, wait bool) error {
 	if !wait && !c.Available() {
-		return &UnavailableError{Cause: errors.New("calls are suspended after failures")}
+		return &UnavailableError{Cause: errors.New("platform calls are suspended after repeated failures")}
 	}
-	if err := c.spend(ctx, limit); err != nil {
+	if err := c.awaitBudget(ctx, limit); err != nil {
 		return err
 	}
 	for {
-		ok, refused := c.circuit.admit(c.now())
+		ok, delay := c.breaker.admit(c.now())
 		if ok {
 			return nil
 		}
 		if !wait {
-			return &UnavailableError{Cause: errors.Newf("calls are suspended for %v after failures", refused)}
+			return &UnavailableError{Cause: errors.Newf("platform calls are suspended for %v after repeated failures", delay)}
 		}
-		if err := sleep(ctx, refused); err != nil {
+		if err := sleep(ctx, delay); err != nil {
 			return err
 		}
 	}
 }
 
-// spend blocks for at most MaxBudgetWait until the budget permits a call.
-func (c *Client) spend(ctx context.Context, limit *rate.Limiter) error {
+// awaitBudget blocks for at most MaxBudgetWait until the rate limit permits a call.
+func (c *Client) awaitBudget(ctx context.Context, limit *rate.Limiter) error {
 	r := limit.ReserveN(c.now(), 1)
 	delay := r.DelayFrom(c.now())
 	if delay > c.cfg.MaxBudgetWait {
 		r.Cancel()
-		return &UnavailableError{Cause: errors.New("the process's budget of calls is used up")}
+		return &UnavailableError{Cause: errors.New("client-side budget for platform calls is exhausted")}
 	}
 	return sleep(ctx, delay)
 }
--- a/fleet/objectapi/faultstore/faultstore.go
+++ b/fleet/objectapi/faultstore/faultstore.go
@@ -1,5 +1,5 @@
-// Package faultstore is a objectapi.Store in front of another one, with outages,
-// lost answers, a stale view and counted calls, for tests and measurements.
+// Package faultstore wraps an in-memory objectapi.Store with injected outages, lost
+// responses and stale reads and records the calls, for tests and measurements.
 package faultstore
 
 import (
@@ -13,26 +13,26 @@
 )
 
 var (
-	errOutage     = errors.New("the platform is down")
-	errLostAnswer = errors.New("the answer was lost")
+	errOutage       = errors.New("injected platform outage")
+	errLostResponse = errors.New("injected loss of the response")
 )
 
-// Call is a call that began at a time.
+// Call is the method and start time of a recorded call.
 type Call struct {
 	Method string
 	At     time.Time
 }
 
-// Store passes calls on to an in-memory store. It is safe for concurrent use.
+// Store forwards calls to an in-memory store. It is safe for concurrent use.
 type Store struct {
 	inner *memstore.Store
 
-	mu      sync.Mutex // guards the fields below; the inner store is never called under it
-	calls   []Call
-	down    bool
-	changed chan struct{} // closed and replaced when down changes
-	lose    int
-	back    int
+	mu              sync.Mutex // guards the fields below; the inner store is never called under it
+	calls           []Call
+	down            bool
+	changed         chan struct{} // closed and replaced when down changes
+	responsesToLose int
+	readLag         int
 }
 
 var _ objectapi.Store = (*Store)(nil)
@@ -42,14 +42,14 @@
 	return &Store{inner: inner, changed: make(chan struct{})}
 }
 
-// Calls returns the calls so far, a watch counted as one.
+// Calls returns the calls so far. A watch is one call.
 func (s *Store) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Call(nil), s.calls...)
 }
 
-// SetDown starts or ends an outage. Calls that wait fail at its start.
+// SetDown starts or ends an outage. Its start fails the calls in flight.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,21 +58,21 @@
 	s.changed = make(chan struct{})
 }
 
-// LoseResponses loses the answers of the next n calls that take effect.
+// LoseResponses makes the next n calls take effect and then fail.
 func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.responsesToLose = n
 }
 
-// SetReadLag makes reads show each object as it was n writes ago.
-func (s *Store) SetReadLag(n int) {
+// SetReadLag makes reads return each object as it was before its last writes.
+func (s *Store) SetReadLag(writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.back = n
+	s.readLag = writes
 }
 
-// begin counts a call and returns a context that ends when an outage starts.
+// begin records a call and returns a context that SetDown cancels.
 func (s *Store) begin(ctx context.Context, method string) (context.Context, context.CancelFunc, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,24 +92,24 @@
 	return ctx, cancel, nil
 }
 
-// end returns the fault that strikes an answer, if any.
+// end returns the fault to inject after a call, if any.
 func (s *Store) end() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.down:
 		return &objectapi.UnavailableError{Cause: errOutage}
-	case s.lose > 0:
-		s.lose--
-		return &objectapi.UnavailableError{Cause: errLostAnswer}
+	case s.responsesToLose > 0:
+		s.responsesToLose--
+		return &objectapi.UnavailableError{Cause: errLostResponse}
 	}
 	return nil
 }
 
-func (s *Store) lag() int {
+func (s *Store) currentReadLag() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.back
+	return s.readLag
 }
 
 // Get implements objectapi.Store.
@@ -119,7 +119,7 @@
 		return objectapi.Object{}, err
 	}
 	defer cancel()
-	o, err := s.inner.GetEarlier(ctx, kind, name, s.lag())
+	o, err := s.inner.GetEarlier(ctx, kind, name, s.currentReadLag())
 	if fault := s.end(); fault != nil {
 		return objectapi.Object{}, fault
 	}
@@ -133,7 +133,7 @@
 		return nil, 0, err
 	}
 	defer cancel()
-	objects, revision, err := s.inner.ListEarlier(ctx, kind, s.lag())
+	objects, revision, err := s.inner.ListEarlier(ctx, kind, s.currentReadLag())
 	if fault := s.end(); fault != nil {
 		return nil, 0, fault
 	}
--- a/fleet/objectapi/generic.go
+++ b/fleet/objectapi/generic.go
@@ -10,37 +10,36 @@
 
 // Paths, headers and query parameters of the generic object API.
 const (
-	// PathObjects is the prefix of all object paths: PathObjects + "/{kind}" lists
-	// or watches a kind, PathObjects + "/{kind}/{name}" names one object.
+	// PathObjects is the prefix of all object paths: PathObjects + "/{kind}" for lists
+	// and watches of a kind, PathObjects + "/{kind}/{name}" for one object.
 	PathObjects = "/v1/objects"
 	// PathHosts is the path of the host list.
 	PathHosts = "/v1/hosts"
-	// HeaderWriteID carries the writer's random ID of a write.
+	// HeaderWriteID carries the random ID that the writer gave to a write.
 	HeaderWriteID = "Platform-Write-Id"
-	// HeaderCaller names the process that calls.
+	// HeaderCaller carries the name of the calling process.
 	HeaderCaller = "Platform-Caller"
 	// QueryVersion is the expected version of a conditional write.
 	QueryVersion = "version"
-	// QueryAfter is the revision after which a watch reports objects.
+	// QueryAfter is the revision after which a watch returns changes.
 	QueryAfter = "after"
-	// QueryWait bounds a watch in milliseconds.
+	// QueryWait is the long-poll duration of a watch in milliseconds.
 	QueryWait = "wait_ms"
 )
 
-// ObjectList is the generic API's answer to a list or watch. A deleted object
-// appears in the answer to a watch with an empty value and Deleted set.
+// ObjectList is the response body of a list or watch in the generic API. A watch
+// returns a deleted object with an empty value and Deleted set.
 type ObjectList struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// HostList is the generic API's answer to a request for the host list.
+// HostList is the response body of the host list in the generic API.
 type HostList struct {
 	Hosts []Host `json:"hosts"`
 }
 
-// Generic is the Protocol of an object API whose values are opaque bytes and
-// whose lists are whole.
+// Generic is the Protocol of an object API with opaque values and unpaged lists.
 type Generic struct{}
 
 var _ Protocol = Generic{}
--- a/fleet/objectapi/memstore/memstore.go
+++ b/fleet/objectapi/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is an in-memory objectapi.Store for tests and for the
-// platform stand-in. It keeps nothing beyond the life of the process.
+// Package memstore is a non-persistent, in-memory objectapi.Store for tests and for
+// the platform stand-in.
 package memstore
 
 import (
@@ -20,7 +20,7 @@
 
 // Config configures a Store.
 type Config struct {
-	// PollWait is the time after which a watch without news ends. Default: 5 s.
+	// PollWait is the time after which a watch without changes returns. Default: 5 s.
 	PollWait time.Duration
 }
 
@@ -56,15 +56,15 @@
 	return s.GetEarlier(ctx, kind, name, 0)
 }
 
-// GetEarlier returns the version of an object that was current back writes ago,
-// or the oldest one kept.
-func (s *Store) GetEarlier(ctx context.Context, kind, name string, back int) (objectapi.Object, error) {
+// GetEarlier returns the version of an object before its last writesAgo writes, or
+// the oldest version kept.
+func (s *Store) GetEarlier(ctx context.Context, kind, name string, writesAgo int) (objectapi.Object, error) {
 	if err := ctx.Err(); err != nil {
 		return objectapi.Object{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := earlier(s.versions[key{kind, name}], back)
+	o := earlierVersion(s.versions[key{kind, name}], writesAgo)
 	if !exists(o) {
 		return objectapi.Object{}, &objectapi.NotFoundError{Kind: kind, Name: name}
 	}
@@ -76,14 +76,14 @@
 	return s.ListEarlier(ctx, kind, 0)
 }
 
-// ListEarlier is List with each object as it was back writes ago.
-func (s *Store) ListEarlier(ctx context.Context, kind string, back int) ([]objectapi.Object, uint64, error) {
+// ListEarlier is List with each object as it was before its last writesAgo writes.
+func (s *Store) ListEarlier(ctx context.Context, kind string, writesAgo int) ([]objectapi.Object, uint64, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	objects := s.selectLocked(kind, func(o objectapi.Object) bool { return !o.Deleted }, back)
+	objects := s.selectLocked(kind, func(o objectapi.Object) bool { return !o.Deleted }, writesAgo)
 	return objects, s.revision, nil
 }
 
@@ -102,7 +102,7 @@
 	return s.DeleteWithWriteID(ctx, kind, name, version, "")
 }
 
-// DeleteWithWriteID is Delete with the writer's ID of the write.
+// DeleteWithWriteID is Delete with a write ID.
 func (s *Store) DeleteWithWriteID(ctx context.Context, kind, name string, version uint64, writeID string) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -116,7 +116,7 @@
 }
 
 // Watch returns the objects of a kind written or deleted after a revision. It
-// blocks until there is one, the poll ends or ctx ends.
+// blocks until there is a change, PollWait has passed or ctx ends.
 func (s *Store) Watch(ctx context.Context, kind string, after uint64) ([]objectapi.Object, uint64, error) {
 	end := time.NewTimer(s.pollWait)
 	defer end.Stop()
@@ -135,7 +135,7 @@
 	}
 }
 
-// Hosts returns the host list as last set.
+// Hosts returns the host list that SetHosts set last.
 func (s *Store) Hosts(ctx context.Context) ([]objectapi.Host, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -156,7 +156,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{o.Kind, o.Name}
-	current := earlier(s.versions[k], 0)
+	current := earlierVersion(s.versions[k], 0)
 	if seen := visibleVersion(current); seen != o.Version {
 		conflict := current
 		conflict.Kind, conflict.Name = o.Kind, o.Name
@@ -180,13 +180,13 @@
 	return objects, s.revision, s.changed
 }
 
-func (s *Store) selectLocked(kind string, keep func(objectapi.Object) bool, back int) []objectapi.Object {
+func (s *Store) selectLocked(kind string, keep func(objectapi.Object) bool, writesAgo int) []objectapi.Object {
 	var objects []objectapi.Object
 	for k, versions := range s.versions {
 		if k.kind != kind {
 			continue
 		}
-		if o := earlier(versions, back); keep(o) {
+		if o := earlierVersion(versions, writesAgo); keep(o) {
 			objects = append(objects, o)
 		}
 	}
@@ -194,11 +194,11 @@
 	return objects
 }
 
-func earlier(versions []objectapi.Object, back int) objectapi.Object {
+func earlierVersion(versions []objectapi.Object, writesAgo int) objectapi.Object {
 	if len(versions) == 0 {
 		return objectapi.Object{}
 	}
-	return versions[max(0, len(versions)-1-back)]
+	return versions[max(0, len(versions)-1-writesAgo)]
 }
 
 func exists(o objectapi.Object) bool { return o.Version > 0 && !o.Deleted }
--- a/fleet/objectapi/protocol.go
+++ b/fleet/objectapi/protocol.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// MaxPollWait is the longest time for which the platform holds a watch open.
+// MaxPollWait is the longest long poll that the platform supports.
 const MaxPollWait = 30 * time.Second
 
-// Call is one HTTP call to an object API.
+// Call is an HTTP request to an object API.
 type Call struct {
 	Method string
 	Path   string
@@ -18,36 +18,37 @@
 	Body   []byte
 }
 
-// Page is a part of the objects of a kind, or the events of a watch.
+// Page is one page of a list of objects, or the changes that a watch returned.
 type Page struct {
 	Objects []Object
 	// Revision is the revision of the store that the page reflects.
 	Revision uint64
-	// Next names the object after which the list continues, empty at its end.
+	// Next is the name of the object after which the list continues. It is empty on
+	// the last page.
 	Next string
 }
 
-// Protocol translates the calls of a Store to one object API and back. It
-// neither keeps state nor decides; Client adds time limits and retries.
+// Protocol encodes the calls of a Store for an object API and decodes the responses.
+// It is stateless; Client adds timeouts and retries.
 //
-// Decoders receive the body of an answer with status 200, or 409 for the stored
+// Decoders receive the body of a response with status 200, or 409 for the stored
 // object of a conflict.
 type Protocol interface {
-	// Get asks for one object.
+	// Get encodes a read of one object.
 	Get(kind, name string) Call
-	// List asks for the objects of a kind whose names follow after.
+	// List encodes a list of the objects of a kind whose names are greater than after.
 	List(kind, after string) Call
-	// Watch asks for the changes after a revision and lets the API wait for one.
+	// Watch encodes a long poll for the changes of a kind after a revision.
 	Watch(kind string, after uint64, wait time.Duration) Call
-	// Put asks for a conditional write of o.
+	// Put encodes a write of o on condition that the stored version is o.Version.
 	Put(o Object) (Call, error)
-	// Delete asks for the deletion of the object at o.Version.
+	// Delete encodes a deletion on condition that the stored version is o.Version.
 	Delete(o Object) Call
-	// Hosts asks for the host list. It is false if the API has none.
+	// Hosts encodes a read of the host list. It returns false if the API has none.
 	Hosts() (Call, bool)
 	// DecodeObject decodes one object of a kind.
 	DecodeObject(kind string, body []byte) (Object, error)
-	// DecodePage decodes the answer to a list or watch.
+	// DecodePage decodes the response to a list or watch.
 	DecodePage(kind string, body []byte) (Page, error)
 	// DecodeHosts decodes the host list.
 	DecodeHosts(body []byte) ([]Host, error)
--- a/fleet/objectapi/read.go
+++ b/fleet/objectapi/read.go
@@ -8,37 +8,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// probePollWait bounds a watch that probes a platform which failed.
+// probePollWait is the long-poll duration of a watch that serves as the circuit's probe.
 const probePollWait = time.Millisecond
 
 // Get returns an object.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
-	a, err := c.read(ctx, c.cfg.Protocol.Get(kind, name))
+	resp, err := c.read(ctx, c.cfg.Protocol.Get(kind, name))
 	if err != nil {
 		return Object{}, err
 	}
-	return c.decodeObject(a, kind, name)
+	return c.decodeObject(resp, kind, name)
 }
 
-func (c *Client) decodeObject(a answer, kind, name string) (Object, error) {
-	switch a.status {
+func (c *Client) decodeObject(resp response, kind, name string) (Object, error) {
+	switch resp.status {
 	case http.StatusOK:
-		o, err := c.cfg.Protocol.DecodeObject(kind, a.body)
+		o, err := c.cfg.Protocol.DecodeObject(kind, resp.body)
 		if err != nil {
-			return Object{}, &UnavailableError{Cause: undecodable(err)}
+			return Object{}, &UnavailableError{Cause: wrapDecodeError(err)}
 		}
 		return o, nil
 	case http.StatusNotFound:
 		return Object{}, &NotFoundError{Kind: kind, Name: name}
 	default:
-		return Object{}, &UnavailableError{Cause: statusError(a)}
+		return Object{}, &UnavailableError{Cause: statusError(resp)}
 	}
 }
 
-func undecodable(err error) error { return errors.Wrap(err, "platform answer cannot be decoded") }
+func wrapDecodeError(err error) error { return errors.Wrap(err, "platform response cannot be decoded") }
 
-// List returns all objects of a kind and the revision at which its first page
-// was read, so that a watch from there reports what changed between pages.
+// List returns all objects of a kind and the revision of the first page, so that a
+// watch from that revision also returns changes made between pages.
 func (c *Client) List(ctx context.Context, kind string) ([]Object, uint64, error) {
 	var (
 		all      []Object
@@ -46,8 +46,8 @@
 		after    string
 	)
 	for first := true; first || after != ""; first = false {
-		a, err := c.read(ctx, c.cfg.Protocol.List(kind, after))
-		page, err := c.decodePage(ctx, kind, a, err)
+		resp, err := c.read(ctx, c.cfg.Protocol.List(kind, after))
+		page, err := c.decodePage(ctx, kind, resp, err)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -62,19 +62,19 @@
 	return all, revision, nil
 }
 
-// Watch returns the objects of a kind written after a revision. It waits out
-// the backoff after failures, so that a loop around it does not spin.
+// Watch implements Store. While the circuit is open it blocks instead of failing, so
+// that a loop around it does not spin.
 func (c *Client) Watch(ctx context.Context, kind string, after uint64) ([]Object, uint64, error) {
-	if err := c.enter(ctx, c.reads, true); err != nil {
+	if err := c.admit(ctx, c.readLimiter, true); err != nil {
 		return nil, 0, err
 	}
 	wait := c.cfg.PollWait
-	if c.circuit.failing() {
-		// This call is the probe that others wait for, so it must be short.
+	if c.breaker.failing() {
+		// Other calls are rejected until this probe ends, so it must be short.
 		wait = probePollWait
 	}
-	a, err := c.roundTrip(ctx, c.reader, c.cfg.Protocol.Watch(kind, after, wait), wait+c.cfg.PollGrace)
-	page, err := c.decodePage(ctx, kind, a, err)
+	resp, err := c.roundTrip(ctx, c.readClient, c.cfg.Protocol.Watch(kind, after, wait), wait+c.cfg.PollGrace)
+	page, err := c.decodePage(ctx, kind, resp, err)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -87,66 +87,66 @@
 	if !ok {
 		return nil, nil
 	}
-	a, err := c.read(ctx, call)
-	if err := pageError(ctx, a, err); err != nil {
+	resp, err := c.read(ctx, call)
+	if err := checkPage(ctx, resp, err); err != nil {
 		return nil, err
 	}
-	hosts, err := c.cfg.Protocol.DecodeHosts(a.body)
+	hosts, err := c.cfg.Protocol.DecodeHosts(resp.body)
 	if err != nil {
-		return nil, &UnavailableError{Cause: undecodable(err)}
+		return nil, &UnavailableError{Cause: wrapDecodeError(err)}
 	}
 	return hosts, nil
 }
 
-func (c *Client) decodePage(ctx context.Context, kind string, a answer, err error) (Page, error) {
-	if err := pageError(ctx, a, err); err != nil {
+func (c *Client) decodePage(ctx context.Context, kind string, resp response, err error) (Page, error) {
+	if err := checkPage(ctx, resp, err); err != nil {
 		return Page{}, err
 	}
-	page, err := c.cfg.Protocol.DecodePage(kind, a.body)
+	page, err := c.cfg.Protocol.DecodePage(kind, resp.body)
 	if err != nil {
-		return Page{}, &UnavailableError{Cause: undecodable(err)}
+		return Page{}, &UnavailableError{Cause: wrapDecodeError(err)}
 	}
 	return page, nil
 }
 
-func pageError(ctx context.Context, a answer, err error) error {
+func checkPage(ctx context.Context, resp response, err error) error {
 	switch {
 	case err != nil:
 		return readError(ctx, err)
-	case a.status == http.StatusGone:
+	case resp.status == http.StatusGone:
 		return &HistoryGoneError{}
-	case a.status != http.StatusOK:
-		return &UnavailableError{Cause: statusError(a)}
+	case resp.status != http.StatusOK:
+		return &UnavailableError{Cause: statusError(resp)}
 	default:
 		return nil
 	}
 }
 
-// read sends a read. After a failed connection it tries once more on a fresh
-// one, since a read may be repeated.
-func (c *Client) read(ctx context.Context, r Call) (answer, error) {
-	if err := c.enter(ctx, c.reads, false); err != nil {
-		return answer{}, err
+// read sends a read request, and once more on a new connection if the first one
+// failed after it was opened: reads are idempotent.
+func (c *Client) read(ctx context.Context, call Call) (response, error) {
+	if err := c.admit(ctx, c.readLimiter, false); err != nil {
+		return response{}, err
 	}
 	half := c.cfg.CallTimeout / 2
-	a, err := c.roundTrip(ctx, c.reader, r, half)
-	if err == nil || !retryRead(ctx, err) {
-		return a, readError(ctx, err)
+	resp, err := c.roundTrip(ctx, c.readClient, call, half)
+	if err == nil || !canRetryRead(ctx, err) {
+		return resp, readError(ctx, err)
 	}
-	if enterErr := c.enter(ctx, c.reads, false); enterErr != nil {
-		return answer{}, readError(ctx, err)
+	if enterErr := c.admit(ctx, c.readLimiter, false); enterErr != nil {
+		return response{}, readError(ctx, err)
 	}
-	a, err = c.roundTrip(ctx, c.reader, r, half)
-	return a, readError(ctx, err)
+	resp, err = c.roundTrip(ctx, c.readClient, call, half)
+	return resp, readError(ctx, err)
 }
 
-func retryRead(ctx context.Context, err error) bool {
-	var sent *sentError
+func canRetryRead(ctx context.Context, err error) bool {
+	var sent *possiblySentError
 	return ctx.Err() == nil && errors.As(err, &sent)
 }
 
-// readError returns the error of ctx if that ended the call, an unchanged
-// UnavailableError, and any other error as *UnavailableError.
+// readError returns the error of ctx if ctx has ended, and otherwise err as an
+// *UnavailableError.
 func readError(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
--- a/fleet/objectapi/store.go
+++ b/fleet/objectapi/store.go
@@ -1,4 +1,4 @@
-// Package objectapi reaches the platform's object API: versioned objects,
+// Package objectapi is a client for the platform's object API: versioned objects,
 // conditional updates, long-poll watches and the host list.
 package objectapi
 
@@ -9,41 +9,41 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Object is a value with a version, as the platform stores it.
+// Object is a versioned value stored in the platform.
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version increases with each write of the object, also over a deletion and
-	// a new creation. Zero means that it does not exist.
+	// Version increases with each write of the object and is not reset when it is
+	// deleted and created again. Zero means that it does not exist.
 	Version uint64 `json:"version"`
 	// Revision is the position of the last write in the order of all writes of the store.
 	Revision uint64 `json:"revision"`
-	// Created is the revision at which the object was created, zero if the API
-	// does not tell.
+	// Created is the revision at which the object was created, zero if the API does
+	// not report it.
 	Created uint64 `json:"created,omitempty"`
-	// WriteID is the random ID that the writer gave to the last write. It
-	// lets a writer recognize its own write after the answer was lost.
+	// WriteID is the random ID that the writer gave to the last write. It lets a
+	// writer recognize its own write after the response was lost.
 	WriteID string `json:"write_id"`
-	// Deleted marks a deletion in the answer to a watch.
+	// Deleted marks a deletion in the response to a watch.
 	Deleted bool `json:"deleted,omitempty"`
-	// Value holds up to MaxValueBytes.
+	// Value has at most MaxValueBytes.
 	Value []byte `json:"value"`
 }
 
-// MaxValueBytes is the largest value that the platform accepts.
+// MaxValueBytes is the size of the largest value that the platform accepts.
 const MaxValueBytes = 1 << 20
 
 // HostState is the state of a host in the platform's list.
 type HostState string
 
 const (
-	// HostLive means that the platform believes the host to be running.
+	// HostLive means that the platform lists the host as running.
 	HostLive HostState = "live"
 	// HostLeaving means that the host is about to be replaced.
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one entry of the platform's host list. The list lags behind reality.
+// Host is a host in the platform's list, which lags behind the actual state.
 type Host struct {
 	Name    id.Host   `json:"name"`
 	Zone    id.Zone   `json:"zone"`
@@ -53,27 +53,27 @@
 }
 
 // Store is the platform's object API. All methods block until the platform
-// answers or ctx ends, and are safe for concurrent use.
+// responds or ctx ends, and are safe for concurrent use.
 type Store interface {
-	// Get returns an object. The error is a *NotFoundError if it does not exist.
+	// Get returns an object, or a *NotFoundError if it does not exist.
 	Get(ctx context.Context, kind, name string) (Object, error)
 	// List returns all objects of a kind and the revision that the list reflects.
 	List(ctx context.Context, kind string) ([]Object, uint64, error)
 	// Put writes o.Value if the stored version equals o.Version (zero: the
 	// object must not exist) and returns the object as written. The error is a
-	// *ConflictError on another version, and an *OutcomeUnknownError if it could
-	// not be learned whether the write took effect. A creation whose outcome is
+	// *ConflictError on another version, and an *OutcomeUnknownError if the write
+	// may have taken effect or may do so later. A creation whose outcome is
 	// unknown may still take effect after a later deletion by another writer.
 	Put(ctx context.Context, o Object) (Object, error)
 	// Delete removes an object if its stored version equals version.
 	Delete(ctx context.Context, kind, name string, version uint64) error
 	// Watch returns the objects of a kind written after the given revision and
-	// the revision that the answer reflects. It waits until there is one or
-	// the platform ends the poll, in which case the slice is empty. The error is
-	// a *HistoryGoneError if the platform no longer knows what changed since;
-	// the caller then lists the kind again.
+	// the revision that the response reflects. It blocks until there is a change
+	// or the long poll ends, in which case the slice is empty. The error is a
+	// *HistoryGoneError if the platform has discarded the changes since the
+	// revision; the caller then lists the kind again.
 	Watch(ctx context.Context, kind string, after uint64) ([]Object, uint64, error)
-	// Hosts returns the lagging host list.
+	// Hosts returns the host list, which lags behind the actual state.
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
@@ -84,11 +84,11 @@
 	return fmt.Sprintf("object %q of kind %q does not exist", e.Name, e.Kind)
 }
 
-// ConflictError reports a conditional update against another version.
+// ConflictError reports that the condition of a write or deletion was not met.
 type ConflictError struct {
 	// ExpectedVersion is the version that the writer expected.
 	ExpectedVersion uint64
-	// Current is the object as it is stored.
+	// Current is the stored object.
 	Current Object
 }
 
@@ -97,8 +97,8 @@
 		e.Current.Name, e.Current.Kind, e.Current.Version, e.ExpectedVersion)
 }
 
-// OutcomeUnknownError reports a write that may or may not have taken effect,
-// now or later: it may still be on its way to the platform.
+// OutcomeUnknownError reports a write that may have taken effect or may still do so:
+// the request may be in transit to the platform.
 type OutcomeUnknownError struct {
 	Kind, Name string
 	Cause      error
@@ -111,8 +111,8 @@
 // Unwrap returns the cause.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// UnavailableError reports that the platform did not answer, refused the call
-// for its rate, or that the client's own budget for calls is used up.
+// UnavailableError reports that the platform did not respond or rejected the call, for
+// example for its rate, or that the client's rate limit or circuit breaker did.
 type UnavailableError struct{ Cause error }
 
 func (e *UnavailableError) Error() string { return fmt.Sprintf("platform unavailable: %v", e.Cause) }
@@ -120,8 +120,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// HistoryGoneError reports a watch from a revision whose successors the platform
-// no longer knows.
+// HistoryGoneError reports a watch from a revision after which the platform has
+// discarded changes.
 type HistoryGoneError struct{}
 
 func (*HistoryGoneError) Error() string {
--- a/fleet/objectapi/transport.go
+++ b/fleet/objectapi/transport.go
@@ -13,105 +13,105 @@
 )
 
 const (
-	// maxAnswerBytes limits an answer. A list of the generic API is not paged.
-	maxAnswerBytes = 64 * MaxValueBytes
-	// maxErrorText limits the part of an error answer that is reported. Unit: bytes.
-	maxErrorText = 200
+	// maxResponseBytes bounds a response body. Lists of the generic API are not paged.
+	maxResponseBytes = 64 * MaxValueBytes
+	// maxErrorTextBytes bounds the part of a response body that an error message quotes.
+	maxErrorTextBytes = 200
 )
 
-// answer is the status and body of an answer that arrived whole.
-type answer struct {
+// response is the status and body of a completely received HTTP response.
+type response struct {
 	status int
 	body   []byte
 }
 
-// sentError reports a request that may have reached the platform.
-type sentError struct{ cause error }
+// possiblySentError reports a request that may have reached the platform.
+type possiblySentError struct{ cause error }
 
-func (e *sentError) Error() string { return e.cause.Error() }
-func (e *sentError) Unwrap() error { return e.cause }
+func (e *possiblySentError) Error() string { return e.cause.Error() }
+func (e *possiblySentError) Unwrap() error { return e.cause }
 
-// roundTrip sends one request and reads its answer whole. The error is a
-// *sentError unless no byte of the request can have left the process.
-func (c *Client) roundTrip(ctx context.Context, hc *http.Client, r Call, timeout time.Duration) (answer, error) {
+// roundTrip sends one request, reads the whole response and records the result in the
+// circuit breaker. The error is a *possiblySentError unless no byte was sent.
+func (c *Client) roundTrip(ctx context.Context, hc *http.Client, call Call, timeout time.Duration) (response, error) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	hr, err := c.newRequest(callCtx, r)
+	hr, err := c.newRequest(callCtx, call)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	a, err := exchange(hc, hr)
-	c.circuit.done(c.now(), classify(ctx, a, err))
+	resp, err := doRequest(hc, hr)
+	c.breaker.record(c.now(), classify(ctx, resp, err))
 	if err != nil && ctx.Err() == nil {
-		// The failed connection may have silent siblings.
+		// Idle connections to the same address may be dead as well.
 		hc.CloseIdleConnections()
 	}
-	return a, err
+	return resp, err
 }
 
-func classify(ctx context.Context, a answer, err error) result {
+func classify(ctx context.Context, resp response, err error) callResult {
 	switch {
-	case err == nil && a.status < http.StatusInternalServerError && a.status != http.StatusTooManyRequests:
+	case err == nil && resp.status < http.StatusInternalServerError && resp.status != http.StatusTooManyRequests:
 		return resultOK
 	case err != nil && ctx.Err() != nil:
-		return resultNone
+		return resultCanceled
 	default:
 		return resultFailed
 	}
 }
 
-func (c *Client) newRequest(ctx context.Context, r Call) (*http.Request, error) {
-	target := strings.TrimSuffix(c.cfg.BaseURL, "/") + r.Path
-	if len(r.Query) > 0 {
-		target += "?" + r.Query.Encode()
+func (c *Client) newRequest(ctx context.Context, call Call) (*http.Request, error) {
+	target := strings.TrimSuffix(c.cfg.BaseURL, "/") + call.Path
+	if len(call.Query) > 0 {
+		target += "?" + call.Query.Encode()
 	}
-	hr, err := http.NewRequestWithContext(ctx, r.Method, target, body(r.Body))
+	hr, err := http.NewRequestWithContext(ctx, call.Method, target, bodyReader(call.Body))
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody net/http cannot rewind the body to send it again.
+	// Without GetBody, net/http cannot rewind the body for a retry.
 	hr.GetBody = nil
 	hr.Header.Set(HeaderCaller, c.cfg.Caller)
-	for name, values := range r.Header {
+	for name, values := range call.Header {
 		hr.Header[name] = values
 	}
 	return hr, nil
 }
 
-func body(b []byte) io.Reader {
+func bodyReader(b []byte) io.Reader {
 	if len(b) == 0 {
 		return http.NoBody
 	}
 	return bytes.NewReader(b)
 }
 
-func exchange(hc *http.Client, hr *http.Request) (answer, error) {
-	resp, err := hc.Do(hr)
+func doRequest(hc *http.Client, hr *http.Request) (response, error) {
+	httpResp, err := hc.Do(hr)
 	if err != nil {
-		return answer{}, sendFailure(err)
+		return response{}, wrapSendError(err)
 	}
-	defer func() { _ = resp.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	defer func() { _ = httpResp.Body.Close() }()
+	b, err := io.ReadAll(io.LimitReader(httpResp.Body, maxResponseBytes+1))
 	if err != nil {
-		return answer{}, &sentError{cause: err}
+		return response{}, &possiblySentError{cause: err}
 	}
-	if len(b) > maxAnswerBytes {
-		return answer{}, &sentError{cause: errors.Newf("answer exceeds %d bytes", maxAnswerBytes)}
+	if len(b) > maxResponseBytes {
+		return response{}, &possiblySentError{cause: errors.Newf("platform response exceeds %d bytes", maxResponseBytes)}
 	}
-	return answer{status: resp.StatusCode, body: b}, nil
+	return response{status: httpResp.StatusCode, body: b}, nil
 }
 
-// sendFailure wraps err as *sentError unless the connection could not be opened.
-func sendFailure(err error) error {
+// wrapSendError wraps err in a *possiblySentError unless the connection failed to open.
+func wrapSendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return err
 	}
-	return &sentError{cause: err}
+	return &possiblySentError{cause: err}
 }
 
-// statusError describes an answer with an unexpected status.
-func statusError(a answer) error {
-	text := strings.TrimSpace(string(a.body[:min(len(a.body), maxErrorText)]))
-	return errors.Newf("platform answered with status %d: %s", a.status, text)
+// statusError reports a response with an unexpected status.
+func statusError(resp response) error {
+	text := strings.TrimSpace(string(resp.body[:min(len(resp.body), maxErrorTextBytes)]))
+	return errors.Newf("platform responded with status %d: %s", resp.status, text)
 }
--- a/fleet/objectapi/write.go
+++ b/fleet/objectapi/write.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// write is one conditional write or deletion. All attempts to send it carry the
-// same write ID and the same expected version.
+// write is a conditional write or deletion. All attempts to send it carry the same
+// write ID and expected version.
 type write struct {
 	protocol Protocol
 	call     Call
 	object   Object
-	remove   bool
+	deletion bool
 }
 
 // Put writes o if the stored version equals o.Version. An empty o.WriteID is
@@ -35,118 +35,118 @@
 // Delete removes an object if its stored version equals version.
 func (c *Client) Delete(ctx context.Context, kind, name string, version uint64) error {
 	o := Object{Kind: kind, Name: name, Version: version, WriteID: newWriteID()}
-	_, err := c.write(ctx, write{protocol: c.cfg.Protocol, call: c.cfg.Protocol.Delete(o), object: o, remove: true})
+	_, err := c.write(ctx, write{protocol: c.cfg.Protocol, call: c.cfg.Protocol.Delete(o), object: o, deletion: true})
 	return err
 }
 
-// write sends w once. If its outcome is not clear from the answer, it is resolved.
+// write sends w and, if the response leaves the outcome in doubt, resolves it.
 func (c *Client) write(ctx context.Context, w write) (Object, error) {
-	if err := c.enter(ctx, c.writes, false); err != nil {
+	if err := c.admit(ctx, c.writeLimiter, false); err != nil {
 		return Object{}, err
 	}
-	a, err := c.roundTrip(ctx, c.writer, w.call, c.cfg.CallTimeout)
-	o, err := w.conclude(a, err, false)
-	if !isUnclear(err) {
+	resp, err := c.roundTrip(ctx, c.writeClient, w.call, c.cfg.CallTimeout)
+	o, err := w.interpret(resp, err, false)
+	if !isInDoubt(err) {
 		return o, err
 	}
 	return c.resolve(ctx, w, err)
 }
 
-// unclearError reports an attempt to write that may or may not take effect.
-type unclearError struct{ cause error }
+// inDoubtError reports an attempt that may have taken effect or may still do so.
+type inDoubtError struct{ cause error }
 
-func (e *unclearError) Error() string { return e.cause.Error() }
-func (e *unclearError) Unwrap() error { return e.cause }
+func (e *inDoubtError) Error() string { return e.cause.Error() }
+func (e *inDoubtError) Unwrap() error { return e.cause }
 
-func isUnclear(err error) bool {
-	var unclear *unclearError
-	return errors.As(err, &unclear)
+func isInDoubt(err error) bool {
+	var inDoubt *inDoubtError
+	return errors.As(err, &inDoubt)
 }
 
-// conclude interprets the answer to an attempt. If an earlier attempt of the
-// same write is unclear, a refusal says nothing about that one.
-func (w write) conclude(a answer, err error, earlierUnclear bool) (Object, error) {
+// interpret derives the outcome of w from the response to an attempt. If an earlier
+// attempt is in doubt, a rejection of this one does not decide the outcome.
+func (w write) interpret(resp response, err error, earlierInDoubt bool) (Object, error) {
 	if err != nil {
-		return Object{}, w.concludeFailure(err, earlierUnclear)
+		return Object{}, w.interpretError(err, earlierInDoubt)
 	}
 	switch {
-	case a.status == http.StatusOK:
-		return w.written(a)
-	case a.status == http.StatusConflict:
-		return w.conflict(a, earlierUnclear)
-	case a.status == http.StatusNotFound:
-		return w.notFound(earlierUnclear)
-	case a.status >= http.StatusBadRequest && a.status < http.StatusInternalServerError:
-		return Object{}, w.refused(statusError(a), earlierUnclear)
+	case resp.status == http.StatusOK:
+		return w.written(resp)
+	case resp.status == http.StatusConflict:
+		return w.conflict(resp, earlierInDoubt)
+	case resp.status == http.StatusNotFound:
+		return w.notFound(earlierInDoubt)
+	case resp.status >= http.StatusBadRequest && resp.status < http.StatusInternalServerError:
+		return Object{}, w.rejected(statusError(resp), earlierInDoubt)
 	default:
-		return Object{}, &unclearError{cause: statusError(a)}
+		return Object{}, &inDoubtError{cause: statusError(resp)}
 	}
 }
 
-func (w write) concludeFailure(err error, earlierUnclear bool) error {
-	var sent *sentError
+func (w write) interpretError(err error, earlierInDoubt bool) error {
+	var sent *possiblySentError
 	if errors.As(err, &sent) {
-		return &unclearError{cause: err}
+		return &inDoubtError{cause: err}
 	}
-	return w.refused(err, earlierUnclear)
+	return w.rejected(err, earlierInDoubt)
 }
 
-func (w write) refused(cause error, earlierUnclear bool) error {
-	if earlierUnclear {
-		return &unclearError{cause: cause}
+func (w write) rejected(cause error, earlierInDoubt bool) error {
+	if earlierInDoubt {
+		return &inDoubtError{cause: cause}
 	}
 	return &UnavailableError{Cause: cause}
 }
 
-func (w write) written(a answer) (Object, error) {
-	if w.remove {
+func (w write) written(resp response) (Object, error) {
+	if w.deletion {
 		return Object{}, nil
 	}
-	o, err := w.protocol.DecodeObject(w.object.Kind, a.body)
+	o, err := w.protocol.DecodeObject(w.object.Kind, resp.body)
 	if err != nil {
-		return Object{}, &unclearError{cause: undecodable(err)}
+		return Object{}, &inDoubtError{cause: wrapDecodeError(err)}
 	}
 	o.Value = w.object.Value
 	return o, nil
 }
 
-func (w write) conflict(a answer, earlierUnclear bool) (Object, error) {
-	current, err := w.protocol.DecodeObject(w.object.Kind, a.body)
+func (w write) conflict(resp response, earlierInDoubt bool) (Object, error) {
+	current, err := w.protocol.DecodeObject(w.object.Kind, resp.body)
 	if err != nil {
-		return Object{}, &unclearError{cause: undecodable(err)}
+		return Object{}, &inDoubtError{cause: wrapDecodeError(err)}
 	}
-	if current.WriteID == w.object.WriteID && !w.remove {
+	if current.WriteID == w.object.WriteID && !w.deletion {
 		return current, nil
 	}
-	if !earlierUnclear {
+	if !earlierInDoubt {
 		return Object{}, w.conflictError(current)
 	}
-	return w.recognize(current)
+	return w.resolveFromCurrent(current)
 }
 
-// recognize tells from a stored object that is not at the expected version
-// whether an unclear attempt took effect.
-func (w write) recognize(current Object) (Object, error) {
+// resolveFromCurrent determines whether an attempt in doubt took effect from the stored
+// object, whose version is not the expected one.
+func (w write) resolveFromCurrent(current Object) (Object, error) {
 	switch {
-	case current.WriteID == w.object.WriteID && !w.remove:
+	case current.WriteID == w.object.WriteID && !w.deletion:
 		return current, nil
 	case current.Version == w.object.Version+1:
-		// The one version that this write could have made is another's.
+		// Another write made the only version that this write could have made.
 		return Object{}, w.conflictError(current)
 	default:
-		// The write may have taken effect and been overwritten since.
+		// The write may have taken effect and then been overwritten.
 		return Object{}, &OutcomeUnknownError{
 			Kind: w.object.Kind, Name: w.object.Name, Cause: w.conflictError(current),
 		}
 	}
 }
 
-func (w write) notFound(earlierUnclear bool) (Object, error) {
+func (w write) notFound(earlierInDoubt bool) (Object, error) {
 	notFound := &NotFoundError{Kind: w.object.Kind, Name: w.object.Name}
-	if !earlierUnclear {
+	if !earlierInDoubt {
 		return Object{}, notFound
 	}
-	if w.remove {
+	if w.deletion {
 		return Object{}, nil
 	}
 	return Object{}, &OutcomeUnknownError{Kind: w.object.Kind, Name: w.object.Name, Cause: notFound}
@@ -156,50 +156,50 @@
 	return &ConflictError{ExpectedVersion: w.object.Version, Current: current}
 }
 
-// resolve learns the outcome of a write whose answer was lost. It reads the
-// object back first. If that shows the old version, the lost attempt may still
-// arrive, so the same conditional write is sent again: only one of the attempts
-// can take effect, and after the answer to the later one neither can any more.
+// resolve determines the outcome of a write whose response was lost. It first reads
+// the object. If that shows the old version, the first attempt may still arrive, so
+// the same conditional write is sent again: only one attempt can take effect, and
+// after the response to the later one neither can any more.
 func (c *Client) resolve(ctx context.Context, w write, cause error) (Object, error) {
 	deadline, cancel := context.WithTimeout(ctx, c.cfg.ResolveTimeout)
 	defer cancel()
 	for failures := 1; ; failures++ {
-		o, err := c.resolveOnce(deadline, w)
-		if !isUnclear(err) {
+		o, err := c.tryResolve(deadline, w)
+		if !isInDoubt(err) {
 			return o, err
 		}
-		if sleep(deadline, c.circuit.delay(failures)) != nil {
+		if sleep(deadline, c.breaker.delay(failures)) != nil {
 			return Object{}, &OutcomeUnknownError{Kind: w.object.Kind, Name: w.object.Name, Cause: cause}
 		}
 	}
 }
 
-func (c *Client) resolveOnce(ctx context.Context, w write) (Object, error) {
+func (c *Client) tryResolve(ctx context.Context, w write) (Object, error) {
 	current, err := c.readBack(ctx, w)
 	if err != nil {
-		return Object{}, &unclearError{cause: err}
+		return Object{}, &inDoubtError{cause: err}
 	}
 	if current.Version > w.object.Version {
-		return w.recognize(current)
+		return w.resolveFromCurrent(current)
 	}
-	// The read may be older than the write, so that only a write decides.
-	if err := c.spend(ctx, c.writes); err != nil {
-		return Object{}, &unclearError{cause: err}
+	// The read may be stale, so only a conditional write determines the outcome.
+	if err := c.awaitBudget(ctx, c.writeLimiter); err != nil {
+		return Object{}, &inDoubtError{cause: err}
 	}
-	a, err := c.roundTrip(ctx, c.writer, w.call, c.cfg.CallTimeout)
-	return w.conclude(a, err, true)
+	resp, err := c.roundTrip(ctx, c.writeClient, w.call, c.cfg.CallTimeout)
+	return w.interpret(resp, err, true)
 }
 
 // readBack returns the stored object, with version zero if it does not exist.
 func (c *Client) readBack(ctx context.Context, w write) (Object, error) {
-	if err := c.spend(ctx, c.reads); err != nil {
+	if err := c.awaitBudget(ctx, c.readLimiter); err != nil {
 		return Object{}, err
 	}
-	a, err := c.roundTrip(ctx, c.reader, w.protocol.Get(w.object.Kind, w.object.Name), c.cfg.CallTimeout)
+	resp, err := c.roundTrip(ctx, c.readClient, w.protocol.Get(w.object.Kind, w.object.Name), c.cfg.CallTimeout)
 	if err != nil {
 		return Object{}, err
 	}
-	o, err := c.decodeObject(a, w.object.Kind, w.object.Name)
+	o, err := c.decodeObject(resp, w.object.Kind, w.object.Name)
 	var notFound *NotFoundError
 	if errors.As(err, &notFound) {
 		return Object{}, nil
