--- a/fleet/rendezvous/rendezvous.go
+++ b/fleet/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks hosts for a duty by rendezvous hashing, so that all
-// hosts with the same view agree without messages, and the loss of one host
-// moves only its own duties.
+// Package rendezvous assigns keys to hosts by rendezvous hashing (highest random
+// weight): hosts with the same host list agree without communication, and the
+// loss of a host moves only its own keys.
 package rendezvous
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Rank returns the hosts ordered by their score for key, best first. The
-// argument is not changed.
+// Rank returns the hosts in descending order of their score for key. It does not
+// modify hosts.
 func Rank(key string, hosts []id.Host) []id.Host {
 	type scored struct {
 		host  id.Host
@@ -36,7 +36,7 @@
 	return out
 }
 
-// First returns the best host for key, or false if there is none.
+// First returns the host with the greatest score for key, or false without hosts.
 func First(key string, hosts []id.Host) (id.Host, bool) {
 	if len(hosts) == 0 {
 		return "", false
@@ -52,7 +52,7 @@
 	return best, true
 }
 
-// Score returns the score of a host for key. The greatest score wins.
+// Score returns the score of a host for key. Rank and First prefer the greatest.
 func Score(key string, host id.Host) uint64 {
 	var d xxhash.Digest
 	d.Reset()
