--- a/fleet/claim/bench_test.go
+++ b/fleet/claim/bench_test.go
@@ -17,10 +17,9 @@
 	"github.com/siskinford/siskinford/fleet/objectapi/memstore"
 )
 
-// writeLatency is the time that a write of latentStore takes.
 const writeLatency = 3 * time.Millisecond
 
-// latentStore is a store whose writes take writeLatency.
+// latentStore is a store whose writes take writeLatency. It counts writes and bytes.
 type latentStore struct {
 	*memstore.Store
 	writes, bytes atomic.Int64
@@ -33,13 +32,13 @@
 	return s.Store.Put(ctx, o)
 }
 
-// claimOnce claims a key in one of the ways that are compared.
+// claimOnce claims a key with one of the compared variants.
 type claimOnce func(claim.Request) error
 
-// BenchmarkClaim compares the platform writes of a claim with the baseline of
-// one object for each claim. Run with -benchtime=5000x.
+// BenchmarkClaim measures platform writes and bytes per claim, against a baseline of
+// one object per claim. Run with -benchtime=5000x.
 func BenchmarkClaim(b *testing.B) {
-	ways := []struct {
+	variants := []struct {
 		name string
 		open func(*testing.B, *latentStore) claimOnce
 	}{
@@ -52,11 +51,11 @@
 		{"4-processes-4-shards-routed", routed},
 		{"baseline", baseline},
 	}
-	for _, way := range ways {
+	for _, variant := range variants {
 		for _, callers := range []int{1, 10, 100} {
-			b.Run(fmt.Sprintf("%s/callers=%d", way.name, callers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/callers=%d", variant.name, callers), func(b *testing.B) {
 				store := &latentStore{Store: memstore.New(memstore.Config{})}
-				runCallers(b, callers, way.open(b, store))
+				runCallers(b, callers, variant.open(b, store))
 				b.ReportMetric(float64(store.writes.Load())/float64(b.N), "writes/claim")
 				b.ReportMetric(float64(store.bytes.Load())/float64(b.N), "bytes/claim")
 			})
@@ -64,7 +63,7 @@
 	}
 }
 
-// batched spreads the claims over processes, each with a Claimer of its own.
+// batched distributes the claims over processes, each with its own Claimer.
 func batched(b *testing.B, store *latentStore, processes, shards int) claimOnce {
 	var claimers []*claim.Claimer
 	for range processes {
@@ -84,17 +83,17 @@
 	return c
 }
 
-// direct forwards to Claimers in this process.
-type direct map[id.Host]*claim.Claimer
+// localForwarder calls the Claimers of other hosts directly.
+type localForwarder map[id.Host]*claim.Claimer
 
-func (d direct) Forward(ctx context.Context, host id.Host, r claim.Request) (claim.Result, error) {
+func (d localForwarder) Forward(ctx context.Context, host id.Host, r claim.Request) (claim.Result, error) {
 	return d[host].Claim(ctx, r)
 }
 
-// routed spreads the claims over processes that pass them to the one with the duty.
+// routed distributes the claims over processes, which forward them to the shard's owner.
 func routed(b *testing.B, store *latentStore) claimOnce {
 	hosts := []id.Host{"entry-0", "entry-1", "entry-2", "entry-3"}
-	claimers := direct{}
+	claimers := localForwarder{}
 	var routers []*claim.Router
 	for _, host := range hosts {
 		claimers[host] = benchClaimer(b, store, 4)
--- a/fleet/claim/claim.go
+++ b/fleet/claim/claim.go
@@ -1,16 +1,16 @@
-// Package claim commits at-most-once claims of caller-made idempotency keys in
-// the platform, before the action is dispatched.
+// Package claim commits claims of client-generated idempotency keys in the platform,
+// at most one for each key, before the action is dispatched.
 //
-// Claims are spread over shards by the hash of team, service and key. A shard
-// has a head object and numbered segments. Claims are appended to the active
-// segment by conditional updates, many in one write. A full segment is sealed
-// by a conditional update, which makes late appends fail; then the next segment
-// is created empty, and then the head is moved to it. A claim is appended only
-// after every segment from the head's floor to the active one was searched, so
-// that the conditional update of the active segment decides.
+// Claims are sharded by the hash of team, service and key. A shard consists of a head
+// object and numbered segments. Claims are appended in batches to the active segment
+// by conditional updates. A full segment is sealed by a conditional update, which
+// makes late appends fail; then the next segment is created empty, and then the
+// head is moved to it. A claim is appended only after all segments from the head's
+// floor to the active one were searched for its key, so that the conditional update
+// of the active segment decides between concurrent claims.
 //
-// The package relies on clocks that differ by at most MaxSkew between the
-// processes and on a platform whose versions never repeat.
+// The package requires that the clocks of the processes differ by at most MaxSkew
+// and that the platform never reuses a version.
 package claim
 
 import (
@@ -30,24 +30,25 @@
 type Config struct {
 	// Store is the platform. Required.
 	Store objectapi.Store
-	// Shards is the number of shards, the same in all processes for good. Default: 4.
+	// Shards is the number of shards. It must be equal in all processes and must not
+	// change. Default: 4.
 	Shards int
 	// Retention is the age at which a key expires. Default: 1 h.
 	Retention time.Duration
-	// MaxSkew bounds how far a key's time may lie in the future and how far the
-	// clocks of two processes may differ. Default: 10 s.
+	// MaxSkew bounds the difference between the clocks of two processes and how far the
+	// creation time of a key may be in the future. Default: 10 s.
 	MaxSkew time.Duration
 	// SegmentBytes is the size at which a segment is sealed. Default: 16 KiB. At most 512 KiB.
 	SegmentBytes int
 	// SegmentAge is the age at which a segment is sealed. Default: 5 min.
 	SegmentAge time.Duration
-	// Timeout bounds the wait of a claim. Default: 500 ms.
+	// Timeout bounds the time for which Claim and Lookup block. Default: 500 ms.
 	Timeout time.Duration
-	// FlushTimeout bounds the work on one batch in the background. Default: 5 s.
+	// FlushTimeout bounds the background processing of a batch. Default: 5 s.
 	FlushTimeout time.Duration
-	// MaxAttempts bounds the steps of a batch in a row that answer no claim. Default: 50.
+	// MaxAttempts bounds the consecutive attempts of a batch that answer no claim. Default: 50.
 	MaxAttempts int
-	// Now returns the wall time. Default: time.Now.
+	// Now returns the wall-clock time. Default: time.Now.
 	Now func() time.Time
 }
 
@@ -62,11 +63,11 @@
 	defaultTimeout      = 500 * time.Millisecond
 	defaultFlushTimeout = 5 * time.Second
 	defaultMaxAttempts  = 50
-	// maxWaiting bounds the claims that wait in a shard.
-	maxWaiting = 1 << 16
+	// maxWaitingClaims bounds the queue of a shard.
+	maxWaitingClaims = 1 << 16
 )
 
-// Validate returns all findings in the configuration.
+// Validate returns a finding for each invalid setting.
 func (c Config) Validate() finding.List {
 	var l finding.List
 	if c.Store == nil {
@@ -105,7 +106,7 @@
 	}
 }
 
-func (c *Config) provision() {
+func (c *Config) setDefaults() {
 	orDefault(&c.Shards, defaultShards)
 	orDefault(&c.Retention, defaultRetention)
 	orDefault(&c.MaxSkew, defaultMaxSkew)
@@ -128,12 +129,12 @@
 	wg     sync.WaitGroup
 }
 
-// New returns a Claimer. The error holds all findings in cfg.
+// New returns a Claimer. The error lists all invalid settings.
 func New(cfg Config) (*Claimer, error) {
 	if err := cfg.Validate().Err(); err != nil {
 		return nil, fmt.Errorf("claims: %w", err)
 	}
-	cfg.provision()
+	cfg.setDefaults()
 	c := &Claimer{cfg: cfg}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for i := range cfg.Shards {
@@ -142,7 +143,7 @@
 	return c, nil
 }
 
-// Close ends the work in the background and waits for it.
+// Close cancels the background processing and waits for it to end.
 func (c *Claimer) Close() {
 	c.cancel()
 	c.wg.Wait()
@@ -150,35 +151,35 @@
 
 func shardKind(i int) string { return fmt.Sprintf("claims-%04d", i) }
 
-// Request is the wish to claim a key.
+// Request asks for the claim of a key.
 type Request struct {
 	Team    id.Team
 	Service id.Service
 	Key     Key
 	// Payload is the hash of the request's payload.
 	Payload Hash
-	// Target is where the claimant would run the action.
+	// Target is recorded as the place to run the action if this request claims the key.
 	Target Target
-	// Nonce identifies the claimant. One call that tries again, also through
-	// another process, keeps its nonce and so recognizes its own claim. Two calls
-	// must not share one. Zero is replaced by a random number.
+	// Nonce identifies the claimant. A retry, also through another process, uses the
+	// same nonce to recognize a claim made by the first attempt. Two claimants must
+	// not share a nonce. Zero is replaced by a random number.
 	Nonce uint64
 }
 
 // Result is the committed claim of a key.
 type Result struct {
 	Record Record
-	// Owned is true if the claim is that of the request's nonce. Only then may the
+	// Owned is true if the claim was made with the request's nonce. Only then may the
 	// caller dispatch the action; otherwise it reattaches to the record's target.
 	Owned bool
 }
 
-// Claim commits a claim of a key or returns the one that exists. It blocks for
-// at most Timeout. The error is an *ExpiredError, *FutureError,
-// *PayloadMismatchError, *UnavailableError or *OutcomeUnknownError; after each
-// of them the caller must not dispatch.
+// Claim commits a claim of a key or returns the existing one. It blocks for at
+// most Timeout. The error is an *ExpiredError, *FutureError, *PayloadMismatchError,
+// *UnavailableError or *OutcomeUnknownError; after any of them the caller must not
+// dispatch the action.
 func (c *Claimer) Claim(ctx context.Context, r Request) (Result, error) {
-	if err := c.checkTime(r.Key); err != nil {
+	if err := c.checkKeyTime(r.Key); err != nil {
 		return Result{}, err
 	}
 	if r.Nonce == 0 {
@@ -188,13 +189,13 @@
 	return c.submit(ctx, p)
 }
 
-// NewNonce returns a random number for a Request.
+// NewNonce returns a random nonce for a Request.
 func NewNonce() uint64 { return rand.Uint64() }
 
-// Lookup returns the claim of a key, if there is one. It blocks for at most
-// Timeout. The error is as for Claim, or a *NotClaimedError.
+// Lookup returns the claim of a key. It blocks for at most Timeout. The error is a
+// *NotClaimedError if there is no claim, or as for Claim.
 func (c *Claimer) Lookup(ctx context.Context, team id.Team, service id.Service, key Key) (Record, error) {
-	if err := c.checkTime(key); err != nil {
+	if err := c.checkKeyTime(key); err != nil {
 		return Record{}, err
 	}
 	r := Request{Team: team, Service: service, Key: key}
@@ -224,8 +225,8 @@
 	return int(binary.BigEndian.Uint64(h[:]) % uint64(len(c.shards)))
 }
 
-// checkTime refuses a key that is expired or from the future.
-func (c *Claimer) checkTime(k Key) error {
+// checkKeyTime rejects a key that has expired or is from the future.
+func (c *Claimer) checkKeyTime(k Key) error {
 	now := c.cfg.Now()
 	created := k.Time()
 	if now.Sub(created) >= c.cfg.Retention {
--- a/fleet/claim/claim_test.go
+++ b/fleet/claim/claim_test.go
@@ -19,7 +19,7 @@
 	"github.com/siskinford/siskinford/fleet/objectapi/memstore"
 )
 
-// hookStore calls its hooks before writes and reads, and counts both.
+// hookStore calls its hooks before writes and lists. It counts writes and their bytes.
 type hookStore struct {
 	*memstore.Store
 	put    func(o objectapi.Object) error
@@ -50,19 +50,19 @@
 	return h.Store.List(ctx, kind)
 }
 
-// handClock is moved by hand.
-type handClock struct{ ms atomic.Int64 }
+// manualClock changes only by advance.
+type manualClock struct{ ms atomic.Int64 }
 
-func newHandClock() *handClock {
-	c := &handClock{}
+func newManualClock() *manualClock {
+	c := &manualClock{}
 	c.ms.Store(startMS)
 	return c
 }
 
-func (c *handClock) now() time.Time          { return time.UnixMilli(c.ms.Load()) }
-func (c *handClock) advance(d time.Duration) { c.ms.Add(d.Milliseconds()) }
+func (c *manualClock) now() time.Time          { return time.UnixMilli(c.ms.Load()) }
+func (c *manualClock) advance(d time.Duration) { c.ms.Add(d.Milliseconds()) }
 
-func newClaimer(t *testing.T, store objectapi.Store, clock *handClock, change func(*claim.Config)) *claim.Claimer {
+func newClaimer(t *testing.T, store objectapi.Store, clock *manualClock, change func(*claim.Config)) *claim.Claimer {
 	t.Helper()
 	cfg := claim.Config{Store: store, Shards: 1, Timeout: time.Minute, FlushTimeout: time.Minute, Now: clock.now}
 	if change != nil {
@@ -124,7 +124,7 @@
 }
 
 func TestClaimTwiceAndLookup(t *testing.T) {
-	clock, store, ctx := newHandClock(), newHookStore(), context.Background()
+	clock, store, ctx := newManualClock(), newHookStore(), context.Background()
 	a, b := newClaimer(t, store, clock, nil), newClaimer(t, store, clock, nil)
 	k := keys(1, clock.now())[0]
 	_, err := b.Lookup(ctx, "puno", "mostrador", k)
@@ -169,7 +169,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			clock := newHandClock()
+			clock := newManualClock()
 			k := keys(1, clock.now().Add(-c.age))[0]
 			_, err := newClaimer(t, newHookStore(), clock, nil).Claim(context.Background(), request(k, "e1"))
 			if c.want == nil {
@@ -181,8 +181,8 @@
 	}
 }
 
-func TestOutageAnswersAtOnce(t *testing.T) {
-	clock, store, ctx := newHandClock(), newHookStore(), context.Background()
+func TestClaimFailsFastDuringOutage(t *testing.T) {
+	clock, store, ctx := newManualClock(), newHookStore(), context.Background()
 	store.list = func() error { return &objectapi.UnavailableError{Cause: errors.New("outage")} }
 	c := newClaimer(t, store, clock, nil)
 	k := keys(1, clock.now())[0]
@@ -195,10 +195,10 @@
 	assert.Assert(t, result.Owned)
 }
 
-// TestHangingPlatform has a write that gets no answer: its claim is unknown,
-// those behind it are not made, and new ones are refused at once.
-func TestHangingPlatform(t *testing.T) {
-	clock, store, ctx := newHandClock(), newHookStore(), context.Background()
+// TestClaimsWhilePlatformHangs guards against wrong outcomes while a write gets no
+// response: its outcome is unknown, queued claims are not made, new ones fail at once.
+func TestClaimsWhilePlatformHangs(t *testing.T) {
+	clock, store, ctx := newManualClock(), newHookStore(), context.Background()
 	c := newClaimer(t, store, clock, nil)
 	k := keys(4, clock.now())
 	_, err := c.Claim(ctx, request(k[0], "e1"))
@@ -232,10 +232,10 @@
 	close(release)
 	result, err := newClaimer(t, store, clock, nil).Claim(ctx, request(k[2], "e2"))
 	assert.NilError(t, err)
-	assert.Assert(t, result.Owned, "a claim that was reported as not made exists")
+	assert.Assert(t, result.Owned, "claim was committed after an UnavailableError")
 }
 
-// segments returns the names of the stored objects of the only shard.
+// segments returns the names of the stored objects of shard 0.
 func segments(t *testing.T, store *hookStore) string {
 	t.Helper()
 	objects, _, err := store.Store.List(context.Background(), "claims-0000")
@@ -249,8 +249,8 @@
 
 func smallSegments(cfg *claim.Config) { cfg.SegmentBytes = 2 * claim.RecordBytes }
 
-func TestExpireDeletesOnlyWhatNoClockCanClaim(t *testing.T) {
-	clock, store, ctx := newHandClock(), newHookStore(), context.Background()
+func TestExpireKeepsKeysUnexpiredOnAnyClock(t *testing.T) {
+	clock, store, ctx := newManualClock(), newHookStore(), context.Background()
 	c := newClaimer(t, store, clock, smallSegments)
 	early := keys(3, clock.now())
 	for _, k := range early {
@@ -272,10 +272,11 @@
 	assert.Assert(t, errors.As(err, &expired), "%v", err)
 }
 
-// TestPausedSealerCannotReviveASegment pauses a claimant between its seal and
-// the creation of the next segment until others have used and deleted that segment.
-func TestPausedSealerCannotReviveASegment(t *testing.T) {
-	clock, store, ctx := newHandClock(), newHookStore(), context.Background()
+// TestPausedSealerCannotReviveDeletedSegment guards against a claim in a recreated
+// segment: a claimant pauses between the seal and the creation of the next segment
+// until others have used and deleted that segment.
+func TestPausedSealerCannotReviveDeletedSegment(t *testing.T) {
+	clock, store, ctx := newManualClock(), newHookStore(), context.Background()
 	paused := &hookStore{Store: store.Store}
 	a, b := newClaimer(t, paused, clock, smallSegments), newClaimer(t, store, clock, smallSegments)
 	k := keys(2, clock.now())
@@ -295,7 +296,7 @@
 	contested := newKey(clock.now().Add(90*time.Minute), rand.New(rand.NewPCG(3, 3)))
 	fromA := make(chan claim.Result, 1)
 	go func() {
-		// This claim causes the seal, and its key expires during the pause.
+		// This claim triggers the seal, and its key expires during the pause.
 		_, err := a.Claim(ctx, request(k[1], "e1"))
 		var expired *claim.ExpiredError
 		assert.Check(t, errors.As(err, &expired), "%v", err)
@@ -318,11 +319,11 @@
 	close(release)
 	assert.Equal(t, <-fromA, claim.Result{Record: fromB.Record})
 	assert.NilError(t, b.Expire(ctx))
-	assert.Equal(t, segments(t, store), "5 head", "the revived segment stays")
+	assert.Equal(t, segments(t, store), "5 head", "the recreated segment was not deleted")
 }
 
-// TestSizeOfAnHour computes from measured bytes whether 60 claims a second over
-// an hour stay within the platform's values and a node's memory.
+// TestSizeOfAnHour checks that 60 claims per second for an hour, extrapolated from a
+// sample, stay within the platform's value limit and the memory budget of a node.
 func TestSizeOfAnHour(t *testing.T) {
 	const (
 		claimsPerSecond = 60
@@ -330,7 +331,7 @@
 		endpointsInUse  = 16
 		memoryBudget    = 64 << 20
 	)
-	clock, store, ctx := newHandClock(), newHookStore(), context.Background()
+	clock, store, ctx := newManualClock(), newHookStore(), context.Background()
 	c := newClaimer(t, store, clock, nil)
 	for i, k := range keys(sample, clock.now()) {
 		r := request(k, fmt.Sprintf("asistente-%02d", i%endpointsInUse))
@@ -347,7 +348,7 @@
 	}
 	perClaim := float64(total) / sample
 	perHour := perClaim * claimsPerSecond * time.Hour.Seconds()
-	t.Logf("%.1f bytes a claim stored in %d objects, %.1f MB an hour, %.0f bytes written a claim without batching",
+	t.Logf("%.1f bytes per claim stored in %d objects, %.1f MB per hour, %.0f bytes written per claim without batching",
 		perClaim, len(objects), perHour/1e6, float64(store.bytes.Load())/sample)
 	assert.Assert(t, perHour < memoryBudget)
 }
--- a/fleet/claim/errors.go
+++ b/fleet/claim/errors.go
@@ -8,15 +8,15 @@
 )
 
 var (
-	errTimeout = errors.New("the claim timed out")
-	errStuck   = errors.New("an earlier batch of claims gets no answer")
-	errFull    = errors.New("too many claims wait")
-	errClosed  = errors.New("the claimer is closed")
-	errBusy    = errors.New("other claimants won every attempt")
+	errTimeout      = errors.New("timed out waiting for the claim")
+	errBatchStalled = errors.New("an earlier batch of claims is stalled")
+	errQueueFull    = errors.New("queue of claims is full")
+	errClosed       = errors.New("claimer is closed")
+	errContention   = errors.New("every attempt conflicted with another claimant")
 )
 
-// ExpiredError reports a key older than the retention. Its action is never run
-// again, whether it ran or not.
+// ExpiredError reports a key older than the retention. Its action will not be run,
+// whether or not it ran before.
 type ExpiredError struct {
 	Key       Key
 	Created   time.Time
@@ -28,7 +28,7 @@
 		e.Key.String(), e.Created.UTC().Format(time.RFC3339), e.Retention)
 }
 
-// FutureError reports a key whose time of creation lies too far ahead.
+// FutureError reports a key whose creation time is more than MaxSkew in the future.
 type FutureError struct {
 	Key     Key
 	Created time.Time
@@ -36,11 +36,11 @@
 }
 
 func (e *FutureError) Error() string {
-	return fmt.Sprintf("idempotency key %q of %s lies more than %v in the future",
+	return fmt.Sprintf("idempotency key %q of %s is more than %v in the future",
 		e.Key.String(), e.Created.UTC().Format(time.RFC3339), e.MaxSkew)
 }
 
-// PayloadMismatchError reports a key that was claimed with another payload.
+// PayloadMismatchError reports a key that was claimed for a different payload.
 type PayloadMismatchError struct {
 	Key    Key
 	Record Record
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("idempotency key %q was used with another payload", e.Key.String())
 }
 
-// UnavailableError reports that the claim was not committed and will not be.
+// UnavailableError reports a claim that is not committed and cannot be any more.
 type UnavailableError struct{ Cause error }
 
 func (e *UnavailableError) Error() string { return fmt.Sprintf("claims are unavailable: %v", e.Cause) }
@@ -58,8 +58,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// OutcomeUnknownError reports a claim that may be committed, now or later. The
-// action was not dispatched by this call.
+// OutcomeUnknownError reports a claim that may be committed or may still be. Its
+// caller has not dispatched the action.
 type OutcomeUnknownError struct{ Cause error }
 
 func (e *OutcomeUnknownError) Error() string {
--- a/fleet/claim/expire.go
+++ b/fleet/claim/expire.go
@@ -9,15 +9,15 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// Expire seals segments past their age and deletes those whose keys are all
-// expired on every clock. It makes one list call for each shard and blocks on
-// the platform. Any process may call it; several at once do no harm.
+// Expire seals active segments older than SegmentAge and deletes segments whose keys
+// have all expired on the clock of every process. It blocks on one list call for each
+// shard and on writes. It is safe to call concurrently in several processes.
 func (c *Claimer) Expire(ctx context.Context) error {
-	var all error
+	var errs error
 	for _, s := range c.shards {
-		all = errors.CombineErrors(all, s.expire(ctx))
+		errs = errors.CombineErrors(errs, s.expire(ctx))
 	}
-	return all
+	return errs
 }
 
 func (s *shard) expire(ctx context.Context) error {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.sealOld(ctx, objects[segmentName(h.Active)]); err != nil {
+	if err := s.sealIfAged(ctx, objects[segmentName(h.Active)]); err != nil {
 		return err
 	}
 	floor, err := s.nextFloor(h, objects)
@@ -41,17 +41,17 @@
 		return err
 	}
 	if floor > h.Floor {
-		// The floor moves first, so that no process misses a segment it must search.
+		// The floor moves before the deletions, so that no reader expects a deleted segment.
 		_, err := s.putHead(ctx, head{Active: h.Active, Floor: floor}, o.Version)
 		if err != nil {
 			return ignoreConflict(err)
 		}
 	}
-	return s.deleteBelow(ctx, floor, objects)
+	return s.deleteSegmentsBelow(ctx, floor, objects)
 }
 
-// sealOld seals the active segment if its first claim is past the age.
-func (s *shard) sealOld(ctx context.Context, o objectapi.Object) error {
+// sealIfAged seals the active segment if its oldest claim is older than SegmentAge.
+func (s *shard) sealIfAged(ctx context.Context, o objectapi.Object) error {
 	if o.Version == 0 {
 		return nil
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	if active.sealed || active.len() == 0 || s.claimer.cfg.Now().Sub(active.oldest()) < s.claimer.cfg.SegmentAge {
+	if active.sealed || active.len() == 0 || s.claimer.cfg.Now().Sub(active.oldestClaim()) < s.claimer.cfg.SegmentAge {
 		return nil
 	}
 	active.sealed = true
@@ -71,9 +71,9 @@
 	return ignoreConflict(err)
 }
 
-// nextFloor returns the number of the oldest segment with a key that may be
-// unexpired on some clock. A key is at most MaxSkew younger than its claim, and
-// the clock of another process at most MaxSkew behind.
+// nextFloor returns the number of the oldest segment that may have an unexpired key on
+// the clock of any process. A key may be MaxSkew younger than its claim, and the clock
+// of another process may be MaxSkew behind.
 func (s *shard) nextFloor(h head, objects map[string]objectapi.Object) (uint64, error) {
 	keep := s.claimer.cfg.Retention + 2*s.claimer.cfg.MaxSkew
 	for number := h.Floor; number < h.Active; number++ {
@@ -85,15 +85,15 @@
 		if err != nil {
 			return 0, err
 		}
-		if !seg.sealed || s.claimer.cfg.Now().Sub(seg.newest()) <= keep {
+		if !seg.sealed || s.claimer.cfg.Now().Sub(seg.newestClaim()) <= keep {
 			return number, nil
 		}
 	}
 	return h.Active, nil
 }
 
-// deleteBelow deletes the segments below the floor, those left by an earlier call too.
-func (s *shard) deleteBelow(ctx context.Context, floor uint64, objects map[string]objectapi.Object) error {
+// deleteSegmentsBelow deletes the segments below the floor, including leftovers of earlier calls.
+func (s *shard) deleteSegmentsBelow(ctx context.Context, floor uint64, objects map[string]objectapi.Object) error {
 	for name, o := range objects {
 		number, err := strconv.ParseUint(name, 10, 64)
 		if err != nil || number >= floor {
--- a/fleet/claim/history_test.go
+++ b/fleet/claim/history_test.go
@@ -30,32 +30,32 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// faultyStore is a store whose writes and reads fail by seeded chance.
+// faultyStore is a store with seeded random faults in reads and writes.
 type faultyStore struct {
 	*memstore.Store
 
 	mu      sync.Mutex
 	random  *rand.Rand
 	delayed []objectapi.Object
-	// current makes reads show what is stored, never an older version.
-	current bool
+	// noStaleReads makes reads return the stored version.
+	noStaleReads bool
 }
 
-func (f *faultyStore) roll() int {
+func (f *faultyStore) percent() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(100)
 }
 
-// yieldSome lets other goroutines run, as a slow platform would.
-func (f *faultyStore) yieldSome() {
-	for range f.roll() / 20 {
+// yieldRandomly yields to other goroutines, as the wait for a slow platform does.
+func (f *faultyStore) yieldRandomly() {
+	for range f.percent() / 20 {
 		runtime.Gosched()
 	}
 }
 
-// deliver applies a delayed write at a random later time.
-func (f *faultyStore) deliver() {
+// deliverDelayed applies the oldest delayed write with a probability of 1/3.
+func (f *faultyStore) deliverDelayed() {
 	f.mu.Lock()
 	var o objectapi.Object
 	due := len(f.delayed) > 0 && f.random.IntN(3) == 0
@@ -69,11 +69,11 @@
 }
 
 func (f *faultyStore) Put(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
-	f.yieldSome()
-	f.deliver()
-	unknown := &objectapi.OutcomeUnknownError{Kind: o.Kind, Name: o.Name, Cause: errors.New("answer lost")}
-	switch r := f.roll(); {
-	case r < 8: // the answer is lost after the effect
+	f.yieldRandomly()
+	f.deliverDelayed()
+	unknown := &objectapi.OutcomeUnknownError{Kind: o.Kind, Name: o.Name, Cause: errors.New("response lost")}
+	switch r := f.percent(); {
+	case r < 8: // the write takes effect and the response is lost
 		_, _ = f.Store.Put(ctx, o)
 		return objectapi.Object{}, unknown
 	case r < 12: // the write is lost
@@ -87,22 +87,22 @@
 		return objectapi.Object{}, &objectapi.UnavailableError{Cause: errors.New("outage")}
 	}
 	written, err := f.Store.Put(ctx, o)
-	f.yieldSome()
+	f.yieldRandomly()
 	return written, err
 }
 
 func (f *faultyStore) Get(ctx context.Context, kind, name string) (objectapi.Object, error) {
-	f.yieldSome()
-	switch r := f.roll(); {
+	f.yieldRandomly()
+	switch r := f.percent(); {
 	case r < 4:
 		return objectapi.Object{}, &objectapi.UnavailableError{Cause: errors.New("outage")}
-	case r < 12 && !f.current:
+	case r < 12 && !f.noStaleReads:
 		return f.GetEarlier(ctx, kind, name, 1+r%3)
 	}
 	return f.Store.Get(ctx, kind, name)
 }
 
-// tickingClock advances by a step at each reading.
+// tickingClock advances by step at each reading.
 type tickingClock struct {
 	ticks atomic.Int64
 	step  time.Duration
@@ -114,7 +114,7 @@
 
 const startMS = 1_800_000_000_000
 
-// newKey returns a key made at t.
+// newKey returns a key with the creation time t.
 func newKey(t time.Time, random *rand.Rand) claim.Key {
 	ms := t.UnixMilli()
 	text := fmt.Sprintf("%08x-%04x-7%03x-8%03x-%012x", ms>>16, ms&0xffff, random.IntN(1<<12), random.IntN(1<<12), random.Int64N(1<<48))
@@ -125,23 +125,23 @@
 	return k
 }
 
-// call and reply are one operation of a history. A record is identified by the
-// endpoint of its target, which is different for each call.
+// call and reply are the input and output of an operation in a history. A record is
+// identified by the endpoint of its target, which is unique to the call.
 type call struct {
-	key int
-	own string
+	key      int
+	endpoint string
 	// lookup only reads.
 	lookup bool
 }
 
 type reply struct {
-	// record is empty if a lookup found none.
+	// record is the endpoint of the record, empty if a lookup found none.
 	record  string
-	mine    bool
+	owned   bool
 	unknown bool
 }
 
-// model is a cell that is written at most once.
+// model is a write-once register for each key.
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
@@ -152,12 +152,12 @@
 		case in.lookup:
 			return nil
 		case out.unknown && stored == "":
-			return []any{"", in.own}
+			return []any{"", in.endpoint}
 		case out.unknown:
 			return []any{stored}
-		case out.mine && stored == "" && out.record == in.own:
-			return []any{in.own}
-		case !out.mine && stored != "" && out.record == stored:
+		case out.owned && stored == "" && out.record == in.endpoint:
+			return []any{in.endpoint}
+		case !out.owned && stored != "" && out.record == stored:
 			return []any{stored}
 		default:
 			return nil
@@ -177,7 +177,7 @@
 	},
 }
 
-// history runs many claimants against one faulty store.
+// history records the operations of many claimants on one faulty store.
 type history struct {
 	seed     uint64
 	lookups  bool
@@ -205,9 +205,9 @@
 		clock.step = 500 * time.Millisecond // keys expire and segments are deleted during the run
 	}
 	h := &history{seed: seed, counts: map[string]int{}}
-	// A lookup is only as current as the platform's reads.
+	// Lookups are linearizable only if reads of the platform are not stale.
 	h.lookups = seed%3 == 0
-	store.current = h.lookups
+	store.noStaleReads = h.lookups
 	for range claimants {
 		c, err := claim.New(claim.Config{
 			Store: store, Shards: 1, Retention: 100 * time.Second, MaxSkew: time.Second,
@@ -223,7 +223,7 @@
 	var wg sync.WaitGroup
 	for i := range claimants * callersPerClaim {
 		callerRandom := rand.New(rand.NewPCG(seed, uint64(i)+1))
-		wg.Go(func() { h.caller(i, callerRandom) })
+		wg.Go(func() { h.runCaller(i, callerRandom) })
 	}
 	wg.Wait()
 	for _, c := range h.claimers {
@@ -232,13 +232,13 @@
 	return h
 }
 
-func (h *history) caller(i int, random *rand.Rand) {
+func (h *history) runCaller(i int, random *rand.Rand) {
 	c := h.claimers[i%claimants]
 	for n := range callsPerCaller {
 		if random.IntN(6) == 0 {
 			_ = c.Expire(context.Background())
 		}
-		in := call{key: random.IntN(len(h.keys)), own: fmt.Sprintf("e%d-%d", i, n)}
+		in := call{key: random.IntN(len(h.keys)), endpoint: fmt.Sprintf("e%d-%d", i, n)}
 		ctx, cancel := context.WithCancel(context.Background())
 		if random.IntN(6) == 0 {
 			spins := random.IntN(40)
@@ -250,9 +250,9 @@
 			}()
 		}
 		in.lookup = h.lookups && random.IntN(3) == 0
-		begun := h.time.Add(1)
+		start := h.time.Add(1)
 		result, err := h.call(ctx, c, in)
-		h.record(i, in, begun, result, err)
+		h.record(i, in, start, result, err)
 		cancel()
 	}
 }
@@ -260,7 +260,7 @@
 func (h *history) call(ctx context.Context, c *claim.Claimer, in call) (claim.Result, error) {
 	if !in.lookup {
 		return c.Claim(ctx, claim.Request{
-			Team: "t", Service: "s", Key: h.keys[in.key], Target: claim.Target{Endpoint: id.Endpoint(in.own)},
+			Team: "t", Service: "s", Key: h.keys[in.key], Target: claim.Target{Endpoint: id.Endpoint(in.endpoint)},
 		})
 	}
 	record, err := c.Lookup(ctx, "t", "s", h.keys[in.key])
@@ -271,34 +271,34 @@
 	return claim.Result{Record: record}, err
 }
 
-func (h *history) record(client int, in call, begun int64, result claim.Result, err error) {
-	ended := h.time.Add(1)
-	out := reply{record: string(result.Record.Target.Endpoint), mine: result.Owned}
+func (h *history) record(client int, in call, start int64, result claim.Result, err error) {
+	end := h.time.Add(1)
+	out := reply{record: string(result.Record.Target.Endpoint), owned: result.Owned}
 	var unknown *claim.OutcomeUnknownError
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case errors.As(err, &unknown):
 		out.unknown = true
-		ended = math.MaxInt64 // the write may arrive at any later time
+		end = math.MaxInt64 // the write may take effect at any later time
 		h.counts["unknown"]++
 	case err != nil:
 		h.counts[fmt.Sprintf("%T", err)]++
-		return // without effect
+		return // the operation had no effect
 	case in.lookup:
 		h.counts["lookup"]++
-	case out.mine:
-		h.counts["mine"]++
+	case out.owned:
+		h.counts["owned"]++
 	default:
 		h.counts["found"]++
 	}
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: begun, Return: ended})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: start, Return: end})
 }
 
-// TestHistories checks that each key has at most one record, that exactly the
-// call that made it is told so, and that all calls learn the same one, under
-// lost answers, late writes, stale reads, outages, seals, deletions and
-// callers that give up. More cases: go test ./fleet/claim -run Histories -claim.cases 5000.
+// TestHistories checks that claims of a key are linearizable: at most one record, owned
+// by exactly the call that made it and returned to all others, despite lost responses,
+// late writes, stale reads, outages, seals, deletions and canceled calls.
+// More cases: go test ./fleet/claim -run Histories -claim.cases 5000.
 func TestHistories(t *testing.T) {
 	counts := map[string]int{}
 	m := model.ToModel()
@@ -310,7 +310,7 @@
 		}
 	}
 	t.Logf("outcomes over %d histories: %v", *historyCases, counts)
-	for _, outcome := range []string{"mine", "found", "lookup", "unknown", "*claim.UnavailableError", "*claim.ExpiredError"} {
+	for _, outcome := range []string{"owned", "found", "lookup", "unknown", "*claim.UnavailableError", "*claim.ExpiredError"} {
 		assert.Assert(t, counts[outcome] > 0, "no case led to %s", outcome)
 	}
 }
--- a/fleet/claim/key.go
+++ b/fleet/claim/key.go
@@ -18,12 +18,12 @@
 	uuidVersion = 7
 	// uuidVariant is the two-bit variant field of RFC 9562.
 	uuidVariant = 0b10
-	// hashLen is the length of the hashes in a record. Unit: bytes.
+	// hashLen is the length of the truncated SHA-256 hashes in a record. Unit: bytes.
 	hashLen = 16
 )
 
-// Key is a caller-made idempotency key: a version 7 UUID, which carries the
-// time of its creation.
+// Key is a client-generated idempotency key: a version 7 UUID, which contains its
+// creation time.
 type Key [uuidLen]byte
 
 // KeyError reports text that is not a version 7 UUID.
@@ -58,7 +58,7 @@
 	return k, nil
 }
 
-// Time returns the time of creation that the key carries.
+// Time returns the creation time in the key, to the millisecond.
 func (k Key) Time() time.Time {
 	var b [8]byte
 	copy(b[2:], k[:6])
@@ -71,11 +71,11 @@
 	return strings.Join([]string{h[:8], h[8:12], h[12:16], h[16:20], h[20:]}, "-")
 }
 
-// Hash identifies a key of a team at a service.
+// Hash is the hash of a key with its team and service, or of a payload.
 type Hash [hashLen]byte
 
-// HashKey returns the hash of a key. Keys of different teams or services never
-// meet, whatever their names.
+// HashKey returns the hash of a key in the namespace of its team and service. The parts
+// are length-prefixed, so that no two names yield the same input.
 func HashKey(team id.Team, service id.Service, key Key) Hash {
 	var b []byte
 	for _, part := range []string{string(team), string(service), string(key[:])} {
@@ -86,10 +86,10 @@
 	return Hash(sum[:hashLen])
 }
 
-// Action returns the action ID that belongs to the hash.
+// Action returns the action ID derived from the hash.
 func (h Hash) Action() id.Action { return id.Action("key_" + hex.EncodeToString(h[:])) }
 
-// HashPayload returns the hash of a request's payload as a claim holds it.
+// HashPayload returns the hash of a request's payload.
 func HashPayload(payload []byte) Hash {
 	sum := sha256.Sum256(payload)
 	return Hash(sum[:hashLen])
--- a/fleet/claim/record.go
+++ b/fleet/claim/record.go
@@ -12,24 +12,24 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Target is the only place where a claimed action may run.
+// Target is the only endpoint and agent incarnation that may run a claimed action.
 type Target struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    id.Endpoint
 	Incarnation id.Incarnation
 }
 
-// Record is a committed claim. All entries that claim the same key learn the same record.
+// Record is a committed claim. All claimants of a key obtain the same record.
 type Record struct {
 	Hash Hash
 	// Action is derived from Hash.
 	Action id.Action
-	// Payload is the hash of the request that made the claim.
+	// Payload is the hash of the payload of the request that made the claim.
 	Payload Hash
 	Target  Target
-	// ClaimedAt is the claimant's wall time, to the millisecond.
+	// ClaimedAt is the claimant's wall-clock time, to the millisecond.
 	ClaimedAt time.Time
-	// Nonce is the random number by which a claimant recognizes its own claim.
+	// Nonce is the nonce of the request that made the claim.
 	Nonce uint64
 }
 
@@ -53,8 +53,7 @@
 	Records []byte
 }
 
-// segment holds the records of one shard and one stretch of time. Records are
-// only ever appended; a sealed segment does not change.
+// segment is an append-only list of records of one shard and period, immutable once sealed.
 type segment struct {
 	sealed  bool
 	targets []Target
@@ -119,7 +118,7 @@
 	return s.record(i), true
 }
 
-// clone returns a copy to which records can be appended without a change to s.
+// clone returns a deep copy, to which records can be appended.
 func (s *segment) clone() *segment {
 	c := &segment{sealed: s.sealed, targets: slices.Clone(s.targets), records: slices.Clone(s.records)}
 	c.index = make(map[Hash]int, len(s.index)+1)
@@ -129,7 +128,7 @@
 	return c
 }
 
-// add appends a record. It panics if there are too many targets, which fits excludes.
+// add appends a record. It panics above maxTargets, which a check with fits prevents.
 func (s *segment) add(r Record) {
 	target := slices.Index(s.targets, r.Target)
 	if target < 0 {
@@ -161,21 +160,21 @@
 	return s.len() == 0 || size <= limit
 }
 
-// targetOverhead bounds the encoding of a target beyond its two texts. Unit: bytes.
-const targetOverhead = 8
+// targetOverheadBytes bounds the encoded size of a target without its two strings.
+const targetOverheadBytes = 8
 
-func targetBytes(t Target) int { return len(t.Endpoint) + len(t.Incarnation) + targetOverhead }
+func targetBytes(t Target) int { return len(t.Endpoint) + len(t.Incarnation) + targetOverheadBytes }
 
-// oldest and newest return the claim times at both ends, zero if there is no record.
-func (s *segment) oldest() time.Time {
-	return s.extreme(func(a, b time.Time) bool { return a.Before(b) })
+// oldestClaim and newestClaim return the range of the claim times, zero without records.
+func (s *segment) oldestClaim() time.Time {
+	return s.extremeClaimTime(func(a, b time.Time) bool { return a.Before(b) })
 }
 
-func (s *segment) newest() time.Time {
-	return s.extreme(func(a, b time.Time) bool { return a.After(b) })
+func (s *segment) newestClaim() time.Time {
+	return s.extremeClaimTime(func(a, b time.Time) bool { return a.After(b) })
 }
 
-func (s *segment) extreme(better func(a, b time.Time) bool) time.Time {
+func (s *segment) extremeClaimTime(better func(a, b time.Time) bool) time.Time {
 	var best time.Time
 	for i := range s.len() {
 		if t := s.record(i).ClaimedAt; i == 0 || better(t, best) {
@@ -185,7 +184,7 @@
 	return best
 }
 
-// head names the segments of a shard that are in use. It is never deleted.
+// head is the range of segments in use in a shard. It is never deleted.
 type head struct {
 	_ struct{} `cbor:",toarray"`
 	// Active is the number of the segment to which claims are appended.
--- a/fleet/claim/route.go
+++ b/fleet/claim/route.go
@@ -13,30 +13,30 @@
 // defaultForwardTimeout bounds a forwarded claim.
 const defaultForwardTimeout = 200 * time.Millisecond
 
-// Forwarder passes a claim to the process on another host, which calls its own
-// Claimer. It keeps the error types of this package. It may block until ctx ends.
+// Forwarder forwards a claim to the Claimer on another host. It preserves the error
+// types of this package and may block until ctx ends.
 type Forwarder interface {
 	Forward(ctx context.Context, host id.Host, r Request) (Result, error)
 }
 
-// Router has the claims of a shard made by one process, so that they share
-// writes and do not conflict. Which process that is matters to cost alone: two
-// processes that both make claims of a shard are as safe as one.
+// Router forwards the claims of a shard to one owning process, so that they are batched
+// and do not conflict. Ownership affects only the cost: claims remain safe if several
+// processes write to a shard.
 type Router struct {
-	// Local makes claims in this process. Required.
+	// Local is the Claimer of this process. Required.
 	Local *Claimer
 	// Self is the host of this process. Required.
 	Self id.Host
-	// Hosts returns the live entry hosts and does not block. Required.
+	// Hosts returns the live entry hosts. It must not block. Required.
 	Hosts func() []id.Host
-	// Forwarder reaches the other hosts. Required.
+	// Forwarder forwards claims to other hosts. Required.
 	Forwarder Forwarder
 	// ForwardTimeout bounds a forwarded claim. Default: 200 ms.
 	ForwardTimeout time.Duration
 }
 
-// Claim commits a claim through the process that has the duty for its shard,
-// and in this process if that one gives no verdict. Results are as for Claimer.Claim.
+// Claim commits a claim through the owner of its shard, and in this process if the
+// owner returns no final result. Results are as for Claimer.Claim.
 func (r *Router) Claim(ctx context.Context, req Request) (Result, error) {
 	if req.Nonce == 0 {
 		req.Nonce = NewNonce()
@@ -46,13 +46,13 @@
 		return r.Local.Claim(ctx, req)
 	}
 	result, err := r.forward(ctx, owner, req)
-	if isVerdict(err) {
+	if isFinal(err) {
 		return result, err
 	}
 	result, localErr := r.Local.Claim(ctx, req)
 	var unavailable *UnavailableError
-	if errors.As(localErr, &unavailable) && !isNotMade(err) {
-		// The other process may have made the claim, or may yet.
+	if errors.As(localErr, &unavailable) && !isNotCommitted(err) {
+		// The owner may have made the claim, or may still make it.
 		return Result{}, &OutcomeUnknownError{Cause: err}
 	}
 	return result, localErr
@@ -68,22 +68,22 @@
 	return r.Forwarder.Forward(ctx, owner, req)
 }
 
-// owner returns the host that has the duty for the shard of a request.
+// owner returns the host that owns the shard of a request.
 func (r *Router) owner(req Request) (id.Host, bool) {
 	shard := r.Local.shardOf(HashKey(req.Team, req.Service, req.Key))
 	return rendezvous.First(shardKind(shard), r.Hosts())
 }
 
-// isVerdict reports a result that another attempt would not change.
-func isVerdict(err error) bool {
+// isFinal reports whether another attempt would not change the result.
+func isFinal(err error) bool {
 	var mismatch *PayloadMismatchError
 	var expired *ExpiredError
 	var future *FutureError
 	return err == nil || errors.As(err, &mismatch) || errors.As(err, &expired) || errors.As(err, &future)
 }
 
-// isNotMade reports an error after which the claim will not be made.
-func isNotMade(err error) bool {
+// isNotCommitted reports whether the claim was not committed and cannot be any more.
+func isNotCommitted(err error) bool {
 	var unavailable *UnavailableError
 	return errors.As(err, &unavailable)
 }
--- a/fleet/claim/route_test.go
+++ b/fleet/claim/route_test.go
@@ -13,11 +13,11 @@
 	"github.com/siskinford/siskinford/fleet/rendezvous"
 )
 
-// forwarder calls the Claimer of another process and then may lose the answer.
+// forwarder calls the Claimer of another process, with injected errors.
 type forwarder struct {
 	to    map[id.Host]*claim.Claimer
 	calls int
-	// before and after replace the call or its answer by an error.
+	// before replaces the call and after its result by an error.
 	before, after error
 }
 
@@ -45,16 +45,16 @@
 		wantWrites    int64
 		wantErr       any
 	}{
-		"claim in the process with the duty": {self: owner, wantWrites: 3},
-		"forwarded":                          {self: other, wantCalls: 1, wantWrites: 3},
-		"owner not reached":                  {self: other, before: lost, wantCalls: 1, wantWrites: 3},
-		"answer lost after the claim":        {self: other, after: lost, wantCalls: 1, wantWrites: 3},
-		"owner unavailable, platform down":   {self: other, before: notMade, down: true, wantCalls: 1, wantErr: new(*claim.UnavailableError)},
-		"owner silent, platform down":        {self: other, before: lost, down: true, wantCalls: 1, wantErr: new(*claim.OutcomeUnknownError)},
+		"claim in the owner":               {self: owner, wantWrites: 3},
+		"forwarded":                        {self: other, wantCalls: 1, wantWrites: 3},
+		"owner not reached":                {self: other, before: lost, wantCalls: 1, wantWrites: 3},
+		"result lost after the claim":      {self: other, after: lost, wantCalls: 1, wantWrites: 3},
+		"owner unavailable, platform down": {self: other, before: notMade, down: true, wantCalls: 1, wantErr: new(*claim.UnavailableError)},
+		"owner silent, platform down":      {self: other, before: lost, down: true, wantCalls: 1, wantErr: new(*claim.OutcomeUnknownError)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			clock, store := newHandClock(), newHookStore()
+			clock, store := newManualClock(), newHookStore()
 			if c.down {
 				store.list = func() error { return &objectapi.UnavailableError{Cause: errors.New("outage")} }
 			}
@@ -78,8 +78,8 @@
 	}
 }
 
-func TestRouterKeepsVerdicts(t *testing.T) {
-	clock, store := newHandClock(), newHookStore()
+func TestRouterReturnsFinalResults(t *testing.T) {
+	clock, store := newManualClock(), newHookStore()
 	c := newClaimer(t, store, clock, nil)
 	f := &forwarder{to: map[id.Host]*claim.Claimer{"owner": c}}
 	router := &claim.Router{Local: c, Self: "other", Hosts: func() []id.Host { return []id.Host{"owner"} }, Forwarder: f}
--- a/fleet/claim/shard.go
+++ b/fleet/claim/shard.go
@@ -10,21 +10,21 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// pending is a claim or lookup that waits for its answer.
+// pending is a claim or lookup without an answer.
 type pending struct {
 	request Request
 	hash    Hash
 	lookup  bool
-	// done receives the answer. It has room for one.
+	// done receives the answer. Its capacity is one, so that the sender does not block.
 	done chan answer
 
 	// The fields below are guarded by the shard's lock.
 
-	// sent is true while a write with the claim has no definite outcome.
-	sent bool
-	// sentTo is the position at which that write was tried.
-	sentTo position
-	// abandoned is true when the caller has gone.
+	// inDoubt is true while the outcome of a write with the claim is not known.
+	inDoubt bool
+	// writePosition is the position of the active segment before that write.
+	writePosition position
+	// abandoned is true once the caller has stopped waiting.
 	abandoned bool
 }
 
@@ -33,7 +33,7 @@
 	err    error
 }
 
-// position is a version of a segment.
+// position is the number and version of a segment.
 type position struct {
 	number, version uint64
 }
@@ -45,8 +45,8 @@
 	return p.version > q.version
 }
 
-// shard batches the claims of one shard: one write is in flight while others
-// collect. The goroutine that runs the batches alone uses view.
+// shard batches the claims of one shard: while a write is in flight, further claims
+// queue for the next batch. Only the goroutine that processes batches uses view.
 type shard struct {
 	claimer *Claimer
 	kind    string
@@ -55,9 +55,9 @@
 	mu      sync.Mutex // leaf lock
 	waiting []*pending
 	running bool
-	// since is when the present batch was begun, and unanswered the number of its
-	// claims that wait for their answer.
-	since      time.Time
+	// batchStart is the start time of the current batch, unanswered the number of its
+	// claims without an answer.
+	batchStart time.Time
 	unanswered int
 }
 
@@ -68,21 +68,21 @@
 	switch {
 	case s.claimer.ctx.Err() != nil:
 		return &UnavailableError{Cause: errClosed}
-	case s.unanswered > 0 && s.claimer.cfg.Now().Sub(s.since) > s.claimer.cfg.Timeout:
-		return &UnavailableError{Cause: errStuck}
-	case len(s.waiting) >= maxWaiting:
-		return &UnavailableError{Cause: errFull}
+	case s.unanswered > 0 && s.claimer.cfg.Now().Sub(s.batchStart) > s.claimer.cfg.Timeout:
+		return &UnavailableError{Cause: errBatchStalled}
+	case len(s.waiting) >= maxWaitingClaims:
+		return &UnavailableError{Cause: errQueueFull}
 	}
 	s.waiting = append(s.waiting, p)
 	if !s.running {
 		s.running = true
-		s.since = s.claimer.cfg.Now()
+		s.batchStart = s.claimer.cfg.Now()
 		s.claimer.wg.Go(s.run)
 	}
 	return nil
 }
 
-// abandon gives up p and tells what is known of it.
+// abandon returns the answer to p if there is one, and otherwise marks p as abandoned.
 func (s *shard) abandon(p *pending, cause error) (Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,16 +92,16 @@
 	default:
 	}
 	p.abandoned = true
-	if p.sent {
+	if p.inDoubt {
 		return Result{}, &OutcomeUnknownError{Cause: cause}
 	}
 	return Result{}, &UnavailableError{Cause: cause}
 }
 
-// run works off batches until none waits.
+// run processes batches until the queue is empty.
 func (s *shard) run() {
 	for {
-		batch := s.next()
+		batch := s.nextBatch()
 		if batch == nil {
 			return
 		}
@@ -109,17 +109,17 @@
 	}
 }
 
-func (s *shard) next() []*pending {
+func (s *shard) nextBatch() []*pending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	batch := s.waiting
 	s.waiting = nil
 	s.running, s.unanswered = len(batch) > 0, len(batch)
-	s.since = s.claimer.cfg.Now()
+	s.batchStart = s.claimer.cfg.Now()
 	return batch
 }
 
-// flush answers every claim of a batch.
+// flush processes a batch until each of its claims has an answer.
 func (s *shard) flush(batch []*pending) {
 	ctx, cancel := context.WithTimeout(s.claimer.ctx, s.claimer.cfg.FlushTimeout)
 	defer cancel()
@@ -144,7 +144,7 @@
 		}
 	}
 	if cause == nil {
-		cause = errBusy
+		cause = errContention
 	}
 	s.fail(batch, cause)
 }
@@ -154,12 +154,12 @@
 	return errors.As(err, &unavailable)
 }
 
-// attempt makes one step for a batch and returns the claims that are left.
+// attempt makes one step with a batch and returns the claims without an answer.
 func (s *shard) attempt(ctx context.Context, batch []*pending) ([]*pending, error) {
 	if err := s.refresh(ctx); err != nil {
 		return batch, err
 	}
-	batch = s.decide(batch)
+	batch = s.answerFromView(batch)
 	if len(batch) == 0 {
 		return nil, nil
 	}
@@ -167,7 +167,7 @@
 		return batch, nil
 	}
 	if s.view.active.sealed {
-		return batch, s.roll(ctx)
+		return batch, s.startNextSegment(ctx)
 	}
 	if s.isFull(batch[0].request.Target) {
 		return batch, s.seal(ctx)
@@ -175,15 +175,15 @@
 	return s.append(ctx, batch)
 }
 
-// isFull reports whether the active segment is to be sealed before an append.
+// isFull reports whether the active segment must be sealed before an append.
 func (s *shard) isFull(t Target) bool {
 	active := s.view.active
-	old := active.len() > 0 && s.claimer.cfg.Now().Sub(active.oldest()) >= s.claimer.cfg.SegmentAge
+	old := active.len() > 0 && s.claimer.cfg.Now().Sub(active.oldestClaim()) >= s.claimer.cfg.SegmentAge
 	return old || !active.fits(t, s.claimer.cfg.SegmentBytes)
 }
 
-// decide answers what the view decides and returns the rest.
-func (s *shard) decide(batch []*pending) []*pending {
+// answerFromView answers the claims that the view decides and returns the others.
+func (s *shard) answerFromView(batch []*pending) []*pending {
 	var rest []*pending
 	for _, p := range batch {
 		record, found := s.view.find(p.hash)
@@ -196,25 +196,25 @@
 			s.view.stale = true
 			rest = append(rest, p)
 		default:
-			rest = s.keep(rest, p)
+			rest = s.keepUndecided(rest, p)
 		}
 	}
 	return rest
 }
 
-// keep appends p to rest unless its caller has gone or its key has expired.
-func (s *shard) keep(rest []*pending, p *pending) []*pending {
+// keepUndecided appends p to rest unless it is abandoned or its key has expired.
+func (s *shard) keepUndecided(rest []*pending, p *pending) []*pending {
 	s.mu.Lock()
-	if p.sent && s.view.position().after(p.sentTo) {
-		// The segment moved on without the claim, so that write can no longer take effect.
-		p.sent = false
+	if p.inDoubt && s.view.position().after(p.writePosition) {
+		// The segment changed without the claim, so the conditional write can no longer succeed.
+		p.inDoubt = false
 	}
-	gone, sent := p.abandoned, p.sent
+	abandoned, inDoubt := p.abandoned, p.inDoubt
 	s.mu.Unlock()
-	if gone {
+	if abandoned {
 		return rest
 	}
-	if err := s.claimer.checkTime(p.request.Key); err != nil && !sent {
+	if err := s.claimer.checkKeyTime(p.request.Key); err != nil && !inDoubt {
 		s.answer(p, Result{}, err)
 		return rest
 	}
@@ -239,13 +239,13 @@
 	p.done <- answer{result: r, err: err}
 }
 
-// fail answers the claims that could not be decided.
+// fail answers the claims of a batch whose processing failed.
 func (s *shard) fail(batch []*pending, cause error) {
 	for _, p := range batch {
 		s.mu.Lock()
-		sent := p.sent
+		inDoubt := p.inDoubt
 		s.mu.Unlock()
-		if sent {
+		if inDoubt {
 			s.answer(p, Result{}, &OutcomeUnknownError{Cause: cause})
 			continue
 		}
@@ -253,22 +253,22 @@
 	}
 }
 
-// append writes as many claims of a batch as fit into the active segment.
+// append writes the claims of a batch that fit into the active segment.
 func (s *shard) append(ctx context.Context, batch []*pending) ([]*pending, error) {
 	next := s.view.active.clone()
 	at := s.view.position()
-	var first []*pending
+	var newlyInDoubt []*pending
 	added := 0
 	for _, p := range batch {
-		if _, twice := next.find(p.hash); twice || p.lookup || !next.fits(p.request.Target, s.claimer.cfg.SegmentBytes) {
+		if _, duplicate := next.find(p.hash); duplicate || p.lookup || !next.fits(p.request.Target, s.claimer.cfg.SegmentBytes) {
 			continue
 		}
-		sentBefore, ok := s.markSent(p, at)
+		wasInDoubt, ok := s.markInDoubt(p, at)
 		if !ok {
 			continue
 		}
-		if !sentBefore {
-			first = append(first, p)
+		if !wasInDoubt {
+			newlyInDoubt = append(newlyInDoubt, p)
 		}
 		next.add(p.record(s.claimer.cfg.Now()))
 		added++
@@ -278,15 +278,15 @@
 	}
 	err := s.write(ctx, next)
 	if isDefinite(err) {
-		s.clearSent(first)
+		s.clearInDoubt(newlyInDoubt)
 	}
 	if err == nil {
-		batch = s.decide(batch)
+		batch = s.answerFromView(batch)
 	}
 	return batch, err
 }
 
-// isDefinite reports an error after which the write cannot take effect.
+// isDefinite reports whether a write with this error cannot take effect any more.
 func isDefinite(err error) bool {
 	var conflict *objectapi.ConflictError
 	var tooLarge *objectapi.ValueTooLargeError
@@ -300,26 +300,26 @@
 	}
 }
 
-// markSent notes that a write with p is about to be made and reports whether
-// one was made before without a definite outcome. ok is false if the caller has gone.
-func (s *shard) markSent(p *pending, at position) (sentBefore, ok bool) {
+// markInDoubt marks p before a write and reports whether an earlier write left it in
+// doubt. ok is false if p is abandoned.
+func (s *shard) markInDoubt(p *pending, at position) (wasInDoubt, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.abandoned {
 		return false, false
 	}
-	sentBefore = p.sent
-	if !p.sent {
-		p.sent, p.sentTo = true, at
+	wasInDoubt = p.inDoubt
+	if !p.inDoubt {
+		p.inDoubt, p.writePosition = true, at
 	}
-	return sentBefore, true
+	return wasInDoubt, true
 }
 
-// clearSent notes that the only write with each of the claims cannot take effect.
-func (s *shard) clearSent(claims []*pending) {
+// clearInDoubt unmarks claims whose only write cannot take effect any more.
+func (s *shard) clearInDoubt(claims []*pending) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range claims {
-		p.sent = false
+		p.inDoubt = false
 	}
 }
--- a/fleet/claim/view.go
+++ b/fleet/claim/view.go
@@ -19,17 +19,17 @@
 
 func segmentName(number uint64) string { return fmt.Sprintf("%012d", number) }
 
-// view is what a process knows of a shard: the head, the active segment at one
-// version and all sealed segments from the floor on.
+// view is a cached copy of a shard: the head, one version of the active segment and all
+// sealed segments from the floor on.
 type view struct {
 	head        head
 	headVersion uint64
 	active      *segment
 	version     uint64
 	sealed      map[uint64]*segment
-	// stale asks for a new read before the view is used.
+	// stale requires a reload before the next use of the view.
 	stale bool
-	// fresh is true if the active segment was read in the present batch.
+	// fresh is true if the active segment was read or written in the current batch.
 	fresh bool
 }
 
@@ -47,7 +47,7 @@
 	return Record{}, false
 }
 
-// refresh reads the shard if the view is absent or stale.
+// refresh loads the view if it is missing or stale.
 func (s *shard) refresh(ctx context.Context) error {
 	switch {
 	case s.view == nil:
@@ -59,7 +59,7 @@
 	}
 }
 
-// load reads the whole shard, and creates it if it does not exist.
+// load reads the whole shard. It creates the shard if it does not exist.
 func (s *shard) load(ctx context.Context) error {
 	objects, err := s.list(ctx)
 	if err != nil {
@@ -73,7 +73,7 @@
 			return err
 		}
 	}
-	v, err := s.assemble(&view{}, func(name string) (objectapi.Object, error) {
+	v, err := s.buildView(&view{}, func(name string) (objectapi.Object, error) {
 		o, ok := objects[name]
 		if !ok {
 			return objectapi.Object{}, &objectapi.NotFoundError{Kind: s.kind, Name: name}
@@ -99,7 +99,7 @@
 	return byName, nil
 }
 
-// create writes the first segment and then the head. Another process may do so too.
+// create writes the first segment and then the head. Other processes may do the same.
 func (s *shard) create(ctx context.Context) error {
 	if err := s.createSegment(ctx, firstSegment); err != nil {
 		return err
@@ -133,9 +133,9 @@
 	return s.claimer.cfg.Store.Put(ctx, objectapi.Object{Kind: s.kind, Name: headName, Version: version, Value: value})
 }
 
-// reload reads the head, the active segment and the sealed segments that the view lacks.
+// reload reads the head, the active segment and the sealed segments missing in the view.
 func (s *shard) reload(ctx context.Context) error {
-	v, err := s.assemble(s.view, func(name string) (objectapi.Object, error) {
+	v, err := s.buildView(s.view, func(name string) (objectapi.Object, error) {
 		return s.claimer.cfg.Store.Get(ctx, s.kind, name)
 	})
 	if err != nil {
@@ -145,15 +145,15 @@
 	return nil
 }
 
-// assemble builds a view from objects, with what old has already. An answer
-// older than old is refused, since the platform may show older versions.
-func (s *shard) assemble(old *view, get func(name string) (objectapi.Object, error)) (*view, error) {
+// buildView builds a view from stored objects and the sealed segments of old. It fails
+// on versions older than those in old, since reads from the platform may be stale.
+func (s *shard) buildView(old *view, get func(name string) (objectapi.Object, error)) (*view, error) {
 	o, err := get(headName)
 	if err != nil {
 		return nil, err
 	}
 	if o.Version < old.headVersion {
-		return nil, errors.Newf("the platform shows version %d of the claim head after %d", o.Version, old.headVersion)
+		return nil, errors.Newf("stale read: version %d of the claim head after version %d", o.Version, old.headVersion)
 	}
 	v := &view{headVersion: o.Version, sealed: make(map[uint64]*segment), fresh: true}
 	if v.head, err = decodeHead(o.Value); err != nil {
@@ -168,7 +168,7 @@
 		return nil, err
 	}
 	if (position{v.head.Active, o.Version}).before(old.position()) {
-		return nil, errors.Newf("the platform shows version %d of claim segment %d after %d", o.Version, v.head.Active, old.version)
+		return nil, errors.Newf("stale read: version %d of claim segment %d after version %d", o.Version, v.head.Active, old.version)
 	}
 	v.version = o.Version
 	v.active, err = decodeSegment(o.Value)
@@ -177,7 +177,7 @@
 
 func (p position) before(q position) bool { return q.after(p) }
 
-// sealedSegment returns a segment that must be sealed, from the view or the platform.
+// sealedSegment returns a segment below the active one, from the view or the platform.
 func (v *view) sealedSegment(number uint64, get func(name string) (objectapi.Object, error)) (*segment, error) {
 	if s, ok := v.sealed[number]; ok {
 		return s, nil
@@ -194,13 +194,13 @@
 		return nil, err
 	}
 	if !s.sealed {
-		return nil, errors.Newf("the platform shows claim segment %s before it was sealed", strconv.FormatUint(number, 10))
+		return nil, errors.Newf("stale read: claim segment %s is not sealed", strconv.FormatUint(number, 10))
 	}
 	return s, nil
 }
 
-// write replaces the active segment by a conditional update. After a conflict
-// the view holds the segment that won.
+// write replaces the active segment by a conditional update. After a conflict, the
+// view holds the segment that is stored.
 func (s *shard) write(ctx context.Context, next *segment) error {
 	value, err := next.encode()
 	if err != nil {
@@ -217,35 +217,35 @@
 	v.stale = true
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
-		v.takeWinner(conflict.Current)
+		v.adoptCurrent(conflict.Current)
 	}
 	return err
 }
 
-// takeWinner replaces the active segment by the one that won a conditional update.
-func (v *view) takeWinner(o objectapi.Object) {
+// adoptCurrent replaces the active segment by the stored one after a conflict.
+func (v *view) adoptCurrent(o objectapi.Object) {
 	if o.Version <= v.version {
 		return
 	}
-	winner, err := decodeSegment(o.Value)
+	current, err := decodeSegment(o.Value)
 	if err != nil {
 		return
 	}
-	v.active, v.version = winner, o.Version
-	// A sealed winner says nothing about the segments after it.
-	v.stale, v.fresh = false, !winner.sealed
+	v.active, v.version = current, o.Version
+	// If it is sealed, later segments may hold further claims.
+	v.stale, v.fresh = false, !current.sealed
 }
 
-// seal marks the active segment as complete.
+// seal marks the active segment as sealed.
 func (s *shard) seal(ctx context.Context) error {
 	next := s.view.active.clone()
 	next.sealed = true
 	return s.write(ctx, next)
 }
 
-// roll creates the segment after a sealed one and moves the head to it. The
-// view is read anew, since another process may have done so.
-func (s *shard) roll(ctx context.Context) error {
+// startNextSegment creates the segment after a sealed active one and moves the head to
+// it. It marks the view as stale, since another process may have done the same.
+func (s *shard) startNextSegment(ctx context.Context) error {
 	s.view.stale = true
 	h := s.view.head
 	if err := s.createSegment(ctx, h.Active+1); err != nil {
