--- a/fleet/config/accept.go
+++ b/fleet/config/accept.go
@@ -12,11 +12,11 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// Envelope is what the platform holds for a kind of configuration.
+// Envelope is the stored form of the configuration of a kind.
 type Envelope struct {
-	// Writer names the operator who wrote the value.
+	// Writer is the name of the operator who wrote the value.
 	Writer string `json:"writer"`
-	// WrittenAt is the writer's wall time.
+	// WrittenAt is the writer's wall-clock time.
 	WrittenAt time.Time `json:"written_at"`
 	// Value is the JSON of a ServiceSet, TeamSet or EndpointSet.
 	Value json.RawMessage `json:"value"`
@@ -31,57 +31,58 @@
 	return e, nil
 }
 
-// Change is one wish of an operator to replace the configuration of a kind.
+// Change is an operator's request to replace the configuration of a kind.
 type Change struct {
 	Kind Kind
 	// Value is the JSON of a ServiceSet, TeamSet or EndpointSet.
 	Value []byte
-	// SeenVersion is the version that the operator changed, zero for none.
+	// SeenVersion is the version on which the change is based, zero to create the kind.
 	SeenVersion uint64
-	// Writer names the operator.
+	// Writer is the name of the operator.
 	Writer string
-	// Now is the wall time of the change.
+	// Now is the wall-clock time of the change.
 	Now time.Time
 }
 
-// Accepted states that a change is committed.
+// Accepted is the result of a committed change.
 type Accepted struct {
 	Kind    Kind   `json:"kind"`
 	Version uint64 `json:"version"`
 }
 
-// LostRaceError reports that another change was accepted since the version
-// that the operator saw. Nothing was written.
+// LostRaceError reports that another change was accepted after the version on which
+// the change is based. Nothing was written.
 type LostRaceError struct {
 	Kind Kind
-	// SeenVersion is the version that the operator changed, CurrentVersion the current one.
+	// SeenVersion is the version on which the change is based, CurrentVersion the stored
+	// one, zero if there is none.
 	SeenVersion, CurrentVersion uint64
-	// Writer and WrittenAt tell who wrote the current version and when.
+	// Writer and WrittenAt are those of the current version.
 	Writer    string
 	WrittenAt time.Time
 }
 
 func (e *LostRaceError) Error() string {
 	if e.CurrentVersion == 0 {
-		return fmt.Sprintf("configuration %q does not exist, the change was made to version %d", string(e.Kind), e.SeenVersion)
+		return fmt.Sprintf("configuration %q does not exist, the change is based on version %d", string(e.Kind), e.SeenVersion)
 	}
-	return fmt.Sprintf("configuration %q was changed by %q at %s: it has version %d, the change was made to version %d",
+	return fmt.Sprintf("configuration %q was changed by %q at %s: it has version %d, the change is based on version %d",
 		string(e.Kind), e.Writer, e.WrittenAt.UTC().Format(time.RFC3339), e.CurrentVersion, e.SeenVersion)
 }
 
-// Accept validates a change by itself and against the other kinds and commits
-// it by a conditional update. A nil error means that it is committed. The error
-// is a finding.List, a *LostRaceError or one of the platform's. It blocks on the store.
+// Accept validates a change, also against the other kinds, and commits it by a
+// conditional update. The error is a finding.List, a *LostRaceError or an error of the
+// store; the change is committed if it is nil. Accept blocks on the store.
 func Accept(ctx context.Context, store objectapi.Store, c Change) (Accepted, error) {
 	set, err := Decode(c.Kind, c.Value)
 	if err != nil {
 		return Accepted{}, err
 	}
-	current, err := load(ctx, store, c.Kind)
+	current, err := loadSnapshot(ctx, store, c.Kind)
 	if err != nil {
 		return Accepted{}, err
 	}
-	if err := validateAcross(c.Kind, current.with(set)).Err(); err != nil {
+	if err := validateAcross(c.Kind, current.withSet(set)).Err(); err != nil {
 		return Accepted{}, err
 	}
 	value, err := json.Marshal(Envelope{Writer: c.Writer, WrittenAt: c.Now, Value: c.Value})
@@ -102,7 +103,7 @@
 	})
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
-		return Accepted{}, lostRace(c, conflict.Current)
+		return Accepted{}, newLostRaceError(c, conflict.Current)
 	}
 	if err != nil {
 		return Accepted{}, err
@@ -110,7 +111,7 @@
 	return Accepted{Kind: c.Kind, Version: written.Version}, nil
 }
 
-func lostRace(c Change, current objectapi.Object) error {
+func newLostRaceError(c Change, current objectapi.Object) error {
 	e := &LostRaceError{Kind: c.Kind, SeenVersion: c.SeenVersion, CurrentVersion: current.Version}
 	if envelope, err := DecodeEnvelope(current.Value); err == nil {
 		e.Writer, e.WrittenAt = envelope.Writer, envelope.WrittenAt
@@ -118,9 +119,9 @@
 	return e
 }
 
-// load reads the configurations of all kinds. A stored value of the changed kind
-// that cannot be read does not block the change that mends it.
-func load(ctx context.Context, store objectapi.Store, changed Kind) (*Snapshot, error) {
+// loadSnapshot reads the configurations of all kinds. It skips an invalid stored value
+// of the changed kind, so that the change can repair it.
+func loadSnapshot(ctx context.Context, store objectapi.Store, changed Kind) (*Snapshot, error) {
 	objects, _, err := store.List(ctx, ObjectKind)
 	if err != nil {
 		return nil, err
--- a/fleet/config/check.go
+++ b/fleet/config/check.go
@@ -2,17 +2,17 @@
 
 import "github.com/siskinford/siskinford/core/finding"
 
-// Source is a value to check and where it is from.
+// Source is a value to check and its origin.
 type Source struct {
 	Kind Kind
-	// Place is put before the place of each finding, for example a file's name.
+	// Place is the prefix for the place of each finding, for example a file name.
 	Place string
 	// Value is the JSON of a ServiceSet, TeamSet or EndpointSet.
 	Value []byte
 }
 
-// Check returns all findings in values that are not stored yet. References to
-// services are checked if the services are among the sources.
+// Check validates values that are not stored yet. References to services are checked
+// only if the services are among the sources.
 func Check(sources []Source) finding.List {
 	var l finding.List
 	s := NewSnapshot()
@@ -23,7 +23,7 @@
 			l.Merge(source.Place+": ", findingsOf(err))
 			continue
 		}
-		s = s.with(set)
+		s = s.withSet(set)
 		hasServices = hasServices || source.Kind == KindServices
 	}
 	if !hasServices {
@@ -37,7 +37,7 @@
 	return l
 }
 
-// findingsOf returns the findings that an error of Decode holds.
+// findingsOf returns the findings in an error of Decode.
 func findingsOf(err error) finding.List {
 	if l, ok := err.(finding.List); ok {
 		return l
--- a/fleet/config/config_test.go
+++ b/fleet/config/config_test.go
@@ -95,7 +95,7 @@
 	return b
 }
 
-func TestSnapshotTakesOnlyGreaterVersions(t *testing.T) {
+func TestSnapshotAppliesOnlyGreaterVersions(t *testing.T) {
 	empty := config.NewSnapshot()
 	s, err := empty.Apply(config.KindServices, 3, envelope(t, services))
 	assert.NilError(t, err)
@@ -177,22 +177,22 @@
 	assert.Equal(t, o.Version, uint64(1))
 }
 
-// unclear is a store whose writes have an unknown outcome.
-type unclear struct{ *memstore.Store }
+// unknownOutcomeStore is a store whose writes take effect but report an unknown outcome.
+type unknownOutcomeStore struct{ *memstore.Store }
 
-func (u unclear) Put(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
+func (u unknownOutcomeStore) Put(ctx context.Context, o objectapi.Object) (objectapi.Object, error) {
 	_, _ = u.Store.Put(ctx, o)
 	return objectapi.Object{}, &objectapi.OutcomeUnknownError{Kind: o.Kind, Name: o.Name, Cause: context.DeadlineExceeded}
 }
 
 func TestAcceptSaysNothingOfAnUnknownOutcome(t *testing.T) {
-	store := unclear{memstore.New(memstore.Config{})}
+	store := unknownOutcomeStore{memstore.New(memstore.Config{})}
 	_, err := config.Accept(context.Background(), store, change(config.KindServices, services, 0))
 	var unknown *objectapi.OutcomeUnknownError
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 }
 
-func TestAcceptMendsAnUnreadableValue(t *testing.T) {
+func TestAcceptReplacesUndecodableValue(t *testing.T) {
 	ctx := context.Background()
 	store := memstore.New(memstore.Config{})
 	_, err := store.Put(ctx, objectapi.Object{Kind: config.ObjectKind, Name: string(config.KindServices), Value: []byte("{")})
--- a/fleet/config/decode.go
+++ b/fleet/config/decode.go
@@ -12,16 +12,15 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// decodeStrict decodes JSON into v, a pointer to a struct. It reports every
-// unknown, repeated or mistyped field with its place, such as
-// "services[3].name", and a syntax error with line and column. Field names must
-// match in case.
+// decodeStrict decodes JSON into v, a pointer to a struct. It reports all unknown,
+// duplicate and mistyped fields with their place, such as "services[3].name", and a
+// syntax error with line and column. Field names are case-sensitive.
 func decodeStrict(data []byte, v any) finding.List {
 	d := &strictDecoder{data: data, json: json.NewDecoder(bytes.NewReader(data))}
 	d.json.UseNumber()
 	d.value("", reflect.TypeOf(v).Elem())
-	if !d.broken {
-		d.end()
+	if !d.malformed {
+		d.checkEnd()
 	}
 	if len(d.findings) > 0 {
 		return d.findings
@@ -32,13 +31,13 @@
 	return d.findings
 }
 
-// strictDecoder walks the tokens of a document along a Go type.
+// strictDecoder compares the tokens of a document with a Go type.
 type strictDecoder struct {
 	data     []byte
 	json     *json.Decoder
 	findings finding.List
-	// broken is set after a syntax error, which ends the walk.
-	broken bool
+	// malformed is set after a syntax error, which ends the decoding.
+	malformed bool
 }
 
 func (d *strictDecoder) token() json.Token {
@@ -46,7 +45,7 @@
 	if err == nil {
 		return t
 	}
-	d.broken = true
+	d.malformed = true
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
@@ -55,8 +54,8 @@
 	return nil
 }
 
-// syntaxOffset returns the number of bytes up to and with the syntax error. The
-// token reader's own errors count from the start of its buffer.
+// syntaxOffset returns the number of bytes up to and including the syntax error. The
+// offsets in errors of json.Decoder.Token are relative to its buffer.
 func (d *strictDecoder) syntaxOffset() int64 {
 	var discard any
 	err := json.Unmarshal(d.data, &discard)
@@ -66,7 +65,7 @@
 	return d.json.InputOffset()
 }
 
-// position converts a byte offset into a line and column, both from one.
+// position converts a byte offset into a one-based line and column.
 func position(data []byte, offset int64) (line, column int) {
 	before := data[:min(int(offset), len(data))]
 	line = 1 + bytes.Count(before, []byte("\n"))
@@ -74,7 +73,7 @@
 	return line, column
 }
 
-func (d *strictDecoder) end() {
+func (d *strictDecoder) checkEnd() {
 	if _, err := d.json.Token(); err != io.EOF {
 		line, column := position(d.data, d.json.InputOffset())
 		d.findings.Addf(fmt.Sprintf("line %d, column %d", line, column), "text follows the document")
@@ -87,7 +86,7 @@
 		t = t.Elem()
 	}
 	token := d.token()
-	if d.broken {
+	if d.malformed {
 		return
 	}
 	delim, ok := token.(json.Delim)
@@ -101,12 +100,12 @@
 	}
 }
 
-// container returns t if it is of the kind of the container found, else nil.
+// container returns t if it is nil or of kind found, and otherwise nil after a finding.
 func (d *strictDecoder) container(place string, t reflect.Type, found reflect.Kind) reflect.Type {
 	if t == nil || t.Kind() == found {
 		return t
 	}
-	d.findings.Addf(place, "must be %s, not %s", describe(t.Kind()), describe(found))
+	d.findings.Addf(place, "must be %s, not %s", kindText(t.Kind()), kindText(found))
 	return nil
 }
 
@@ -114,17 +113,17 @@
 	seen := make(map[string]bool)
 	for d.json.More() {
 		token := d.token()
-		if d.broken {
+		if d.malformed {
 			return
 		}
 		name, _ := token.(string)
-		inner := join(place, name)
+		inner := joinPlace(place, name)
 		if seen[name] {
 			d.findings.Addf(inner, "field %q is repeated", name)
 		}
 		seen[name] = true
 		d.value(inner, d.field(inner, name, t))
-		if d.broken {
+		if d.malformed {
 			return
 		}
 	}
@@ -152,7 +151,7 @@
 	}
 	for i := 0; d.json.More(); i++ {
 		d.value(fmt.Sprintf("%s[%d]", place, i), element)
-		if d.broken {
+		if d.malformed {
 			return
 		}
 	}
@@ -170,14 +169,14 @@
 	case bool:
 		ok = t.Kind() == reflect.Bool
 	case json.Number:
-		ok = fits(x, t.Kind())
+		ok = fitsKind(x, t.Kind())
 	}
 	if !ok {
-		d.findings.Addf(place, "must be %s, not %s", describe(t.Kind()), text(token))
+		d.findings.Addf(place, "must be %s, not %s", kindText(t.Kind()), tokenText(token))
 	}
 }
 
-func fits(n json.Number, k reflect.Kind) bool {
+func fitsKind(n json.Number, k reflect.Kind) bool {
 	switch k {
 	case reflect.Int:
 		_, err := n.Int64()
@@ -190,7 +189,7 @@
 	}
 }
 
-func describe(k reflect.Kind) string {
+func kindText(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "a string"
@@ -207,14 +206,14 @@
 	}
 }
 
-func text(token json.Token) string {
+func tokenText(token json.Token) string {
 	if token == nil {
 		return "null"
 	}
 	return fmt.Sprintf("%#v", token)
 }
 
-func join(place, name string) string {
+func joinPlace(place, name string) string {
 	if place == "" {
 		return name
 	}
--- a/fleet/config/fuzz_test.go
+++ b/fleet/config/fuzz_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzDecode decodes values of all kinds. What is accepted must be accepted
-// again after it was encoded.
+// FuzzDecode checks that an accepted value of any kind is accepted again after it was
+// encoded.
 func FuzzDecode(f *testing.F) {
 	f.Add(`{"services":[{"name":"asistente","type":"model","model":"m","deadline_ms":10}]}`)
 	f.Add(`{"teams":[{"name":"puno","key_hashes":[],"weight":1.5,"services":["a"]}]}`)
--- a/fleet/config/ranks.go
+++ b/fleet/config/ranks.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxRanks bounds the ranks of a group.
+	// maxRanks bounds the number of ranks of a group.
 	maxRanks = 4096
-	// maxLayers bounds the layers of a model.
+	// maxLayers bounds the number of layers of a model.
 	maxLayers = 1024
-	// maxExperts bounds the experts of a layer, and the slots of a rank.
+	// maxExperts bounds the number of experts of a layer and of slots of a rank.
 	maxExperts = 4096
 )
 
@@ -40,8 +40,8 @@
 	}
 }
 
-// checkRanks reports ranks that their service does not have, or that stand on
-// two endpoints. Ranks without an endpoint are allowed: their host is being replaced.
+// checkRanks reports ranks that their service does not have or that two endpoints
+// list. Ranks without an endpoint are valid while their host is being replaced.
 func (s *Snapshot) checkRanks(l *finding.List, kind Kind) {
 	used := map[id.Service]unique{}
 	for i, e := range s.endpoints.Endpoints {
--- a/fleet/config/ranks_test.go
+++ b/fleet/config/ranks_test.go
@@ -67,8 +67,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := NewSnapshot().with(&ServiceSet{Services: []Service{groupService(tt.experts)}})
-			s = s.with(&EndpointSet{Endpoints: []Endpoint{
+			s := NewSnapshot().withSet(&ServiceSet{Services: []Service{groupService(tt.experts)}})
+			s = s.withSet(&EndpointSet{Endpoints: []Endpoint{
 				{Name: "a", Service: "asistente", Ranks: tt.ranks[0]}, {Name: "b", Service: "asistente", Ranks: tt.ranks[1]},
 			}})
 			assert.DeepEqual(t, places(validateAcross(KindEndpoints, s)), tt.want)
--- a/fleet/config/snapshot.go
+++ b/fleet/config/snapshot.go
@@ -10,8 +10,8 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Snapshot is a set of configurations, one version of each kind, with indexes.
-// It is immutable; its callers must not change what it returns.
+// Snapshot is an immutable, indexed set of configurations, one version of each kind.
+// Callers must not modify returned slices.
 type Snapshot struct {
 	versions  map[Kind]uint64
 	values    map[Kind][]byte
@@ -25,17 +25,17 @@
 	endpointsByService map[id.Service][]Endpoint
 }
 
-// NewSnapshot returns a snapshot in which every kind is empty and has version zero.
+// NewSnapshot returns a snapshot without configurations: every kind has version zero.
 func NewSnapshot() *Snapshot {
 	s := &Snapshot{versions: map[Kind]uint64{}, values: map[Kind][]byte{}}
 	s.index()
 	return s
 }
 
-// StaleVersionError reports a version that is not greater than the one held.
+// StaleVersionError reports a version that is not greater than that of the snapshot.
 type StaleVersionError struct {
 	Kind Kind
-	// Held is the version in force, Offered the one that was refused.
+	// Held is the version in the snapshot, Offered the rejected one.
 	Held, Offered uint64
 }
 
@@ -43,10 +43,10 @@
 	return fmt.Sprintf("configuration %q has version %d, version %d is not greater", string(e.Kind), e.Held, e.Offered)
 }
 
-// Apply returns a snapshot with the value of one kind replaced. The value is an
-// encoded Envelope as the platform holds it. The error is a *StaleVersionError
-// unless version is greater than the one held, or a finding.List. References
-// between kinds are not checked here, since kinds spread one by one.
+// Apply returns a snapshot with the value of a kind replaced by an encoded Envelope. The
+// error is a *StaleVersionError unless version is greater than the snapshot's, an error
+// of DecodeEnvelope, or a finding.List. References between kinds are not checked,
+// since kinds are distributed independently.
 func (s *Snapshot) Apply(kind Kind, version uint64, value []byte) (*Snapshot, error) {
 	if held := s.versions[kind]; version <= held {
 		return nil, &StaleVersionError{Kind: kind, Held: held, Offered: version}
@@ -59,14 +59,14 @@
 	if err != nil {
 		return nil, err
 	}
-	next := s.with(set)
+	next := s.withSet(set)
 	next.versions[kind] = version
 	next.values[kind] = slices.Clone(value)
 	return next, nil
 }
 
-// with returns a copy of s in which one set is replaced.
-func (s *Snapshot) with(set any) *Snapshot {
+// withSet returns a copy of s with one set replaced.
+func (s *Snapshot) withSet(set any) *Snapshot {
 	next := &Snapshot{
 		versions: maps.Clone(s.versions), values: maps.Clone(s.values),
 		services: s.services, teams: s.teams, endpoints: s.endpoints,
@@ -104,7 +104,7 @@
 	}
 }
 
-// Version returns the version of a kind, zero if there is none.
+// Version returns the version of a kind, zero if it is not present.
 func (s *Snapshot) Version(kind Kind) uint64 { return s.versions[kind] }
 
 // Versions returns the version of each kind that is present.
@@ -113,7 +113,7 @@
 // Complete reports whether every kind is present.
 func (s *Snapshot) Complete() bool { return len(s.versions) == len(Kinds()) }
 
-// Value returns the encoded Envelope of a kind, to be passed on to peers.
+// Value returns the encoded Envelope of a kind, which is sent to peers.
 func (s *Snapshot) Value(kind Kind) []byte { return s.values[kind] }
 
 // Services returns all services.
@@ -146,7 +146,7 @@
 	return team, ok
 }
 
-// HashKey returns the hash under which an API key stands in the configuration.
+// HashKey returns the hash of an API key in the form of Team.KeyHashes.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/fleet/config/validate.go
+++ b/fleet/config/validate.go
@@ -11,20 +11,18 @@
 )
 
 const (
-	// maxNameLen bounds every name. Unit: bytes.
+	// maxNameLen bounds the length of a name. Unit: bytes.
 	maxNameLen = 128
 	// keyHashLen is the length of a SHA-256 hash. Unit: bytes.
-	keyHashLen = 32
-	// maxEndpointWeight is the largest weight of an endpoint.
+	keyHashLen        = 32
 	maxEndpointWeight = 100
-	// maxTeamWeight is the largest weight of a team.
-	maxTeamWeight = 1000
-	// maxDeadlineMS is the longest deadline of a service. Unit: milliseconds.
+	maxTeamWeight     = 1000
+	// maxDeadlineMS bounds the deadline of a service. Unit: milliseconds.
 	maxDeadlineMS = 24 * 3600 * 1000
 )
 
-// Decode decodes the value of a kind and validates it by itself. The error of
-// type finding.List holds all findings with their place.
+// Decode decodes the value of a kind and validates it without the other kinds. The
+// error is a finding.List.
 func Decode(kind Kind, data []byte) (any, error) {
 	var l finding.List
 	var v any
@@ -47,38 +45,38 @@
 	if len(l) > 0 {
 		return nil, l.Err()
 	}
-	makeLists(v)
+	replaceNilLists(v)
 	if l = Validate(v); len(l) > 0 {
 		return nil, l.Err()
 	}
 	return v, nil
 }
 
-// makeLists turns a list that is absent into an empty one, which can be encoded
-// and decoded again.
-func makeLists(v any) {
+// replaceNilLists replaces an absent list by an empty one: a nil slice is encoded as
+// null, which decodeStrict rejects.
+func replaceNilLists(v any) {
 	switch v := v.(type) {
 	case *ServiceSet:
-		v.Services = list(v.Services)
+		v.Services = emptyIfNil(v.Services)
 	case *TeamSet:
-		v.Teams = list(v.Teams)
+		v.Teams = emptyIfNil(v.Teams)
 	case *EndpointSet:
-		v.Endpoints = list(v.Endpoints)
+		v.Endpoints = emptyIfNil(v.Endpoints)
 	}
 }
 
-func list[T any](items []T) []T {
+func emptyIfNil[T any](items []T) []T {
 	if items == nil {
 		return []T{}
 	}
 	return items
 }
 
-// maxValueBytes leaves room for the envelope within a platform value, in which
-// the value stands as JSON.
+// maxValueBytes leaves room for the Envelope, which embeds the value as JSON, within a
+// platform value.
 const maxValueBytes = objectapi.MaxValueBytes - 4096
 
-// Validate returns all findings in a *ServiceSet, *TeamSet or *EndpointSet by itself.
+// Validate validates a *ServiceSet, *TeamSet or *EndpointSet without the other kinds.
 func Validate(v any) finding.List {
 	switch v := v.(type) {
 	case *ServiceSet:
@@ -93,10 +91,10 @@
 	return l
 }
 
-// unique reports values that occur more than once.
+// unique detects duplicate values. It maps a value to its first place.
 type unique map[string]string
 
-// add records a value and reports the place of an equal one before.
+// add adds a value, or a finding if the value was added before.
 func (u unique) add(l *finding.List, place, what, value string) {
 	if value == "" {
 		return
@@ -226,7 +224,7 @@
 	}
 }
 
-// validateAcross returns the findings in kind that concern other kinds.
+// validateAcross returns the findings in the references between kind and other kinds.
 func validateAcross(kind Kind, s *Snapshot) finding.List {
 	var l finding.List
 	if kind == KindTeams || kind == KindServices {
@@ -243,7 +241,7 @@
 	for i, team := range s.teams.Teams {
 		for j, name := range team.Services {
 			if _, ok := s.serviceByName[name]; !ok {
-				addMissing(l, kind, fmt.Sprintf("teams[%d].services[%d]", i, j), string(name), "team", string(team.Name))
+				reportMissingService(l, kind, fmt.Sprintf("teams[%d].services[%d]", i, j), string(name), "team", string(team.Name))
 			}
 		}
 	}
@@ -252,14 +250,14 @@
 func (s *Snapshot) checkEndpointServices(l *finding.List, kind Kind) {
 	for i, e := range s.endpoints.Endpoints {
 		if _, ok := s.serviceByName[e.Service]; !ok {
-			addMissing(l, kind, fmt.Sprintf("endpoints[%d].service", i), string(e.Service), "endpoint", string(e.Name))
+			reportMissingService(l, kind, fmt.Sprintf("endpoints[%d].service", i), string(e.Service), "endpoint", string(e.Name))
 		}
 	}
 }
 
-// addMissing reports a service that is referred to but absent, at the place of
-// the reference or, if the services are what is being changed, at their set.
-func addMissing(l *finding.List, kind Kind, place, service, whatRefers, refers string) {
+// reportMissingService adds a finding for a reference to a service that does not exist,
+// at the reference or, if kind is KindServices, at the services.
+func reportMissingService(l *finding.List, kind Kind, place, service, whatRefers, refers string) {
 	if kind == KindServices {
 		l.Addf("services", "service %q is missing but %s %q refers to it", service, whatRefers, refers)
 		return
