--- a/fleet/claim/shard.go
+++ b/fleet/claim/shard.go
@@ -277,7 +277,7 @@
 		return batch, nil
 	}
 	err := s.write(ctx, next)
-	if isDefinite(err) {
+	if isDefiniteFailure(err) {
 		s.clearInDoubt(newlyInDoubt)
 	}
 	if err == nil {
@@ -286,8 +286,8 @@
 	return batch, err
 }
 
-// isDefinite reports whether a write with this error cannot take effect any more.
-func isDefinite(err error) bool {
+// isDefiniteFailure reports whether a write with this error cannot take effect any more.
+func isDefiniteFailure(err error) bool {
 	var conflict *objectapi.ConflictError
 	var tooLarge *objectapi.ValueTooLargeError
 	return isUnavailable(err) || errors.As(err, &conflict) || errors.As(err, &tooLarge)
--- a/fleet/objectapi/faultstore/faultstore.go
+++ b/fleet/objectapi/faultstore/faultstore.go
@@ -42,7 +42,7 @@
 	return &Store{inner: inner, changed: make(chan struct{})}
 }
 
-// Calls returns the calls so far. A watch is one call.
+// Calls returns all calls so far. A watch counts as one call.
 func (s *Store) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +65,7 @@
 	s.responsesToLose = n
 }
 
-// SetReadLag makes reads return each object as it was before its last writes.
+// SetReadLag makes reads return each object as it was the given number of writes ago.
 func (s *Store) SetReadLag(writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fleet/objectapi/store.go
+++ b/fleet/objectapi/store.go
@@ -86,7 +86,6 @@
 
 // ConflictError reports that the condition of a write or deletion was not met.
 type ConflictError struct {
-	// ExpectedVersion is the version that the writer expected.
 	ExpectedVersion uint64
 	// Current is the stored object.
 	Current Object
