--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -222,7 +222,7 @@
 	mux := transport.NewMux(peer.NewCaller(e.pool), e.set)
 	var err error
 	e.mesh, err = mesh.New(mesh.Options{
-		Self: e.self, Store: e.store.Patient(memberWatchWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
+		Self: e.self, Store: e.store.WithPollWait(memberWatchWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
 		Versions: e.versions, Get: e.encodeValue, Put: e.applyValue,
 		Watched: map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
 		State:   e.encodeState, OnState: e.applyState, Summary: e.encodeSummary, OnSummary: e.applySummary,
