--- a/entry/edge/watch.go
+++ b/entry/edge/watch.go
@@ -82,7 +82,7 @@
 func (w *objectWatcher) watch(ctx context.Context, revision uint64) {
 	limiter := rate.NewLimiter(watchRate, watchBurst)
 	for limiter.Wait(ctx) == nil && w.edge.mesh.Reader() {
-		changed, at, err := w.edge.store.Patient(w.edge.watchWait()).Watch(ctx, w.kind, revision)
+		changed, at, err := w.edge.store.WithPollWait(w.edge.watchWait()).Watch(ctx, w.kind, revision)
 		var gone *objectapi.HistoryGoneError
 		if errors.As(err, &gone) {
 			return
