--- a/entry/expertmaps/coordinator.go
+++ b/entry/expertmaps/coordinator.go
@@ -131,7 +131,7 @@
 	name := DutyName(o.Service, o.Group)
 	lease, err := duty.NewLease(duty.LeaseConfig{
 		Store: o.Store, Duty: name, Holder: o.Holder, TTL: o.Config.LeaseTTL,
-		Gone: o.Peers.Gone,
+		HolderDead: o.Peers.Gone,
 	})
 	if err != nil {
 		return nil, err
@@ -204,7 +204,7 @@
 	case holder != "" && holder != c.opt.Holder && c.opt.Peers.Acting(holder, c.duty) && n%observeEverySteps != 0:
 		return nil
 	}
-	return c.lease.Step(ctx)
+	return c.lease.AcquireOrRenew(ctx)
 }
 
 // startSession runs a session under a token. Zero means that the lease was lost.
--- a/entry/groups/lease.go
+++ b/entry/groups/lease.go
@@ -99,7 +99,7 @@
 	if mustRelease && l.lease.Release(ctx) != nil {
 		return
 	}
-	_ = l.lease.Step(ctx) // Retried in the next pass.
+	_ = l.lease.AcquireOrRenew(ctx) // Retried in the next pass.
 }
 
 func (l *groupLease) release() {
--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -134,7 +134,7 @@
 func (l *Limiter) step(ctx context.Context, lease *duty.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, l.config.CallTimeout)
 	defer cancel()
-	_ = lease.Step(ctx)
+	_ = lease.AcquireOrRenew(ctx)
 }
 
 // exchange makes one exchange of this entry with the zone's holders and then one
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -17,7 +17,7 @@
 
 // shard is what an entry keeps for a shard as a holder.
 type shard struct {
-	// lease is the authority to divide the limits of the shard. Step and Release
+	// lease is the authority to divide the limits of the shard. AcquireOrRenew and Release
 	// are called by one goroutine.
 	lease *duty.Lease
 
@@ -112,7 +112,7 @@
 		return &answer{Redirect: l.redirect(int(r.Shard))}
 	}
 	teams := l.teams.Load()
-	until := s.lease.Until()
+	until := s.lease.ValidUntil()
 	a := &answer{}
 	for i, k := range r.Teams {
 		t := teams.lookup(k, r.Shard)
--- a/fleet/duty/duty_test.go
+++ b/fleet/duty/duty_test.go
@@ -84,7 +84,7 @@
 func (f *fleet) slow(observer *duty.Lease) {
 	f.fault = func(o objectapi.Object) (objectapi.Object, error) {
 		written, err := f.Store.Put(context.Background(), o)
-		_ = observer.Step(context.Background())
+		_ = observer.AcquireOrRenew(context.Background())
 		f.pass(ttl)
 		return written, err
 	}
@@ -95,13 +95,13 @@
 func (f *fleet) step(leases ...*duty.Lease) {
 	f.t.Helper()
 	for _, l := range leases {
-		assert.NilError(f.t, l.Step(context.Background()))
+		assert.NilError(f.t, l.AcquireOrRenew(context.Background()))
 	}
 }
 
 func (f *fleet) fails(l *duty.Lease, want any) {
 	f.t.Helper()
-	err := l.Step(context.Background())
+	err := l.AcquireOrRenew(context.Background())
 	assert.Assert(f.t, errors.As(err, want), "%v", err)
 }
 
@@ -243,7 +243,7 @@
 			f.step(f.a)
 			current := f.Store
 			f.Store = memstore.New(memstore.Config{})
-			var older *duty.OlderVersionError
+			var older *duty.StaleReadError
 			f.fails(f.a, &older)
 			f.Store = current
 			f.holds(0, 2)
@@ -273,7 +273,7 @@
 			if random.IntN(12) == 0 {
 				_ = l.Release(context.Background())
 			} else {
-				_ = l.Step(context.Background())
+				_ = l.AcquireOrRenew(context.Background())
 			}
 			f.pass(time.Duration(random.Int64N(int64(ttl / 2))))
 			valid := 0
--- a/fleet/duty/lease.go
+++ b/fleet/duty/lease.go
@@ -33,9 +33,9 @@
 	Holder string
 	// TTL is the time for which a renewal lasts. It should be renewed at a third of it. Default: 10 s.
 	TTL time.Duration
-	// Gone reports that a holder is known to have ended, so that its lease can be
+	// HolderDead reports that a holder is known to have ended, so that its lease can be
 	// taken at once. Default: no holder is.
-	Gone func(holder string) bool
+	HolderDead func(holder string) bool
 	// Now returns a time with a monotonic reading. Default: time.Now.
 	Now func() time.Time
 }
@@ -108,8 +108,8 @@
 	if cfg.TTL == 0 {
 		cfg.TTL = defaultTTL
 	}
-	if cfg.Gone == nil {
-		cfg.Gone = func(string) bool { return false }
+	if cfg.HolderDead == nil {
+		cfg.HolderDead = func(string) bool { return false }
 	}
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -128,9 +128,9 @@
 	return l.epoch, true
 }
 
-// Until returns the end of the lease on the holder's clock. It is meaningful
+// ValidUntil returns the end of the lease on the holder's clock. It is meaningful
 // only while Valid returns true.
-func (l *Lease) Until() time.Time {
+func (l *Lease) ValidUntil() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.validUntil
@@ -153,10 +153,10 @@
 	}
 }
 
-// Step acquires the lease if it is free, renews it if it is held by this
+// AcquireOrRenew acquires the lease if it is free, renews it if it is held by this
 // process, and otherwise observes the holder. It makes at most two calls and
 // blocks on the platform. An error leaves the lease as it was.
-func (l *Lease) Step(ctx context.Context) error {
+func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	if l.doubtful || l.value.Holder != l.cfg.Holder {
 		if err := l.read(ctx); err != nil {
 			return err
@@ -167,7 +167,7 @@
 		return l.write(ctx, l.own(1, false))
 	case l.value.Holder == l.cfg.Holder && !l.value.Released:
 		return l.write(ctx, l.own(l.value.Epoch, false))
-	case l.value.Released || l.expired(l.cfg.Now()) || l.cfg.Gone(l.value.Holder):
+	case l.value.Released || l.expired(l.cfg.Now()) || l.cfg.HolderDead(l.value.Holder):
 		return l.write(ctx, l.own(l.value.Epoch+1, false))
 	default:
 		return nil
@@ -214,20 +214,20 @@
 	return l.observe(o)
 }
 
-// OlderVersionError reports that the platform showed an older version of a lease than before.
-type OlderVersionError struct {
+// StaleReadError reports that the platform showed an older version of a lease than before.
+type StaleReadError struct {
 	Duty        Name
 	Seen, Shown uint64
 }
 
-func (e *OlderVersionError) Error() string {
+func (e *StaleReadError) Error() string {
 	return fmt.Sprintf("the platform shows version %d of the lease %q after version %d", e.Shown, string(e.Duty), e.Seen)
 }
 
 // observe takes note of the stored object.
 func (l *Lease) observe(o objectapi.Object) error {
 	if o.Version < l.seen.Version {
-		return &OlderVersionError{Duty: l.cfg.Duty, Seen: l.seen.Version, Shown: o.Version}
+		return &StaleReadError{Duty: l.cfg.Duty, Seen: l.seen.Version, Shown: o.Version}
 	}
 	var v leaseValue
 	if o.Version > 0 {
--- a/lab/platform/claim_test.go
+++ b/lab/platform/claim_test.go
@@ -90,7 +90,7 @@
 	for _, faults := range []lab.Faults{{}, {LoseAnswers: 1}, {HoldWrites: 1}, {StaleVersions: 1}} {
 		assert.NilError(t, p.SetFaults(faults))
 		now = now.Add(5 * time.Second)
-		assert.NilError(t, l.Step(context.Background()))
+		assert.NilError(t, l.AcquireOrRenew(context.Background()))
 		epoch, ok := l.Valid(now.Add(5 * time.Second))
 		assert.Assert(t, ok)
 		assert.Equal(t, epoch, uint64(1))
