--- a/entry/hosts/hosts.go
+++ b/entry/hosts/hosts.go
@@ -37,8 +37,8 @@
 type Members interface {
 	Self() member.Peer
 	Live() []member.Peer
-	Duty(key string) bool
-	SetHints(list []objectapi.Host)
+	Owns(key string) bool
+	SetHostList(list []objectapi.Host)
 }
 
 // DutyKey is the key of the duty to read the host list for the zone.
@@ -78,7 +78,7 @@
 // Run reads the host list until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		hasDuty := w.deps.Members.Duty(DutyKey)
+		hasDuty := w.deps.Members.Owns(DutyKey)
 		if hasDuty || len(w.deps.Members.Live()) <= 1 {
 			w.read(ctx, hasDuty)
 		}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return
 	}
-	w.deps.Members.SetHints(list)
+	w.deps.Members.SetHostList(list)
 	var leaving []id.Host
 	for _, h := range list {
 		if h.State == objectapi.HostLeaving {
--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -22,8 +22,8 @@
 type Members interface {
 	Self() member.Peer
 	Live() []member.Peer
-	Zones() []member.Zone
-	Elsewhere() []member.Peer
+	Zones() []member.ZoneStatus
+	RemotePeers() []member.Peer
 }
 
 // Deps are the parts that Limiter works with.
@@ -231,7 +231,7 @@
 	if address := s.leaseAddress(); address != "" {
 		addresses = append(addresses, address)
 	}
-	for _, p := range l.deps.Members.Elsewhere() {
+	for _, p := range l.deps.Members.RemotePeers() {
 		addresses = append(addresses, p.Address)
 	}
 	if len(addresses) == 0 {
--- a/entry/limits/world_test.go
+++ b/entry/limits/world_test.go
@@ -149,19 +149,19 @@
 }
 
 // Zones implements Members.
-func (n *node) Zones() []member.Zone {
-	var out []member.Zone
+func (n *node) Zones() []member.ZoneStatus {
+	var out []member.ZoneStatus
 	for _, other := range n.w.nodes {
-		named := func(z member.Zone) bool { return z.Name == other.zone }
+		named := func(z member.ZoneStatus) bool { return z.Name == other.zone }
 		if other.zone != n.zone && !slices.ContainsFunc(out, named) {
-			out = append(out, member.Zone{Name: other.zone})
+			out = append(out, member.ZoneStatus{Name: other.zone})
 		}
 	}
 	return out
 }
 
-// Elsewhere implements Members.
-func (n *node) Elsewhere() []member.Peer {
+// RemotePeers implements Members.
+func (n *node) RemotePeers() []member.Peer {
 	var out []member.Peer
 	for _, other := range n.w.nodes {
 		if other.zone != n.zone {
--- a/entry/operator/gather.go
+++ b/entry/operator/gather.go
@@ -98,7 +98,7 @@
 
 // otherZones returns each other zone that is in the membership or the
 // configuration, with its contacts.
-func (s *Service) otherZones() []member.Zone {
+func (s *Service) otherZones() []member.ZoneStatus {
 	zones := s.deps.Members.Zones()
 	known := map[id.Zone]bool{s.deps.Zone: true}
 	for _, z := range zones {
@@ -107,17 +107,17 @@
 	for _, e := range s.deps.Snapshot().Endpoints() {
 		if !known[e.Zone] {
 			known[e.Zone] = true
-			zones = append(zones, member.Zone{Name: e.Zone})
+			zones = append(zones, member.ZoneStatus{Name: e.Zone})
 		}
 	}
 	return zones
 }
 
 // queryZone queries the contacts of a zone in turn until one replies.
-func (s *Service) queryZone(ctx context.Context, g *gatherer, z member.Zone, q peerQuery) {
+func (s *Service) queryZone(ctx context.Context, g *gatherer, z member.ZoneStatus, q peerQuery) {
 	contacts := z.Contacts
 	if len(contacts) == 0 {
-		contacts = s.deps.Members.Elsewhere()
+		contacts = s.deps.Members.RemotePeers()
 	}
 	reason := "no entry of the zone is known"
 	for _, p := range contacts[:min(len(contacts), maxZoneContacts)] {
--- a/entry/operator/protocol.go
+++ b/entry/operator/protocol.go
@@ -51,8 +51,8 @@
 	Self() member.Peer
 	Members() []member.Peer
 	Live() []member.Peer
-	Zones() []member.Zone
-	Elsewhere() []member.Peer
+	Zones() []member.ZoneStatus
+	RemotePeers() []member.Peer
 }
 
 // Agents requests events from agents. Events blocks until the agent replies
--- a/entry/server/duties.go
+++ b/entry/server/duties.go
@@ -47,7 +47,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if s.node.members.Duty(claimsDuty) {
+		if s.node.members.Owns(claimsDuty) {
 			s.expireClaimsOnce(ctx)
 		}
 	}
--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -85,8 +85,8 @@
 	}
 	return member.NewRunner(member.Options{
 		Config: member.Default(), Zone: s.config.Zone, Host: s.config.Host, Address: address, Seed: rand.Uint64(),
-		Note: func() []byte { return s.node.spreader.Note() },
-		OnNote: func(from member.Peer, zone id.Zone, note []byte) {
+		AppData: func() []byte { return s.node.spreader.Note() },
+		OnAppData: func(from member.Peer, zone id.Zone, note []byte) {
 			s.node.spreader.OnNote(from, zone, note)
 		},
 		OnChange: s.recordMemberChange,
--- a/entry/server/operatordeps.go
+++ b/entry/server/operatordeps.go
@@ -30,11 +30,11 @@
 // that uses them but before the first query arrives.
 type lazyMembers struct{ s *Server }
 
-func (l lazyMembers) Self() member.Peer        { return l.s.node.members.Self() }
-func (l lazyMembers) Members() []member.Peer   { return l.s.node.members.Members() }
-func (l lazyMembers) Live() []member.Peer      { return l.s.node.members.Live() }
-func (l lazyMembers) Zones() []member.Zone     { return l.s.node.members.Zones() }
-func (l lazyMembers) Elsewhere() []member.Peer { return l.s.node.members.Elsewhere() }
+func (l lazyMembers) Self() member.Peer          { return l.s.node.members.Self() }
+func (l lazyMembers) Members() []member.Peer     { return l.s.node.members.Members() }
+func (l lazyMembers) Live() []member.Peer        { return l.s.node.members.Live() }
+func (l lazyMembers) Zones() []member.ZoneStatus { return l.s.node.members.Zones() }
+func (l lazyMembers) RemotePeers() []member.Peer { return l.s.node.members.RemotePeers() }
 
 type lazyCaller struct{ s *Server }
 
--- a/fleet/member/bench_test.go
+++ b/fleet/member/bench_test.go
@@ -98,7 +98,7 @@
 		Config: Default(), Zone: zone, Host: name, Address: h.peer.Address, Seed: b.rng.Uint64(),
 		OnChange: func(c Change) { b.changed(c) },
 	}, b.now)
-	h.table.SetHints(hints, b.now)
+	h.table.SetHostList(hints, b.now)
 	b.hosts[h.peer.Address] = h
 	b.order = append(b.order, h)
 	b.at(time.Duration(b.rng.Int64N(int64(TickInterval))), func() { b.tick(h) })
@@ -138,7 +138,7 @@
 		payload, err := Encode([]Message{o.Message})
 		assert.NilError(b.t, err)
 		from.bytes += len(payload)
-		if o.Fresh {
+		if o.Reconnect {
 			b.silent[[2]string{from.peer.Address, o.Address}] = false
 		}
 		b.carry(from, to, [2]string{from.peer.Address, o.Address}, payload)
--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -22,14 +22,14 @@
 	// Successors is the number of hosts that each host monitors, its next ones
 	// in hash order. Unit: hosts. Default: 2.
 	Successors int
-	// Distant is the number of further hosts probed in each interval, in turn
+	// FingerProbes is the number of further hosts probed in each interval, in turn
 	// those at doubling distances in hash order. Unit: hosts. Default: 1.
-	Distant int
+	FingerProbes int
 	// RetryInterval is the time without an answer after which a probe is
 	// repeated. The first repetition uses a fresh connection. Unit: duration. Default: 200ms.
 	RetryInterval time.Duration
-	// Helpers is the number of hosts asked to probe for each repetition. Unit: hosts. Default: 2.
-	Helpers int
+	// IndirectProbes is the number of hosts asked to probe for each repetition. Unit: hosts. Default: 2.
+	IndirectProbes int
 	// SuspectAfter is the silence after which a monitored host is suspected. Unit: duration. Default: 1.2s.
 	SuspectAfter time.Duration
 	// DeadAfter is the time after which a suspected host is declared dead. Unit: duration. Default: 1.6s.
@@ -50,9 +50,9 @@
 	// itself counts as paused and silence of others is not held against them.
 	// Unit: duration. Default: 400ms.
 	PauseAfter time.Duration
-	// HintLag is the time after its start for which a host refutes that the
+	// HostListLag is the time after its start for which a host refutes that the
 	// host list calls it leaving. Unit: duration. Default: 60s.
-	HintLag time.Duration
+	HostListLag time.Duration
 }
 
 // CrossConfig holds the bounds of the protocol between zones.
@@ -82,9 +82,9 @@
 	return ZoneConfig{
 		ProbeInterval:  500 * time.Millisecond,
 		Successors:     2,
-		Distant:        1,
+		FingerProbes:   1,
 		RetryInterval:  200 * time.Millisecond,
-		Helpers:        2,
+		IndirectProbes: 2,
 		SuspectAfter:   1200 * time.Millisecond,
 		DeadAfter:      1600 * time.Millisecond,
 		Retention:      time.Minute,
@@ -93,7 +93,7 @@
 		MaxUpdates:     8,
 		Transmits:      8,
 		PauseAfter:     400 * time.Millisecond,
-		HintLag:        time.Minute,
+		HostListLag:    time.Minute,
 	}
 }
 
--- a/fleet/member/cross.go
+++ b/fleet/member/cross.go
@@ -8,8 +8,8 @@
 	"github.com/siskinford/siskinford/fleet/rendezvous"
 )
 
-// Zone is what a table knows about another zone.
-type Zone struct {
+// ZoneStatus is what a table knows about another zone.
+type ZoneStatus struct {
 	Name id.Zone
 	// Reachable is true if a summary arrived within CrossConfig.SilentAfter.
 	Reachable bool
@@ -100,9 +100,9 @@
 			at += t.cross.turn
 		}
 		p := contacts[at%len(contacts)]
-		m := Message{Type: Exchange, Zone: t.opt.Zone, From: t.self, Note: t.note()}
+		m := Message{Type: Exchange, Zone: t.opt.Zone, From: t.self, AppData: t.note()}
 		m.Summaries = []Summary{t.summary(now)}
-		out = append(out, Outgoing{Address: p.Address, Fresh: fresh, Message: m})
+		out = append(out, Outgoing{Address: p.Address, Reconnect: fresh, Message: m})
 	}
 	return out
 }
@@ -157,11 +157,11 @@
 	for _, s := range m.Summaries {
 		t.takeSummary(s, now)
 	}
-	t.deliverNote(m.From, m.Zone, m.Note)
+	t.deliverNote(m.From, m.Zone, m.AppData)
 	if m.Type != Exchange {
 		return nil
 	}
-	a := Message{Type: ExchangeAnswer, Zone: t.opt.Zone, From: t.self, Note: t.note()}
+	a := Message{Type: ExchangeAnswer, Zone: t.opt.Zone, From: t.self, AppData: t.note()}
 	a.Summaries = []Summary{t.summary(now)}
 	return []Outgoing{{Address: m.From.Address, Message: a}}
 }
@@ -198,8 +198,8 @@
 	return out
 }
 
-func (t *Table) zone(name id.Zone, now time.Time) Zone {
-	z := Zone{Name: name}
+func (t *Table) zone(name id.Zone, now time.Time) ZoneStatus {
+	z := ZoneStatus{Name: name}
 	latest, ok := t.cross.summaries[name]
 	if !ok {
 		return z
@@ -213,8 +213,8 @@
 }
 
 // Zones returns what is known of the other zones, sorted by name.
-func (t *Table) Zones(now time.Time) []Zone {
-	var out []Zone
+func (t *Table) Zones(now time.Time) []ZoneStatus {
+	var out []ZoneStatus
 	for _, name := range t.zoneNames() {
 		out = append(out, t.zone(name, now))
 	}
--- a/fleet/member/handle.go
+++ b/fleet/member/handle.go
@@ -23,7 +23,7 @@
 		out = append(out, t.answer(Ack, m))
 	case Ack:
 		out = t.handleAck(m, now)
-	case Forward:
+	case PingReq:
 		out = t.handleForward(m, now)
 	case Sync:
 		a := t.answer(SyncAnswer, m)
@@ -43,16 +43,16 @@
 	for _, s := range m.Summaries {
 		t.takeSummary(s, now)
 	}
-	t.deliverNote(m.From, m.Zone, m.Note)
+	t.deliverNote(m.From, m.Zone, m.AppData)
 }
 
 func (t *Table) deliverNote(from Peer, zone id.Zone, note []byte) {
-	if t.opt.OnNote != nil && len(note) > 0 && from.Host != t.self.Host {
-		t.opt.OnNote(from, zone, note)
+	if t.opt.OnAppData != nil && len(note) > 0 && from.Host != t.self.Host {
+		t.opt.OnAppData(from, zone, note)
 	}
 }
 
-func (t *Table) answer(typ Type, m Message) Outgoing {
+func (t *Table) answer(typ MessageType, m Message) Outgoing {
 	a := t.message(typ, m.From.Host)
 	a.Seq = m.Seq
 	return Outgoing{Address: m.From.Address, Message: a}
--- a/fleet/member/member_test.go
+++ b/fleet/member/member_test.go
@@ -199,7 +199,7 @@
 	b.run(time.Minute)
 	leaving := all[4]
 	hint := []objectapi.Host{{Name: leaving.peer.Host, Zone: leaving.zone, Address: leaving.peer.Address, State: objectapi.HostLeaving}}
-	all[9].table.SetHints(hint, b.now)
+	all[9].table.SetHostList(hint, b.now)
 	b.run(workBound)
 	assert.Equal(t, b.seen(leaving, Leaving), zoneSize-1)
 	assert.Equal(t, leaving.table.Self().State, Leaving)
@@ -207,10 +207,10 @@
 	leaving.killed = true
 	fresh := b.start(leaving.peer.Host, leaving.zone, nil)
 	b.order = append(b.order[:4], append([]*host{fresh}, b.order[5:zoneSize]...)...)
-	fresh.table.SetHints([]objectapi.Host{{Name: all[9].peer.Host, Zone: leaving.zone, Address: all[9].peer.Address}}, b.now)
+	fresh.table.SetHostList([]objectapi.Host{{Name: all[9].peer.Host, Zone: leaving.zone, Address: all[9].peer.Address}}, b.now)
 	b.run(5 * time.Second)
 	assert.Equal(t, b.seen(fresh, Alive), zoneSize-1, "the restarted host takes work")
-	all[9].table.SetHints(hint, b.now)
+	all[9].table.SetHostList(hint, b.now)
 	b.run(5 * time.Second)
 	assert.Equal(t, b.seen(fresh, Alive), zoneSize-1, "a list that lags does not mark the restarted host again")
 }
--- a/fleet/member/message.go
+++ b/fleet/member/message.go
@@ -50,16 +50,16 @@
 	State       State  `cbor:"4,keyasint,omitempty"`
 }
 
-// Type tells what a message is for.
-type Type uint8
+// MessageType tells what a message is for.
+type MessageType uint8
 
 const (
 	// Ping asks for an Ack.
-	Ping Type = iota + 1
+	Ping MessageType = iota + 1
 	// Ack tells that a host answers: the sender, or the host in About.
 	Ack
-	// Forward asks the receiver to ping the host in About for the sender.
-	Forward
+	// PingReq asks the receiver to ping the host in About for the sender.
+	PingReq
 	// Sync carries all members of the zone. The receiver answers with its own.
 	Sync
 	// SyncAnswer answers a Sync.
@@ -72,9 +72,9 @@
 
 // Message is exchanged between two hosts.
 type Message struct {
-	Type Type    `cbor:"1,keyasint"`
-	Zone id.Zone `cbor:"2,keyasint"`
-	From Peer    `cbor:"3,keyasint"`
+	Type MessageType `cbor:"1,keyasint"`
+	Zone id.Zone     `cbor:"2,keyasint"`
+	From Peer        `cbor:"3,keyasint"`
 	// Seq connects an Ack with its Ping or Forward.
 	Seq uint64 `cbor:"4,keyasint,omitempty"`
 	// About is the host to ping or that answered.
@@ -85,8 +85,8 @@
 	Updates []Peer `cbor:"7,keyasint,omitempty"`
 	// Summaries are the states of zones.
 	Summaries []Summary `cbor:"8,keyasint,omitempty"`
-	// Note is opaque data of the process, for example a digest of versions.
-	Note []byte `cbor:"9,keyasint,omitempty"`
+	// AppData is opaque data of the process, for example a digest of versions.
+	AppData []byte `cbor:"9,keyasint,omitempty"`
 }
 
 // Summary is the state of a zone as one of its delegates sees it. Its size does
@@ -108,9 +108,9 @@
 // Outgoing is a message to send to an address.
 type Outgoing struct {
 	Address string
-	// Fresh asks to abandon the connection to Address before sending.
-	Fresh   bool
-	Message Message
+	// Reconnect asks to abandon the connection to Address before sending.
+	Reconnect bool
+	Message   Message
 }
 
 // Encode returns the messages as one payload.
--- a/fleet/member/runner.go
+++ b/fleet/member/runner.go
@@ -94,7 +94,7 @@
 }
 
 func (r *Runner) call(ctx context.Context, o Outgoing) {
-	if o.Fresh {
+	if o.Reconnect {
 		r.caller.Abandon(o.Address)
 	}
 	payload, err := Encode([]Message{o.Message})
@@ -168,11 +168,11 @@
 	r.table.Leave()
 }
 
-// SetHints takes in the platform's lagging host list.
-func (r *Runner) SetHints(list []objectapi.Host) {
+// SetHostList takes in the platform's lagging host list.
+func (r *Runner) SetHostList(list []objectapi.Host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.SetHints(list, r.clock())
+	r.table.SetHostList(list, r.clock())
 }
 
 // Live returns the hosts of the zone that take new work, the own included.
@@ -197,15 +197,15 @@
 }
 
 // Zones returns what is known of the other zones.
-func (r *Runner) Zones() []Zone {
+func (r *Runner) Zones() []ZoneStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Zones(r.clock())
 }
 
-// Elsewhere returns hosts of other zones that take calls, those of reachable
+// RemotePeers returns hosts of other zones that take calls, those of reachable
 // zones first.
-func (r *Runner) Elsewhere() []Peer {
+func (r *Runner) RemotePeers() []Peer {
 	var reachable, rest []Peer
 	for _, z := range r.Zones() {
 		if z.Reachable {
@@ -229,9 +229,9 @@
 	return out
 }
 
-// Duty reports whether the own host is first in the ranking of live hosts for key.
-func (r *Runner) Duty(key string) bool {
+// Owns reports whether the own host is first in the ranking of live hosts for key.
+func (r *Runner) Owns(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Duty(key)
+	return r.table.Owns(key)
 }
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -27,10 +27,10 @@
 	Address string
 	// Seed selects the hosts for random probes.
 	Seed uint64
-	// Note returns opaque data for the heartbeats. It may be nil.
-	Note func() []byte
-	// OnNote receives the notes of other hosts. It must not block. It may be nil.
-	OnNote func(from Peer, zone id.Zone, note []byte)
+	// AppData returns opaque data for the heartbeats. It may be nil.
+	AppData func() []byte
+	// OnAppData receives the notes of other hosts. It must not block. It may be nil.
+	OnAppData func(from Peer, zone id.Zone, note []byte)
 	// Load returns the zone's aggregate for other zones. It may be nil.
 	Load func() []byte
 	// OnChange receives changes of belief. It must not block. It may be nil.
@@ -175,8 +175,8 @@
 	return e.peer, true
 }
 
-// Duty reports whether the own host is first in the ranking of live hosts for key.
-func (t *Table) Duty(key string) bool {
+// Owns reports whether the own host is first in the ranking of live hosts for key.
+func (t *Table) Owns(key string) bool {
 	first, ok := rendezvous.First(key, hosts(t.Live()))
 	return ok && first == t.self.Host
 }
@@ -231,7 +231,7 @@
 	if !supersedes(p, t.self) {
 		return
 	}
-	if p.State == Leaving && p.Incarnation == t.self.Incarnation && now.Sub(t.started) > t.cfg.Zone.HintLag {
+	if p.State == Leaving && p.Incarnation == t.self.Incarnation && now.Sub(t.started) > t.cfg.Zone.HostListLag {
 		t.Leave()
 		return
 	}
--- a/fleet/member/tick.go
+++ b/fleet/member/tick.go
@@ -118,9 +118,9 @@
 	if !repeat {
 		return out
 	}
-	for _, helper := range t.pick(z.Helpers, func(h *entry) bool { return h.peer.State == Alive && h != e }) {
+	for _, helper := range t.pick(z.IndirectProbes, func(h *entry) bool { return h.peer.State == Alive && h != e }) {
 		about := e.peer
-		m := t.message(Forward, helper.peer.Host)
+		m := t.message(PingReq, helper.peer.Host)
 		m.About = &about
 		out = append(out, Outgoing{Address: helper.peer.Address, Message: m})
 	}
@@ -132,32 +132,32 @@
 	e.pinged = now
 	e.misses++
 	return Outgoing{
-		Address: e.peer.Address,
-		Fresh:   e.misses == 2,
-		Message: t.message(Ping, e.peer.Host),
+		Address:   e.peer.Address,
+		Reconnect: e.misses == 2,
+		Message:   t.message(Ping, e.peer.Host),
 	}
 }
 
 // message returns a message to a host of the zone with all that rides on it.
-func (t *Table) message(typ Type, to id.Host) Message {
+func (t *Table) message(typ MessageType, to id.Host) Message {
 	t.seq++
-	m := Message{Type: typ, Zone: t.opt.Zone, From: t.self, Seq: t.seq, Hash: t.hash, Note: t.note()}
+	m := Message{Type: typ, Zone: t.opt.Zone, From: t.self, Seq: t.seq, Hash: t.hash, AppData: t.note()}
 	t.attach(&m, to)
 	return m
 }
 
 func (t *Table) note() []byte {
-	if t.opt.Note == nil {
+	if t.opt.AppData == nil {
 		return nil
 	}
-	return t.opt.Note()
+	return t.opt.AppData()
 }
 
 // probeDistant probes the next of the distant hosts, so that claims cross the
 // zone in few steps.
 func (t *Table) probeDistant(now time.Time) []Outgoing {
 	var out []Outgoing
-	for range min(t.cfg.Zone.Distant, len(t.distant)) {
+	for range min(t.cfg.Zone.FingerProbes, len(t.distant)) {
 		t.turn++
 		out = append(out, t.ping(t.entries[t.distant[t.turn%len(t.distant)]], now))
 	}
@@ -181,7 +181,7 @@
 		return nil
 	}
 	p := absent[t.rng.IntN(len(absent))]
-	return []Outgoing{{Address: p.Address, Fresh: true, Message: t.message(Ping, p.Host)}}
+	return []Outgoing{{Address: p.Address, Reconnect: true, Message: t.message(Ping, p.Host)}}
 }
 
 // pick returns up to n random entries for which keep returns true.
@@ -196,10 +196,10 @@
 	return all[:min(n, len(all))]
 }
 
-// SetHints takes in the platform's lagging host list. Hosts of the own zone
+// SetHostList takes in the platform's lagging host list. Hosts of the own zone
 // become seeds, and a live host that the list calls leaving is marked once for
 // each of its incarnations. Of each other zone only few hosts are remembered.
-func (t *Table) SetHints(list []objectapi.Host, now time.Time) {
+func (t *Table) SetHostList(list []objectapi.Host, now time.Time) {
 	t.seeds = t.seeds[:0]
 	others := make(map[id.Zone][]Peer)
 	for _, h := range list {
--- a/fleet/spread/bench_test.go
+++ b/fleet/spread/bench_test.go
@@ -116,8 +116,8 @@
 	var err error
 	p.members, err = member.NewRunner(member.Options{
 		Config: member.Default(), Zone: zone, Host: name, Address: address, Seed: b.seed,
-		Note:   func() []byte { return p.spread.Note() },
-		OnNote: func(from member.Peer, zone id.Zone, note []byte) { p.spread.OnNote(from, zone, note) },
+		AppData:   func() []byte { return p.spread.Note() },
+		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { p.spread.OnNote(from, zone, note) },
 	}, mux.Caller(transport.Membership), time.Now)
 	assert.NilError(b.t, err)
 	p.spread, err = New(Options{
@@ -127,7 +127,7 @@
 	assert.NilError(b.t, err)
 	mux.Register(transport.Membership, p.members.Handle)
 	mux.Register(transport.Configuration, p.spread.Handle)
-	p.members.SetHints(b.list)
+	p.members.SetHostList(b.list)
 	p.node.Serve(mux.Handle)
 	ctx, cancel := context.WithCancel(b.t.Context())
 	var wg sync.WaitGroup
--- a/fleet/spread/reader.go
+++ b/fleet/spread/reader.go
@@ -45,7 +45,7 @@
 	return ctx.Err() == nil
 }
 
-func (s *Spreader) reader() bool { return s.opt.Peers.Duty("reader/" + string(s.opt.Zone)) }
+func (s *Spreader) reader() bool { return s.opt.Peers.Owns("reader/" + string(s.opt.Zone)) }
 
 func (s *Spreader) recordReader(what string) {
 	s.opt.Recorder.Record(timeline.Event{
--- a/fleet/spread/recover.go
+++ b/fleet/spread/recover.go
@@ -170,7 +170,7 @@
 	if s.ask(ctx, s.someOf(s.opt.Peers.Live(), s.cfg.ZoneTries), true) {
 		return true
 	}
-	return s.ask(ctx, s.someOf(s.opt.Peers.Elsewhere(), s.cfg.ElsewhereTries), false)
+	return s.ask(ctx, s.someOf(s.opt.Peers.RemotePeers(), s.cfg.ElsewhereTries), false)
 }
 
 func (s *Spreader) ask(ctx context.Context, peers []member.Peer, inZone bool) bool {
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -51,10 +51,10 @@
 	Self() member.Peer
 	// Live returns the live hosts of the zone, the own included.
 	Live() []member.Peer
-	// Elsewhere returns hosts of other zones, the best first.
-	Elsewhere() []member.Peer
-	// Duty reports whether the own host is first among the live hosts for key.
-	Duty(key string) bool
+	// RemotePeers returns hosts of other zones, the best first.
+	RemotePeers() []member.Peer
+	// Owns reports whether the own host is first among the live hosts for key.
+	Owns(key string) bool
 }
 
 // Options are the parts of a process that a Spreader works with.
--- a/lab/slopes/node.go
+++ b/lab/slopes/node.go
@@ -97,9 +97,9 @@
 	var err error
 	n.members, err = member.NewRunner(member.Options{
 		Config: member.Default(), Zone: h.Zone, Host: h.Name, Address: h.Address, Seed: seed,
-		Note:     func() []byte { return n.spread.Note() },
-		OnNote:   func(from member.Peer, zone id.Zone, note []byte) { n.spread.OnNote(from, zone, note) },
-		OnChange: func(c member.Change) { b.record(n.host, c) },
+		AppData:   func() []byte { return n.spread.Note() },
+		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { n.spread.OnNote(from, zone, note) },
+		OnChange:  func(c member.Change) { b.record(n.host, c) },
 	}, mux.Caller(transport.Membership), time.Now)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 	}
 	mux.Register(transport.Membership, n.members.Handle)
 	mux.Register(transport.Configuration, n.spread.Handle)
-	n.members.SetHints(list)
+	n.members.SetHostList(list)
 	n.net.Serve(mux.Handle)
 	b.run(ctx, n, seed)
 	b.nodes = append(b.nodes, n)
--- a/lab/slopes/size.go
+++ b/lab/slopes/size.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		panic(err) // The digest is a constant.
 	}
-	return member.Message{Type: member.Ping, Zone: "zone-0", From: peerOf(1), Seq: 100000, Hash: 1 << 60, Note: note}
+	return member.Message{Type: member.Ping, Zone: "zone-0", From: peerOf(1), Seq: 100000, Hash: 1 << 60, AppData: note}
 }
 
 // measureSizes fills in the encoded size of control messages.
--- a/lab/slopes/spread.go
+++ b/lab/slopes/spread.go
@@ -113,7 +113,7 @@
 func (b *bench) deadReader(ctx context.Context, row *Spread) error {
 	zone := b.nodes[0].zone
 	for i, n := range b.nodes {
-		if n.zone != zone || !n.members.Duty("reader/"+string(zone)) {
+		if n.zone != zone || !n.members.Owns("reader/"+string(zone)) {
 			continue
 		}
 		n.stop()
