--- a/entry/edge/control.go
+++ b/entry/edge/control.go
@@ -47,7 +47,7 @@
 // gauges registers what is read when metrics are collected.
 func (e *Edge) gauges() {
 	e.set.NewGauge("siskinford_entries_in_touch", func() float64 { return float64(len(e.mesh.Alive())) })
-	e.set.NewGauge("siskinford_entries_registered", func() float64 { return float64(e.mesh.Known()) })
+	e.set.NewGauge("siskinford_entries_registered", func() float64 { return float64(e.mesh.MemberCount()) })
 	e.set.NewGauge("siskinford_configuration_version", func() float64 { return float64(e.values.versions()[topicConfig]) })
 	e.set.NewGauge("siskinford_endpoints_revision", func() float64 { return float64(e.values.versions()[topicEndpoints]) })
 	e.set.NewGauge("siskinford_platform_available", func() float64 {
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -186,10 +186,10 @@
 		return nil, err
 	}
 	e.handler = direct.NewHandler(direct.Options{
-		Codec: a.Codec, Entries: e.mesh.Known, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.RetryBudget,
+		Codec: a.Codec, Entries: e.mesh.MemberCount, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.RetryBudget,
 	})
 	e.loads = direct.NewLoadExchange(e.handler)
-	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.Changed}
+	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.NotifyChange}
 	e.followers = e.newFollowers()
 	e.maps = maps{edge: e, of: make(map[id.Service]*service)}
 	e.clients = newClientServer(e.handler, log)
@@ -223,10 +223,10 @@
 	var err error
 	e.mesh, err = mesh.New(mesh.Options{
 		Self: e.self, Store: e.store.Patient(memberPollWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
-		Versions: e.versions, Get: e.value, Put: e.take,
-		Watched: map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
-		State:   e.encodeState, OnState: e.takeState, Summary: e.encodeSummary, OnSummary: e.takeSummary,
-		Reading: e.reading, Log: e.log,
+		Versions: e.versions, ValueSince: e.value, ApplyValue: e.take,
+		Watched:    map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
+		LocalState: e.encodeState, OnState: e.takeState, CellSummary: e.encodeSummary, OnSummary: e.takeSummary,
+		WatchesHealthy: e.reading, Log: e.log,
 	})
 	e.states.interval = e.mesh.Interval
 	if err != nil {
--- a/entry/edge/follow.go
+++ b/entry/edge/follow.go
@@ -44,7 +44,7 @@
 func (f *follower) run(ctx context.Context) {
 	var listed time.Time
 	for ctx.Err() == nil {
-		if !listed.IsZero() && time.Since(listed) < ownList && !f.edge.mesh.Reader() {
+		if !listed.IsZero() && time.Since(listed) < ownList && !f.edge.mesh.IsReader() {
 			pause(ctx, readerPause)
 			continue
 		}
@@ -81,7 +81,7 @@
 // watch follows changes until the history is gone or the entry is no reader any more.
 func (f *follower) watch(ctx context.Context, revision uint64) {
 	gather := rate.NewLimiter(watchRate, watchBurst)
-	for gather.Wait(ctx) == nil && f.edge.mesh.Reader() {
+	for gather.Wait(ctx) == nil && f.edge.mesh.IsReader() {
 		changed, at, err := f.edge.store.Patient(f.edge.pollWait()).Watch(ctx, f.kind, revision)
 		var gone *objectapi.HistoryGoneError
 		if errors.As(err, &gone) {
--- a/entry/edge/maps.go
+++ b/entry/edge/maps.go
@@ -89,7 +89,7 @@
 // start begins to work for a service. The caller holds mu.
 func (m *maps) start(name id.Service, engine *routes.Engine) {
 	e := m.edge
-	s := &service{name: name, engine: *engine, book: roster.New(e.mesh.Changed), groups: make(map[id.Group]*coordinated)}
+	s := &service{name: name, engine: *engine, book: roster.New(e.mesh.NotifyChange), groups: make(map[id.Group]*coordinated)}
 	s.ctx, s.cancel = context.WithCancel(e.ctx)
 	m.of[name] = s
 	if state := e.handler.Service(name); state != nil {
@@ -111,7 +111,7 @@
 			return
 		case <-t.C:
 		}
-		hosts, zones := m.edge.mesh.Hosts(), m.edge.mesh.Zones()
+		hosts, zones := m.edge.mesh.Hosts(), m.edge.mesh.HostZones()
 		m.mu.Lock()
 		for _, s := range m.of {
 			m.assign(s, hosts, zones)
@@ -326,7 +326,7 @@
 // and one that is silent is as good as gone.
 func (h holders) Gone(holder string) bool {
 	host, incarnation, _ := strings.Cut(holder, "/")
-	current := h.edge.mesh.Current(id.Host(host))
+	current := h.edge.mesh.Incarnation(id.Host(host))
 	if current != "" && string(current) != incarnation {
 		return true
 	}
--- a/fleet/mesh/cells_test.go
+++ b/fleet/mesh/cells_test.go
@@ -118,12 +118,12 @@
 		}
 		time.Sleep(10 * time.Second)
 		for _, n := range nodes {
-			assert.Equal(t, n.mesh.Known(), size)
+			assert.Equal(t, n.mesh.MemberCount(), size)
 			assert.Equal(t, n.total(), size)
 		}
 		reading := 0
 		for _, n := range nodes {
-			if n.mesh.Reader() {
+			if n.mesh.IsReader() {
 				reading++
 			}
 		}
@@ -132,7 +132,7 @@
 		assert.Assert(t, reading >= 3)
 
 		nodes[7].set(Value{Version: 9, Data: []byte("nine")})
-		nodes[7].mesh.Changed()
+		nodes[7].mesh.NotifyChange()
 		time.Sleep(1500 * time.Millisecond)
 		for i, n := range nodes {
 			assert.Equal(t, n.get().Version, uint64(9), "entry %d", i)
@@ -154,7 +154,7 @@
 		time.Sleep(30 * time.Second)
 		for i, n := range nodes {
 			if !gone[id.Host(fmt.Sprintf("h%d", i))] {
-				assert.Equal(t, n.mesh.Known(), size-len(gone), "entry %d", i)
+				assert.Equal(t, n.mesh.MemberCount(), size-len(gone), "entry %d", i)
 			}
 		}
 		for _, n := range nodes {
--- a/fleet/mesh/exchange.go
+++ b/fleet/mesh/exchange.go
@@ -91,8 +91,8 @@
 	return false
 }
 
-// Changed tells the others at once that a version has changed. It does not wait.
-func (m *Mesh) Changed() {
+// NotifyChange tells the others at once that a version has changed. It does not wait.
+func (m *Mesh) NotifyChange() {
 	select {
 	case m.changed <- struct{}{}:
 	default: // The others are about to be told.
@@ -243,7 +243,7 @@
 func (m *Mesh) hello(inner bool) *hello {
 	h := &hello{
 		Host: m.opt.Self.Host, Incarnation: m.opt.Self.Incarnation, Versions: m.versions(),
-		Reads: m.opt.Reading == nil || m.opt.Reading(),
+		Reads: m.opt.WatchesHealthy == nil || m.opt.WatchesHealthy(),
 	}
 	m.mu.Lock()
 	l := m.divided()
@@ -253,11 +253,11 @@
 	}
 	m.mu.Unlock()
 	if inner {
-		h.State = m.opt.State()
+		h.State = m.opt.LocalState()
 		return h
 	}
 	h.Cell = l.of[m.opt.Self.Host]
-	h.Summary = m.opt.Summary(func(host id.Host) bool { return l.together(m.opt.Self.Host, host) })
+	h.Summary = m.opt.CellSummary(func(host id.Host) bool { return l.together(m.opt.Self.Host, host) })
 	return h
 }
 
--- a/fleet/mesh/mesh.go
+++ b/fleet/mesh/mesh.go
@@ -59,15 +59,15 @@
 	BytesPerSecond float64
 	// CallTimeout bounds a call to a member. Default: 400 ms.
 	CallTimeout time.Duration
-	// AliveFor is the time after the last exchange for which a member counts as
+	// AliveTimeout is the time after the last exchange for which a member counts as
 	// alive, at least a few intervals. Default: 1.2 s.
-	AliveFor time.Duration
+	AliveTimeout time.Duration
 	// Readers is the number of members of a cell and zone that watch the platform.
 	// Default: 2.
 	Readers int
-	// BehindGrace is the time for which a reader waits for a newer version from
+	// FetchDelay is the time for which a reader waits for a newer version from
 	// its own watch before it asks another member. Default: 150 ms.
-	BehindGrace time.Duration
+	FetchDelay time.Duration
 	// ForgetAfter is the silence after which a member's registration is removed. Default: 30 s.
 	ForgetAfter time.Duration
 	// ListInterval is the time between lists of the registrations beside the watch. Default: 30 s.
@@ -78,9 +78,9 @@
 	setDefault(&c.Interval, 100*time.Millisecond)
 	setDefault(&c.BytesPerSecond, 9000)
 	setDefault(&c.CallTimeout, 400*time.Millisecond)
-	setDefault(&c.AliveFor, 1200*time.Millisecond)
+	setDefault(&c.AliveTimeout, 1200*time.Millisecond)
 	setDefault(&c.Readers, 2)
-	setDefault(&c.BehindGrace, 150*time.Millisecond)
+	setDefault(&c.FetchDelay, 150*time.Millisecond)
 	setDefault(&c.ForgetAfter, 30*time.Second)
 	setDefault(&c.ListInterval, 30*time.Second)
 	return c
@@ -111,25 +111,25 @@
 	Versions func() map[Topic]uint64
 	// Watched lists the topics that readers learn of from the platform themselves.
 	Watched map[Topic]bool
-	// Get returns what a member that holds a version lacks: the whole value or, as
+	// ValueSince returns what a member that holds a version lacks: the whole value or, as
 	// Put understands it, the rest.
-	Get func(t Topic, have uint64) Value
-	// Put takes in a value of another member. A version that is not greater than
+	ValueSince func(t Topic, have uint64) Value
+	// ApplyValue takes in a value of another member. A version that is not greater than
 	// the own one is to be ignored.
-	Put func(Topic, Value)
-	// State returns the state to send to the members of the own cell.
-	State func() []byte
-	// Summary returns the sum of the states of some members, the own one included,
+	ApplyValue func(Topic, Value)
+	// LocalState returns the state to send to the members of the own cell.
+	LocalState func() []byte
+	// CellSummary returns the sum of the states of some members, the own one included,
 	// to send to other cells.
-	Summary func(of func(id.Host) bool) []byte
+	CellSummary func(of func(id.Host) bool) []byte
 	// OnState receives the state of another member, and OnSummary the sum of
 	// another cell. They must not block.
 	OnState   func(Member, []byte)
 	OnSummary func(cell string, summary []byte)
-	// Reading reports whether the entry's own watches of the platform are in order.
+	// WatchesHealthy reports whether the entry's own watches of the platform are in order.
 	// Nil means that it has none.
-	Reading func() bool
-	Log     zerolog.Logger
+	WatchesHealthy func() bool
+	Log            zerolog.Logger
 }
 
 // Validate returns all findings in the options.
@@ -254,8 +254,8 @@
 	return out
 }
 
-// Zones returns the availability zones of all known members and the own one.
-func (m *Mesh) Zones() map[id.Host]id.Zone {
+// HostZones returns the availability zones of all known members and the own one.
+func (m *Mesh) HostZones() map[id.Host]id.Zone {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[id.Host]id.Zone{m.opt.Self.Host: m.opt.Self.Zone}
@@ -265,9 +265,9 @@
 	return out
 }
 
-// Known returns the number of registered members, the own one included. It
+// MemberCount returns the number of registered members, the own one included. It
 // counts those that are not in touch, which may still be at work.
-func (m *Mesh) Known() int {
+func (m *Mesh) MemberCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 1
@@ -279,8 +279,8 @@
 	return n
 }
 
-// Current returns the last known incarnation of a host, empty if none is known.
-func (m *Mesh) Current(host id.Host) id.Incarnation {
+// Incarnation returns the last known incarnation of a host, empty if none is known.
+func (m *Mesh) Incarnation(host id.Host) id.Incarnation {
 	if host == m.opt.Self.Host {
 		return m.opt.Self.Incarnation
 	}
@@ -370,7 +370,7 @@
 
 // aliveFor returns the time after the last exchange for which a member counts as
 // alive. The caller holds mu.
-func (m *Mesh) aliveFor() time.Duration { return max(m.cfg.AliveFor, aliveIntervals*m.interval()) }
+func (m *Mesh) aliveFor() time.Duration { return max(m.cfg.AliveTimeout, aliveIntervals*m.interval()) }
 
 // Interval returns the time between two exchanges with the same member.
 func (m *Mesh) Interval() time.Duration {
--- a/fleet/mesh/mesh_test.go
+++ b/fleet/mesh/mesh_test.go
@@ -74,12 +74,12 @@
 			Fingerprint: host + incarnation, Started: time.Now().UnixMilli(),
 		},
 		Store: n.store, Caller: n.net, Seeds: seeds, Log: zerolog.Nop(),
-		Versions: func() map[Topic]uint64 { return map[Topic]uint64{topic: n.get().Version} },
-		Watched:  map[Topic]bool{topic: true},
-		Get:      func(Topic, uint64) Value { return n.get() },
-		Put:      func(_ Topic, v Value) { n.set(v) },
-		State:    func() []byte { return []byte("state of " + host) },
-		Summary: func(of func(id.Host) bool) []byte {
+		Versions:   func() map[Topic]uint64 { return map[Topic]uint64{topic: n.get().Version} },
+		Watched:    map[Topic]bool{topic: true},
+		ValueSince: func(Topic, uint64) Value { return n.get() },
+		ApplyValue: func(_ Topic, v Value) { n.set(v) },
+		LocalState: func() []byte { return []byte("state of " + host) },
+		CellSummary: func(of func(id.Host) bool) []byte {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			sum := 1
@@ -157,14 +157,14 @@
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, a.alive(), []id.Host{"b", "c"})
 		assert.DeepEqual(t, c.alive(), []id.Host{"a", "b"})
-		assert.Equal(t, b.mesh.Known(), 3)
+		assert.Equal(t, b.mesh.MemberCount(), 3)
 		b.mu.Lock()
 		assert.DeepEqual(t, b.states, map[id.Host]string{"a": "state of a", "c": "state of c"})
 		b.mu.Unlock()
 		c.stop()
 		time.Sleep(3 * time.Second)
 		assert.DeepEqual(t, a.alive(), []id.Host{"b"})
-		assert.Equal(t, a.mesh.Known(), 2)
+		assert.Equal(t, a.mesh.MemberCount(), 2)
 		a.stop()
 		b.stop()
 		assert.Equal(t, len(f.registered()), 0)
@@ -181,9 +181,9 @@
 		time.Sleep(time.Millisecond)
 		b2 := f.start("b", "2")
 		time.Sleep(time.Second)
-		assert.Equal(t, a.mesh.Current("b"), id.Incarnation("2"))
+		assert.Equal(t, a.mesh.Incarnation("b"), id.Incarnation("2"))
 		assert.DeepEqual(t, a.alive(), []id.Host{"b"})
-		assert.Equal(t, a.mesh.Known(), 2)
+		assert.Equal(t, a.mesh.MemberCount(), 2)
 		a.stop()
 		b2.stop()
 	})
@@ -234,10 +234,10 @@
 		})
 		assert.NilError(t, err)
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, a.mesh.Known(), 2, "a silent member may still be at work")
+		assert.Equal(t, a.mesh.MemberCount(), 2, "a silent member may still be at work")
 		time.Sleep(60 * time.Second)
 		assert.Assert(t, !f.registered()["g"])
-		assert.Equal(t, a.mesh.Known(), 1)
+		assert.Equal(t, a.mesh.MemberCount(), 1)
 		_ = gone
 		a.stop()
 	})
@@ -266,7 +266,7 @@
 		}
 		a := f.start("a", "1")
 		time.Sleep(time.Second)
-		assert.Equal(t, a.mesh.Known(), 1)
+		assert.Equal(t, a.mesh.MemberCount(), 1)
 		a.stop()
 	})
 }
--- a/fleet/mesh/register.go
+++ b/fleet/mesh/register.go
@@ -26,7 +26,7 @@
 	for ctx.Err() == nil {
 		err := m.put(ctx)
 		// A list of one's own, now and then, mends what no reader told.
-		if err == nil && (m.Reader() || time.Since(listed) > m.cfg.ListInterval) {
+		if err == nil && (m.IsReader() || time.Since(listed) > m.cfg.ListInterval) {
 			listed = time.Now()
 			err = m.follow(ctx)
 		} else if err == nil {
@@ -56,7 +56,7 @@
 	m.list(objects, revision)
 	m.setWatching(true)
 	defer m.setWatching(false)
-	for until := time.Now().Add(m.cfg.ListInterval); time.Now().Before(until) && m.Reader(); {
+	for until := time.Now().Add(m.cfg.ListInterval); time.Now().Before(until) && m.IsReader(); {
 		changed, at, err := m.opt.Store.Watch(ctx, Kind, revision)
 		if err != nil {
 			return err
@@ -133,7 +133,7 @@
 	m.current = max(m.current, revision)
 	if changed {
 		m.revision = m.current
-		m.Changed()
+		m.NotifyChange()
 	}
 }
 
--- a/fleet/mesh/topics.go
+++ b/fleet/mesh/topics.go
@@ -28,7 +28,7 @@
 // value returns what a member that has a version lacks.
 func (m *Mesh) value(t Topic, have uint64) Value {
 	if t != topicMembers {
-		return m.opt.Get(t, have)
+		return m.opt.ValueSince(t, have)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +43,7 @@
 // take takes in a value of another member.
 func (m *Mesh) take(t Topic, v Value) {
 	if t != topicMembers {
-		m.opt.Put(t, v)
+		m.opt.ApplyValue(t, v)
 		return
 	}
 	var listed map[id.Host]registration
@@ -59,9 +59,9 @@
 	m.revision = max(m.revision, v.Version) // Nothing that is held is older than the other one's.
 }
 
-// Reader reports whether the entry is to watch the platform: it is among the first
+// IsReader reports whether the entry is to watch the platform: it is among the first
 // of its cell and zone, or nobody in touch does.
-func (m *Mesh) Reader() bool {
+func (m *Mesh) IsReader() bool {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,8 +93,8 @@
 // version for longer than the own watch should take.
 func (m *Mesh) checkBehind(ctx context.Context, now time.Time) {
 	own := m.versions()
-	grace := m.cfg.BehindGrace
-	if !m.Reader() {
+	grace := m.cfg.FetchDelay
+	if !m.IsReader() {
 		grace = 0
 	}
 	ahead := make(map[Topic]string)
