--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -127,7 +127,7 @@
 		isIn := func(address string) bool {
 			return slices.ContainsFunc(in, func(p *process) bool { return "addr-"+string(p.name) == address })
 		}
-		b.net.Cut(func(from, to string) bool { return isIn(from) != isIn(to) })
+		b.net.Partition(func(from, to string) bool { return isIn(from) != isIn(to) })
 		for _, p := range in {
 			p.store.SetDown(true)
 		}
@@ -138,7 +138,7 @@
 			assert.Equal(t, p.applier.Versions()[config.KindTeams], uint64(0))
 			assert.Assert(t, p.spread.Ready(), "%s goes on with what it has", p.name)
 		}
-		b.net.Cut(nil) // The way to the platform stays cut.
+		b.net.Partition(nil) // The way to the platform stays cut.
 		took := b.await(config.KindTeams, version, 19*time.Second, in)
 		t.Logf("in force in the zone %v after the network healed, without the platform", took)
 		for _, p := range in {
@@ -213,7 +213,7 @@
 func TestTwoReadersOfAZone(t *testing.T) {
 	virtual(t, 1, 8, 0, func(b *bench) {
 		side := func(address string) bool { return address < "addr-host-0-04" }
-		b.net.Cut(func(from, to string) bool { return side(from) != side(to) })
+		b.net.Partition(func(from, to string) bool { return side(from) != side(to) })
 		pass(10 * time.Second)
 		readers := 0
 		for _, p := range b.all {
@@ -223,7 +223,7 @@
 		}
 		assert.Equal(t, readers, 2)
 		b.await(config.KindTeams, b.accept(config.KindTeams, "divided"), spreadBound, b.all)
-		b.net.Cut(nil)
+		b.net.Partition(nil)
 		b.await(config.KindTeams, b.accept(config.KindTeams, "joined"), spreadBound, b.all)
 	})
 }
--- a/fleet/transport/memnet/memnet.go
+++ b/fleet/transport/memnet/memnet.go
@@ -95,16 +95,16 @@
 	n.loss = loss
 }
 
-// Cut drops all messages for which cut returns true. A nil cut heals the network.
-func (n *Network) Cut(cut func(from, to string) bool) {
+// Partition drops all messages for which cut returns true. A nil cut heals the network.
+func (n *Network) Partition(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 }
 
-// Silence drops all messages between two addresses in both directions until
+// Blackhole drops all messages between two addresses in both directions until
 // the calling side abandons its connection.
-func (n *Network) Silence(a, b string) {
+func (n *Network) Blackhole(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conn(link{a, b}).silent = true
--- a/fleet/transport/mux_test.go
+++ b/fleet/transport/mux_test.go
@@ -61,13 +61,13 @@
 		{
 			"cut one way",
 			func(n *memnet.Network, _, _ *memnet.Node) {
-				n.Cut(func(from, _ string) bool { return from == "b" })
+				n.Partition(func(from, _ string) bool { return from == "b" })
 			},
-			func(n *memnet.Network, _, _ *memnet.Node) { n.Cut(nil) },
+			func(n *memnet.Network, _, _ *memnet.Node) { n.Partition(nil) },
 		},
 		{
 			"silent connection",
-			func(n *memnet.Network, _, _ *memnet.Node) { n.Silence("a", "b") },
+			func(n *memnet.Network, _, _ *memnet.Node) { n.Blackhole("a", "b") },
 			func(_ *memnet.Network, a, _ *memnet.Node) { a.Abandon("b") },
 		},
 		{
--- a/lab/slopes/notice.go
+++ b/lab/slopes/notice.go
@@ -63,7 +63,7 @@
 func silence(_ context.Context, b *bench, victim *node) error {
 	for _, n := range b.nodes {
 		if n != victim {
-			b.net.Silence(victim.address, n.address)
+			b.net.Blackhole(victim.address, n.address)
 		}
 	}
 	return nil
