--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -23,7 +23,7 @@
 	pool     *link.Pool
 	server   *link.Server
 	members  *member.Runner
-	spreader *spread.Spreader
+	spreader *spread.Syncer
 	hosts    *hosts.Watcher
 	// operators carries operators' queries to other entries.
 	operators transport.Caller
@@ -85,9 +85,9 @@
 	}
 	return member.NewRunner(member.Options{
 		Config: member.Default(), Zone: s.config.Zone, Host: s.config.Host, Address: address, Seed: rand.Uint64(),
-		AppData: func() []byte { return s.node.spreader.Note() },
+		AppData: func() []byte { return s.node.spreader.EncodedDigest() },
 		OnAppData: func(from member.Peer, zone id.Zone, note []byte) {
-			s.node.spreader.OnNote(from, zone, note)
+			s.node.spreader.HandleDigest(from, zone, note)
 		},
 		OnChange: s.recordMemberChange,
 	}, mux.Caller(transport.Membership), time.Now)
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -48,7 +48,7 @@
 	metrics *metrics.Set
 
 	events    timeline.Recorder
-	holder    *spread.Holder
+	holder    *spread.SnapshotApplier
 	node      node
 	pool      *link.Pool
 	table     *route.Table
@@ -82,7 +82,7 @@
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
 	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
 	s.events = s.requests.Recorder(timeline.Logged{Ring: d.Ring, Log: d.Log})
-	s.holder = spread.NewHolder(s.applySnapshot)
+	s.holder = spread.NewSnapshotApplier(s.applySnapshot)
 	if err := s.initComponents(); err != nil {
 		cancel()
 		return nil, err
--- a/fleet/spread/bench_test.go
+++ b/fleet/spread/bench_test.go
@@ -67,7 +67,7 @@
 	applier *applier
 	store   *faultstore.Store // the process's own way to the platform
 	members *member.Runner
-	spread  *Spreader
+	spread  *Syncer
 	ring    *timeline.Ring
 	stop    func()
 }
@@ -116,8 +116,8 @@
 	var err error
 	p.members, err = member.NewRunner(member.Options{
 		Config: member.Default(), Zone: zone, Host: name, Address: address, Seed: b.seed,
-		AppData:   func() []byte { return p.spread.Note() },
-		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { p.spread.OnNote(from, zone, note) },
+		AppData:   func() []byte { return p.spread.EncodedDigest() },
+		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { p.spread.HandleDigest(from, zone, note) },
 	}, mux.Caller(transport.Membership), time.Now)
 	assert.NilError(b.t, err)
 	p.spread, err = New(Options{
--- a/fleet/spread/holder.go
+++ b/fleet/spread/holder.go
@@ -8,36 +8,36 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// Holder is an Applier that keeps the configuration in force as a snapshot. It
+// SnapshotApplier is an Applier that keeps the configuration in force as a snapshot. It
 // is safe for concurrent use, and Current does not block.
-type Holder struct {
+type SnapshotApplier struct {
 	mu      sync.Mutex // serialises Apply
 	current atomic.Pointer[config.Snapshot]
 	changed func(*config.Snapshot)
 }
 
-// NewHolder returns a holder of an empty configuration. It calls changed, which
+// NewSnapshotApplier returns a holder of an empty configuration. It calls changed, which
 // may be nil and must not block, with each new snapshot in order.
-func NewHolder(changed func(*config.Snapshot)) *Holder {
-	h := &Holder{changed: changed}
+func NewSnapshotApplier(changed func(*config.Snapshot)) *SnapshotApplier {
+	h := &SnapshotApplier{changed: changed}
 	h.current.Store(config.NewSnapshot())
 	return h
 }
 
 // Current returns the configuration in force.
-func (h *Holder) Current() *config.Snapshot { return h.current.Load() }
+func (h *SnapshotApplier) Current() *config.Snapshot { return h.current.Load() }
 
 // Versions implements Applier.
-func (h *Holder) Versions() map[config.Kind]uint64 { return h.Current().Versions() }
+func (h *SnapshotApplier) Versions() map[config.Kind]uint64 { return h.Current().Versions() }
 
 // Value implements Applier.
-func (h *Holder) Value(kind config.Kind) (uint64, []byte) {
+func (h *SnapshotApplier) Value(kind config.Kind) (uint64, []byte) {
 	s := h.Current()
 	return s.Version(kind), s.Value(kind)
 }
 
 // Apply implements Applier.
-func (h *Holder) Apply(kind config.Kind, version uint64, value []byte) error {
+func (h *SnapshotApplier) Apply(kind config.Kind, version uint64, value []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next, err := h.Current().Apply(kind, version, value)
--- a/fleet/spread/holder_test.go
+++ b/fleet/spread/holder_test.go
@@ -10,7 +10,7 @@
 
 func TestHolderTakesOnlyGreaterVersions(t *testing.T) {
 	seen := 0
-	h := NewHolder(func(*config.Snapshot) { seen++ })
+	h := NewSnapshotApplier(func(*config.Snapshot) { seen++ })
 	value := []byte(`{"value":{"services":[]}}`)
 	assert.NilError(t, h.Apply(config.KindServices, 3, value))
 	assert.NilError(t, h.Apply(config.KindServices, 3, value))
--- a/fleet/spread/push.go
+++ b/fleet/spread/push.go
@@ -13,7 +13,7 @@
 
 // pushZone passes the version in force on to all live hosts of the zone. It
 // does not block.
-func (s *Spreader) pushZone(kind config.Kind) {
+func (s *Syncer) pushZone(kind config.Kind) {
 	o, err := s.object(kind)
 	if err != nil || o == nil {
 		return
@@ -23,7 +23,7 @@
 
 // enqueue leaves a push to the workers, or drops it if too many wait. Hosts
 // that it would have reached recover the version by the digests.
-func (s *Spreader) enqueue(p push) {
+func (s *Syncer) enqueue(p push) {
 	if len(p.Rest) == 0 {
 		return
 	}
@@ -35,7 +35,7 @@
 
 // targets returns the live hosts of the zone in an order that differs for each
 // version, so that the work of passing it on changes hands.
-func (s *Spreader) targets(o object) []target {
+func (s *Syncer) targets(o object) []target {
 	live := s.opt.Peers.Live()
 	self := s.opt.Peers.Self().Host
 	byHost := make(map[id.Host]member.Peer, len(live))
@@ -56,7 +56,7 @@
 // pushTo splits the targets into parts and sends the object to the first host
 // of each part, which passes it on to the rest of the part. It blocks until
 // each part has a host that took it.
-func (s *Spreader) pushTo(ctx context.Context, o object, targets []target) {
+func (s *Syncer) pushTo(ctx context.Context, o object, targets []target) {
 	var wg sync.WaitGroup
 	for _, part := range split(targets, s.cfg.Fanout) {
 		wg.Go(func() { s.pushPart(ctx, o, part) })
@@ -66,7 +66,7 @@
 
 // pushPart sends the object to the first host of the part that answers. Hosts
 // that do not answer recover the version by the digests.
-func (s *Spreader) pushPart(ctx context.Context, o object, part []target) {
+func (s *Syncer) pushPart(ctx context.Context, o object, part []target) {
 	for len(part) > 0 && ctx.Err() == nil {
 		_, err := s.call(ctx, part[0].Address, request{Push: &push{Object: o, Rest: part[1:]}})
 		if err == nil {
@@ -87,7 +87,7 @@
 }
 
 // takePush applies a pushed object and passes it on if it was new.
-func (s *Spreader) takePush(p push) error {
+func (s *Syncer) takePush(p push) error {
 	value, err := Inflate(p.Object.Value)
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 }
 
 // forward passes pushes on until ctx ends.
-func (s *Spreader) forward(ctx context.Context) {
+func (s *Syncer) forward(ctx context.Context) {
 	for {
 		select {
 		case p := <-s.pushes:
@@ -111,7 +111,7 @@
 }
 
 // call sends a request to a peer and returns its answer.
-func (s *Spreader) call(ctx context.Context, address string, r request) (answer, error) {
+func (s *Syncer) call(ctx context.Context, address string, r request) (answer, error) {
 	payload, err := encode(r)
 	if err != nil {
 		return answer{}, err
--- a/fleet/spread/reader.go
+++ b/fleet/spread/reader.go
@@ -12,7 +12,7 @@
 
 // read watches the platform while the host is the reader of its zone, until
 // ctx ends. Two readers of a zone at the same time do no harm.
-func (s *Spreader) read(ctx context.Context) {
+func (s *Syncer) read(ctx context.Context) {
 	if !s.join(ctx) {
 		return
 	}
@@ -37,7 +37,7 @@
 
 // join waits until the host is ready or JoinGrace is over. Before that, the
 // host does not know its peers and would read without need.
-func (s *Spreader) join(ctx context.Context) bool {
+func (s *Syncer) join(ctx context.Context) bool {
 	grace, cancel := context.WithTimeout(ctx, s.cfg.JoinGrace)
 	defer cancel()
 	for !s.Ready() && s.wait(grace, s.cfg.DutyInterval) {
@@ -45,9 +45,9 @@
 	return ctx.Err() == nil
 }
 
-func (s *Spreader) reader() bool { return s.opt.Peers.Owns("reader/" + string(s.opt.Zone)) }
+func (s *Syncer) reader() bool { return s.opt.Peers.Owns("reader/" + string(s.opt.Zone)) }
 
-func (s *Spreader) recordReader(what string) {
+func (s *Syncer) recordReader(what string) {
 	s.opt.Recorder.Record(timeline.Event{
 		Kind:   EventReader,
 		Duty:   "reader/" + string(s.opt.Zone),
@@ -57,7 +57,7 @@
 
 // watch lists all objects and follows changes while the host is the reader, at
 // most for ListInterval. It returns nil if it ended without a failure.
-func (s *Spreader) watch(ctx context.Context) error {
+func (s *Syncer) watch(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.ListInterval)
 	defer cancel()
 	revision, err := s.listAll(ctx)
@@ -82,7 +82,7 @@
 
 // poll waits for objects after a revision. A poll that the platform leaves
 // without an answer ends without objects.
-func (s *Spreader) poll(ctx context.Context, revision uint64) ([]objectapi.Object, uint64, error) {
+func (s *Syncer) poll(ctx context.Context, revision uint64) ([]objectapi.Object, uint64, error) {
 	poll, cancel := context.WithTimeout(ctx, s.cfg.WatchTimeout)
 	defer cancel()
 	objects, next, err := s.opt.Store.Watch(poll, config.ObjectKind, revision)
@@ -93,12 +93,12 @@
 }
 
 // list reads all objects once and reports whether it could.
-func (s *Spreader) list(ctx context.Context) bool {
+func (s *Syncer) list(ctx context.Context) bool {
 	_, err := s.listAll(ctx)
 	return err == nil
 }
 
-func (s *Spreader) listAll(ctx context.Context) (uint64, error) {
+func (s *Syncer) listAll(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallPlatformTimeout)
 	defer cancel()
 	objects, revision, err := s.opt.Store.List(ctx, config.ObjectKind)
@@ -122,7 +122,7 @@
 
 // take applies an object of the platform and pushes it to the zone if it is
 // new. A version lower than the one in force is recorded and not obeyed.
-func (s *Spreader) take(o objectapi.Object) {
+func (s *Syncer) take(o objectapi.Object) {
 	kind := config.Kind(o.Name)
 	own := s.opt.Applier.Versions()[kind]
 	if o.Deleted {
@@ -139,7 +139,7 @@
 }
 
 // recordBehind records a lower version of the platform once.
-func (s *Spreader) recordBehind(kind config.Kind, shown, own uint64) {
+func (s *Syncer) recordBehind(kind config.Kind, shown, own uint64) {
 	s.mu.Lock()
 	known, ok := s.behind[kind]
 	s.behind[kind] = shown
--- a/fleet/spread/recover.go
+++ b/fleet/spread/recover.go
@@ -11,7 +11,7 @@
 )
 
 // catchUp fetches versions that other hosts showed until ctx ends.
-func (s *Spreader) catchUp(ctx context.Context) {
+func (s *Syncer) catchUp(ctx context.Context) {
 	failures := 0
 	for {
 		select {
@@ -35,7 +35,7 @@
 }
 
 // fetchMissing fetches each version that is missing and reports whether none is left.
-func (s *Spreader) fetchMissing(ctx context.Context) bool {
+func (s *Syncer) fetchMissing(ctx context.Context) bool {
 	whole := true
 	for _, kind := range config.Kinds() {
 		if want := s.wanted(kind); want > 0 && !s.fetch(ctx, kind, want) {
@@ -47,7 +47,7 @@
 
 // wanted returns the greatest version of a kind that others showed, or zero if
 // none is greater than the one in force.
-func (s *Spreader) wanted(kind config.Kind) uint64 {
+func (s *Syncer) wanted(kind config.Kind) uint64 {
 	own := s.opt.Applier.Versions()[kind]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 // fetch asks peers in the zone, then peers elsewhere, and the platform last,
 // until at least version want is in force. Peers that fail are forgotten until
 // they show the version again.
-func (s *Spreader) fetch(ctx context.Context, kind config.Kind, want uint64) bool {
+func (s *Syncer) fetch(ctx context.Context, kind config.Kind, want uint64) bool {
 	zone, elsewhere := s.candidates(kind)
 	for _, address := range zone {
 		if s.fetchFrom(ctx, address, kind, want) {
@@ -81,7 +81,7 @@
 	return s.fetchFromPlatform(ctx, kind, want)
 }
 
-func (s *Spreader) forget(kind config.Kind, address string) {
+func (s *Syncer) forget(kind config.Kind, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sources[kind] = slices.DeleteFunc(s.sources[kind], func(src source) bool { return src.address == address })
@@ -89,7 +89,7 @@
 
 // candidates returns the addresses of hosts that showed a greater version, in
 // and outside the zone, in random order and bounded.
-func (s *Spreader) candidates(kind config.Kind) (zone, elsewhere []string) {
+func (s *Syncer) candidates(kind config.Kind) (zone, elsewhere []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, src := range s.sources[kind] {
@@ -105,7 +105,7 @@
 	return zone[:min(s.cfg.ZoneTries, len(zone))], elsewhere[:min(s.cfg.ElsewhereTries, len(elsewhere))]
 }
 
-func (s *Spreader) fetchFrom(ctx context.Context, address string, kind config.Kind, want uint64) bool {
+func (s *Syncer) fetchFrom(ctx context.Context, address string, kind config.Kind, want uint64) bool {
 	if s.inForce(kind, want) {
 		return true
 	}
@@ -121,7 +121,7 @@
 	return s.inForce(kind, want)
 }
 
-func (s *Spreader) fetchFromPlatform(ctx context.Context, kind config.Kind, want uint64) bool {
+func (s *Syncer) fetchFromPlatform(ctx context.Context, kind config.Kind, want uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallPlatformTimeout)
 	defer cancel()
 	o, err := s.opt.Store.Get(ctx, config.ObjectKind, string(kind))
@@ -138,7 +138,7 @@
 }
 
 // inForce reports whether at least a version is in force or known to be invalid.
-func (s *Spreader) inForce(kind config.Kind, version uint64) bool {
+func (s *Syncer) inForce(kind config.Kind, version uint64) bool {
 	own := s.opt.Applier.Versions()[kind]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +150,7 @@
 const platformAfter = 4
 
 // bootstrap asks peers until one that is ready has told all its versions.
-func (s *Spreader) bootstrap(ctx context.Context) {
+func (s *Syncer) bootstrap(ctx context.Context) {
 	for round := 0; !s.Ready() && ctx.Err() == nil; round++ {
 		if s.askPeers(ctx) {
 			return
@@ -166,14 +166,14 @@
 
 // askPeers brings the greatest versions of a few peers into force and reports
 // whether one of them was ready.
-func (s *Spreader) askPeers(ctx context.Context) bool {
+func (s *Syncer) askPeers(ctx context.Context) bool {
 	if s.ask(ctx, s.someOf(s.opt.Peers.Live(), s.cfg.ZoneTries), true) {
 		return true
 	}
 	return s.ask(ctx, s.someOf(s.opt.Peers.RemotePeers(), s.cfg.ElsewhereTries), false)
 }
 
-func (s *Spreader) ask(ctx context.Context, peers []member.Peer, inZone bool) bool {
+func (s *Syncer) ask(ctx context.Context, peers []member.Peer, inZone bool) bool {
 	ready := ""
 	for _, p := range peers {
 		a, err := s.call(ctx, p.Address, request{})
@@ -191,7 +191,7 @@
 }
 
 // someOf returns up to n random peers other than the own host.
-func (s *Spreader) someOf(peers []member.Peer, n int) []member.Peer {
+func (s *Syncer) someOf(peers []member.Peer, n int) []member.Peer {
 	self := s.opt.Peers.Self().Host
 	peers = slices.DeleteFunc(slices.Clone(peers), func(p member.Peer) bool { return p.Host == self })
 	s.mu.Lock()
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -87,9 +87,9 @@
 // maxSources bounds the hosts remembered for a version that is missing.
 const maxSources = 8
 
-// Spreader keeps the configuration of one process up to date. It is safe for
+// Syncer keeps the configuration of one process up to date. It is safe for
 // concurrent use.
-type Spreader struct {
+type Syncer struct {
 	opt Options
 	cfg Config
 
@@ -109,14 +109,14 @@
 }
 
 // New returns a spreader. Run must be called for it to work.
-func New(o Options) (*Spreader, error) {
+func New(o Options) (*Syncer, error) {
 	if err := o.Config.Validate(); err != nil {
 		return nil, err
 	}
 	if o.Recorder == nil {
 		o.Recorder = timeline.Discard
 	}
-	s := &Spreader{
+	s := &Syncer{
 		opt:      o,
 		cfg:      o.Config,
 		rng:      rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(string(o.Zone)))),
@@ -131,7 +131,7 @@
 }
 
 // Run works until ctx ends.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.read(ctx) })
 	wg.Go(func() { s.catchUp(ctx) })
@@ -144,13 +144,13 @@
 
 // Ready reports whether the process knows a configuration to work with: one of
 // a peer that is ready, or what the platform showed, which may be none.
-func (s *Spreader) Ready() bool {
+func (s *Syncer) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ready
 }
 
-func (s *Spreader) setReady(from string) {
+func (s *Syncer) setReady(from string) {
 	s.mu.Lock()
 	before := s.ready
 	s.ready = true
@@ -161,18 +161,18 @@
 	}
 }
 
-// Note returns the encoded digest, which rides on heartbeats.
-func (s *Spreader) Note() []byte {
+// EncodedDigest returns the encoded digest, which rides on heartbeats.
+func (s *Syncer) EncodedDigest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.note
 }
 
-func (s *Spreader) digest() Digest {
+func (s *Syncer) digest() Digest {
 	return Digest{Versions: s.opt.Applier.Versions(), Ready: s.Ready()}
 }
 
-func (s *Spreader) renewNote() {
+func (s *Syncer) renewNote() {
 	note, err := encode(s.digest())
 	if err != nil {
 		return
@@ -182,8 +182,8 @@
 	s.mu.Unlock()
 }
 
-// OnNote takes in the digest of another host. It does not block.
-func (s *Spreader) OnNote(from member.Peer, zone id.Zone, note []byte) {
+// HandleDigest takes in the digest of another host. It does not block.
+func (s *Syncer) HandleDigest(from member.Peer, zone id.Zone, note []byte) {
 	var d Digest
 	if err := decode(note, &d); err != nil {
 		return
@@ -192,7 +192,7 @@
 }
 
 // learn remembers a host that has a greater version and wakes the recovery.
-func (s *Spreader) learn(address string, inZone bool, d Digest) {
+func (s *Syncer) learn(address string, inZone bool, d Digest) {
 	if len(d.Versions) == 0 {
 		return
 	}
@@ -213,7 +213,7 @@
 	}
 }
 
-func (s *Spreader) remember(kind config.Kind, n source) {
+func (s *Syncer) remember(kind config.Kind, n source) {
 	list := s.sources[kind]
 	for i := range list {
 		if list[i].address == n.address {
@@ -227,7 +227,7 @@
 	s.sources[kind] = append(list, n)
 }
 
-func (s *Spreader) signal() {
+func (s *Syncer) signal() {
 	select {
 	case s.missing <- struct{}{}:
 	default:
@@ -236,7 +236,7 @@
 
 // apply brings a version into force if it is greater than the one in force, and
 // reports whether it did.
-func (s *Spreader) apply(kind config.Kind, version uint64, value []byte, from string) bool {
+func (s *Syncer) apply(kind config.Kind, version uint64, value []byte, from string) bool {
 	s.applying.Lock()
 	defer s.applying.Unlock()
 	if version <= s.opt.Applier.Versions()[kind] {
@@ -257,7 +257,7 @@
 	return true
 }
 
-func (s *Spreader) reject(kind config.Kind, version uint64, err error) {
+func (s *Syncer) reject(kind config.Kind, version uint64, err error) {
 	s.mu.Lock()
 	known := s.rejected[kind] == version
 	s.rejected[kind] = version
@@ -272,7 +272,7 @@
 }
 
 // Handle answers a call of another host. It is a transport.Handler.
-func (s *Spreader) Handle(_ context.Context, payload []byte) ([]byte, error) {
+func (s *Syncer) Handle(_ context.Context, payload []byte) ([]byte, error) {
 	var r request
 	if err := decode(payload, &r); err != nil {
 		return nil, err
@@ -295,7 +295,7 @@
 	return encode(a)
 }
 
-func (s *Spreader) object(kind config.Kind) (*object, error) {
+func (s *Syncer) object(kind config.Kind) (*object, error) {
 	version, value := s.opt.Applier.Value(kind)
 	if version == 0 {
 		return nil, nil
@@ -308,7 +308,7 @@
 }
 
 // wait blocks for a time between half of d and d. It reports false if ctx ended.
-func (s *Spreader) wait(ctx context.Context, d time.Duration) bool {
+func (s *Syncer) wait(ctx context.Context, d time.Duration) bool {
 	s.mu.Lock()
 	d = d/2 + time.Duration(s.rng.Int64N(int64(d/2)+1))
 	s.mu.Unlock()
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -233,7 +233,7 @@
 		p := b.all[0]
 		note, err := encode(Digest{Ready: true, Versions: map[config.Kind]uint64{config.KindTeams: 9}})
 		assert.NilError(t, err)
-		p.spread.OnNote(member.Peer{Host: "gone", Address: "addr-gone"}, p.zone, note)
+		p.spread.HandleDigest(member.Peer{Host: "gone", Address: "addr-gone"}, p.zone, note)
 		gets := func() (n int) {
 			for _, c := range p.store.Calls() {
 				if c.Method == "get" {
--- a/lab/slopes/memory.go
+++ b/lab/slopes/memory.go
@@ -85,7 +85,7 @@
 		}
 		var applyErr error
 		r.Memory = append(r.Memory, heapOf(s.object, s.count, func() any {
-			h := spread.NewHolder(nil)
+			h := spread.NewSnapshotApplier(nil)
 			applyErr = h.Apply(s.kind, 1, append([]byte(nil), value...))
 			return h
 		}))
--- a/lab/slopes/node.go
+++ b/lab/slopes/node.go
@@ -32,8 +32,8 @@
 	address string
 	net     *memnet.Node
 	members *member.Runner
-	spread  *spread.Spreader
-	holder  *spread.Holder
+	spread  *spread.Syncer
+	holder  *spread.SnapshotApplier
 	stop    func()
 }
 
@@ -91,14 +91,14 @@
 func (b *bench) start(ctx context.Context, seed uint64, h objectapi.Host, list []objectapi.Host) error {
 	n := &node{
 		host: h.Name, zone: h.Zone, address: h.Address,
-		net: b.net.Join(h.Address), holder: spread.NewHolder(nil),
+		net: b.net.Join(h.Address), holder: spread.NewSnapshotApplier(nil),
 	}
 	mux := transport.NewMux(n.net, metrics.NewSet())
 	var err error
 	n.members, err = member.NewRunner(member.Options{
 		Config: member.Default(), Zone: h.Zone, Host: h.Name, Address: h.Address, Seed: seed,
-		AppData:   func() []byte { return n.spread.Note() },
-		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { n.spread.OnNote(from, zone, note) },
+		AppData:   func() []byte { return n.spread.EncodedDigest() },
+		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { n.spread.HandleDigest(from, zone, note) },
 		OnChange:  func(c member.Change) { b.record(n.host, c) },
 	}, mux.Caller(transport.Membership), time.Now)
 	if err != nil {
@@ -176,7 +176,7 @@
 
 // watchEach is the baseline: it follows the platform without help of peers,
 // with the same waits after failures as the reader of a zone.
-func watchEach(ctx context.Context, store objectapi.Store, holder *spread.Holder, seed uint64) {
+func watchEach(ctx context.Context, store objectapi.Store, holder *spread.SnapshotApplier, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	wait := spread.Default().BackoffMin
 	for ctx.Err() == nil {
@@ -190,7 +190,7 @@
 	}
 }
 
-func watchOnce(ctx context.Context, store objectapi.Store, holder *spread.Holder) error {
+func watchOnce(ctx context.Context, store objectapi.Store, holder *spread.SnapshotApplier) error {
 	objects, revision, err := store.List(ctx, config.ObjectKind)
 	for end := time.Now().Add(spread.Default().ListInterval); err == nil && time.Now().Before(end); {
 		for _, o := range objects {
--- a/lab/slopes/size.go
+++ b/lab/slopes/size.go
@@ -79,7 +79,7 @@
 		{config.KindTeams, c.Teams, teamSet(c.Teams)},
 		{config.KindServices, c.Services, serviceSet(c.Services)},
 	}
-	holder := spread.NewHolder(nil)
+	holder := spread.NewSnapshotApplier(nil)
 	for _, row := range rows {
 		value, err := envelope(row.set)
 		if err != nil {
@@ -98,7 +98,7 @@
 // applyRounds is the number of versions over which processor time is averaged.
 const applyRounds = 20
 
-func applyRow(holder *spread.Holder, kind config.Kind, value []byte) (Apply, error) {
+func applyRow(holder *spread.SnapshotApplier, kind config.Kind, value []byte) (Apply, error) {
 	a := Apply{Kind: string(kind), ValueBytes: len(value)}
 	start := processorTime()
 	for version := range uint64(applyRounds) {
