--- a/cmd/siskinford-platform/main_test.go
+++ b/cmd/siskinford-platform/main_test.go
@@ -12,7 +12,7 @@
 // nothing of the path through agents, whose memory would be paid on each host.
 func TestPlatformProgramsStayLean(t *testing.T) {
 	for program, unwanted := range map[string][]string{
-		".":                   {"/agent/", "/entry/server", "/fleet/claim", "/fleet/spread", "/operate/", "BurntSushi", "participle"},
+		".":                   {"/agent/", "/entry/server", "/fleet/claim", "/fleet/configsync", "/operate/", "BurntSushi", "participle"},
 		"../siskinford-relay": {"net/http", "crypto/tls", "quic-go", "/entry/", "/fleet/", "/balance/"},
 	} {
 		out, err := exec.Command("go", "list", "-deps", program).CombinedOutput()
--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -10,8 +10,8 @@
 	"github.com/siskinford/siskinford/core/timeline"
 	"github.com/siskinford/siskinford/entry/hosts"
 	"github.com/siskinford/siskinford/entry/peer"
+	"github.com/siskinford/siskinford/fleet/configsync"
 	"github.com/siskinford/siskinford/fleet/member"
-	"github.com/siskinford/siskinford/fleet/spread"
 	"github.com/siskinford/siskinford/fleet/transport"
 	"github.com/siskinford/siskinford/wire/keys"
 	"github.com/siskinford/siskinford/wire/link"
@@ -23,7 +23,7 @@
 	pool     *link.Pool
 	server   *link.Server
 	members  *member.Runner
-	spreader *spread.Syncer
+	spreader *configsync.Syncer
 	hosts    *hosts.Watcher
 	// operators carries operators' queries to other entries.
 	operators transport.Caller
@@ -45,8 +45,8 @@
 	if n.members, err = s.newMembers(mux); err != nil {
 		return err
 	}
-	n.spreader, err = spread.New(spread.Options{
-		Config: spread.Default(), Zone: s.config.Zone, Store: s.deps.Store, Applier: s.holder,
+	n.spreader, err = configsync.New(configsync.Options{
+		Config: configsync.Default(), Zone: s.config.Zone, Store: s.deps.Store, Applier: s.holder,
 		Peers: n.members, Caller: mux.Caller(transport.Configuration), Recorder: s.events, Seed: rand.Uint64(),
 	})
 	if err != nil {
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -27,8 +27,8 @@
 	"github.com/siskinford/siskinford/entry/operator"
 	"github.com/siskinford/siskinford/fleet/claim"
 	"github.com/siskinford/siskinford/fleet/config"
+	"github.com/siskinford/siskinford/fleet/configsync"
 	"github.com/siskinford/siskinford/fleet/objectapi"
-	"github.com/siskinford/siskinford/fleet/spread"
 	"github.com/siskinford/siskinford/wire/keys"
 	"github.com/siskinford/siskinford/wire/link"
 )
@@ -48,7 +48,7 @@
 	metrics *metrics.Set
 
 	events    timeline.Recorder
-	holder    *spread.SnapshotApplier
+	holder    *configsync.SnapshotApplier
 	node      node
 	pool      *link.Pool
 	table     *route.Table
@@ -82,7 +82,7 @@
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
 	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
 	s.events = s.requests.Recorder(timeline.Logged{Ring: d.Ring, Log: d.Log})
-	s.holder = spread.NewSnapshotApplier(s.applySnapshot)
+	s.holder = configsync.NewSnapshotApplier(s.applySnapshot)
 	if err := s.initComponents(); err != nil {
 		cancel()
 		return nil, err
--- a/fleet/spread/config.go
+++ b/fleet/configsync/config.go
@@ -1,8 +1,8 @@
-// Package spread brings accepted configurations to every entry. One host of
+// Package configsync brings accepted configurations to every entry. One host of
 // each zone watches the platform and pushes what is new to its zone. Heartbeats
 // carry digests of versions, and a host that misses a version recovers it from
 // a peer in its zone, then from a peer elsewhere, and from the platform last.
-package spread
+package configsync
 
 import (
 	"time"
--- a/fleet/spread/holder_test.go
+++ b/fleet/configsync/snapshot_test.go
@@ -1,4 +1,4 @@
-package spread
+package configsync
 
 import (
 	"testing"
--- a/fleet/transport/mux.go
+++ b/fleet/transport/mux.go
@@ -15,7 +15,7 @@
 const (
 	// Membership payloads belong to package member.
 	Membership Purpose = iota + 1
-	// Configuration payloads belong to package spread.
+	// Configuration payloads belong to package configsync.
 	Configuration
 	// Duties payloads belong to packages that coordinate duties of entries.
 	Duties
--- a/lab/slopes/memory.go
+++ b/lab/slopes/memory.go
@@ -9,8 +9,8 @@
 
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/fleet/config"
+	"github.com/siskinford/siskinford/fleet/configsync"
 	"github.com/siskinford/siskinford/fleet/member"
-	"github.com/siskinford/siskinford/fleet/spread"
 )
 
 // sampleTime is the wall time in encoded samples.
@@ -85,7 +85,7 @@
 		}
 		var applyErr error
 		r.Memory = append(r.Memory, heapOf(s.object, s.count, func() any {
-			h := spread.NewSnapshotApplier(nil)
+			h := configsync.NewSnapshotApplier(nil)
 			applyErr = h.Apply(s.kind, 1, append([]byte(nil), value...))
 			return h
 		}))
--- a/lab/slopes/node.go
+++ b/lab/slopes/node.go
@@ -13,11 +13,11 @@
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/core/timer"
 	"github.com/siskinford/siskinford/fleet/config"
+	"github.com/siskinford/siskinford/fleet/configsync"
 	"github.com/siskinford/siskinford/fleet/member"
 	"github.com/siskinford/siskinford/fleet/objectapi"
 	"github.com/siskinford/siskinford/fleet/objectapi/faultstore"
 	"github.com/siskinford/siskinford/fleet/objectapi/memstore"
-	"github.com/siskinford/siskinford/fleet/spread"
 	"github.com/siskinford/siskinford/fleet/transport"
 	"github.com/siskinford/siskinford/fleet/transport/memnet"
 )
@@ -32,8 +32,8 @@
 	address string
 	net     *memnet.Node
 	members *member.Runner
-	spread  *spread.Syncer
-	holder  *spread.SnapshotApplier
+	spread  *configsync.Syncer
+	holder  *configsync.SnapshotApplier
 	stop    func()
 }
 
@@ -91,7 +91,7 @@
 func (b *bench) start(ctx context.Context, seed uint64, h objectapi.Host, list []objectapi.Host) error {
 	n := &node{
 		host: h.Name, zone: h.Zone, address: h.Address,
-		net: b.net.Join(h.Address), holder: spread.NewSnapshotApplier(nil),
+		net: b.net.Join(h.Address), holder: configsync.NewSnapshotApplier(nil),
 	}
 	mux := transport.NewMux(n.net, metrics.NewSet())
 	var err error
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	n.spread, err = spread.New(spread.Options{
+	n.spread, err = configsync.New(configsync.Options{
 		Config: b.spreadConfig(), Zone: h.Zone, Store: b.platform, Applier: n.holder, Peers: n.members,
 		Caller: mux.Caller(transport.Configuration), Seed: seed,
 	})
@@ -120,8 +120,8 @@
 	return nil
 }
 
-func (b *bench) spreadConfig() spread.Config {
-	c := spread.Default()
+func (b *bench) spreadConfig() configsync.Config {
+	c := configsync.Default()
 	switch b.mode {
 	case ModePlatformRecovery:
 		c.ZoneTries, c.ElsewhereTries = 0, 0
@@ -176,29 +176,29 @@
 
 // watchEach is the baseline: it follows the platform without help of peers,
 // with the same waits after failures as the reader of a zone.
-func watchEach(ctx context.Context, store objectapi.Store, holder *spread.SnapshotApplier, seed uint64) {
+func watchEach(ctx context.Context, store objectapi.Store, holder *configsync.SnapshotApplier, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	wait := spread.Default().BackoffMin
+	wait := configsync.Default().BackoffMin
 	for ctx.Err() == nil {
 		err := watchOnce(ctx, store, holder)
 		if err == nil {
-			wait = spread.Default().BackoffMin
+			wait = configsync.Default().BackoffMin
 			continue
 		}
 		_ = timer.Sleep(ctx, wait/2+time.Duration(rng.Int64N(int64(wait/2))))
-		wait = min(2*wait, spread.Default().BackoffMax)
+		wait = min(2*wait, configsync.Default().BackoffMax)
 	}
 }
 
-func watchOnce(ctx context.Context, store objectapi.Store, holder *spread.SnapshotApplier) error {
+func watchOnce(ctx context.Context, store objectapi.Store, holder *configsync.SnapshotApplier) error {
 	objects, revision, err := store.List(ctx, config.ObjectKind)
-	for end := time.Now().Add(spread.Default().ListInterval); err == nil && time.Now().Before(end); {
+	for end := time.Now().Add(configsync.Default().ListInterval); err == nil && time.Now().Before(end); {
 		for _, o := range objects {
 			if err := holder.Apply(config.Kind(o.Name), o.Version, o.Value); err != nil {
 				return err
 			}
 		}
-		poll, cancel := context.WithTimeout(ctx, spread.Default().WatchTimeout)
+		poll, cancel := context.WithTimeout(ctx, configsync.Default().WatchTimeout)
 		next := revision
 		objects, next, err = store.Watch(poll, config.ObjectKind, revision)
 		if err != nil && errors.Is(poll.Err(), context.DeadlineExceeded) {
--- a/lab/slopes/size.go
+++ b/lab/slopes/size.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/siskinford/siskinford/fleet/config"
+	"github.com/siskinford/siskinford/fleet/configsync"
 	"github.com/siskinford/siskinford/fleet/member"
-	"github.com/siskinford/siskinford/fleet/spread"
 	"github.com/siskinford/siskinford/wire/codec"
 	"github.com/siskinford/siskinford/wire/msg"
 )
@@ -24,8 +24,8 @@
 }
 
 // digest returns the digest of a host after years of changes.
-func digest() spread.Digest {
-	return spread.Digest{
+func digest() configsync.Digest {
+	return configsync.Digest{
 		Ready:    true,
 		Versions: map[config.Kind]uint64{config.KindServices: 100, config.KindTeams: 5000, config.KindEndpoints: 9000},
 	}
@@ -79,7 +79,7 @@
 		{config.KindTeams, c.Teams, teamSet(c.Teams)},
 		{config.KindServices, c.Services, serviceSet(c.Services)},
 	}
-	holder := spread.NewSnapshotApplier(nil)
+	holder := configsync.NewSnapshotApplier(nil)
 	for _, row := range rows {
 		value, err := envelope(row.set)
 		if err != nil {
@@ -98,7 +98,7 @@
 // applyRounds is the number of versions over which processor time is averaged.
 const applyRounds = 20
 
-func applyRow(holder *spread.SnapshotApplier, kind config.Kind, value []byte) (Apply, error) {
+func applyRow(holder *configsync.SnapshotApplier, kind config.Kind, value []byte) (Apply, error) {
 	a := Apply{Kind: string(kind), ValueBytes: len(value)}
 	start := processorTime()
 	for version := range uint64(applyRounds) {
@@ -109,11 +109,11 @@
 	a.Apply = millis((processorTime() - start) / applyRounds)
 	start = processorTime()
 	for range applyRounds {
-		deflated, err := spread.Deflate(value)
+		deflated, err := configsync.Deflate(value)
 		if err != nil {
 			return a, err
 		}
-		if _, err := spread.Inflate(deflated); err != nil {
+		if _, err := configsync.Inflate(deflated); err != nil {
 			return a, err
 		}
 		a.DeflatedBytes = len(deflated)
