--- a/fleet/duty/duty.go
+++ b/fleet/duty/duty.go
@@ -1,7 +1,6 @@
-// Package duty guards the duties of the fleet that two processes must not
-// perform at once by leases with fencing numbers. Package rendezvous picks the
-// process that should take a lease.
+// Package duty provides leases with fencing tokens for singleton tasks, called
+// duties. Package rendezvous picks the process that should acquire a lease.
 package duty
 
-// Name names a duty, for example "rebalance/asistente".
+// Name identifies a duty, for example "rebalance/asistente".
 type Name string
--- a/fleet/duty/lease.go
+++ b/fleet/duty/lease.go
@@ -18,25 +18,25 @@
 
 const (
 	defaultTTL = 10 * time.Second
-	// driftDivisor divides the TTL into the margin that holder and taker each
-	// keep for clocks that run at different rates.
-	driftDivisor = 20
+	// clockDriftDivisor divides the TTL into the margin by which the holder counts it
+	// shorter, and other processes longer, because clock rates differ.
+	clockDriftDivisor = 20
 )
 
 // LeaseConfig configures a Lease.
 type LeaseConfig struct {
-	// Store is the platform. Required.
+	// Store holds the lease object. Required.
 	Store objectapi.Store
-	// Duty names what is leased. Required.
+	// Duty is the duty that the lease guards. Required.
 	Duty Name
-	// Holder identifies this process, different after each start. Required.
+	// Holder identifies this process and must differ after each start. Required.
 	Holder string
-	// TTL is the time for which a renewal lasts. It should be renewed at a third of it. Default: 10 s.
+	// TTL is the lease duration after a renewal. Renew every TTL/3. Default: 10 s.
 	TTL time.Duration
-	// HolderDead reports that a holder is known to have ended, so that its lease can be
-	// taken at once. Default: no holder is.
+	// HolderDead reports that the process of a holder has ended, so that its lease
+	// can be acquired before it expires. Nil means that this is never known.
 	HolderDead func(holder string) bool
-	// Now returns a time with a monotonic reading. Default: time.Now.
+	// Now returns the time with a monotonic clock reading. Default: time.Now.
 	Now func() time.Time
 }
 
@@ -59,44 +59,45 @@
 }
 
 // leaseValue is the stored form of a lease. The object is never deleted, so
-// that epochs never repeat.
+// that fencing tokens never repeat.
 type leaseValue struct {
 	Holder string `json:"holder"`
-	// Epoch is the fencing number. It grows with each change of the holder.
+	// Epoch is the fencing token. It grows with each change of the holder.
 	Epoch uint64 `json:"epoch"`
 	// TTL is in milliseconds.
 	TTL int64 `json:"ttl_ms"`
-	// Released permits a take-over without a wait.
+	// Released permits another process to acquire the lease before it expires.
 	Released bool `json:"released,omitempty"`
 }
 
 func (v leaseValue) ttl() time.Duration { return time.Duration(v.TTL) * time.Millisecond }
 
-// Lease is one process's part in the lease of a duty. Step and Release must not
-// be called at once; Valid may be called at any time.
+// Lease acquires, renews and releases a lease for one process. AcquireOrRenew and
+// Release must not be called concurrently; all other methods are safe for
+// concurrent use.
 //
-// The holder counts its TTL from before it sent the write that was confirmed.
-// A taker counts the TTL on its own monotonic clock from after it first saw the
-// holder's last version, so that no wall clocks are compared.
+// The holder counts the TTL from before it sent the last confirmed write. Other
+// processes count it on their own monotonic clock from after they first read the
+// current version, so that wall clocks are never compared.
 type Lease struct {
 	cfg LeaseConfig
 
-	// The fields up to mu belong to the goroutine that calls Step.
+	// The fields up to mu belong to the goroutine that calls AcquireOrRenew.
 
-	// seen is the last known stored object, value its content.
-	seen  objectapi.Object
-	value leaseValue
-	// seenAt is when the version of seen was first seen.
-	seenAt time.Time
-	// doubtful is true if the stored version may differ from seen.
-	doubtful bool
+	// stored is the last observed lease object, value its content.
+	stored objectapi.Object
+	value  leaseValue
+	// storedSeenAt is when the version of stored was first observed.
+	storedSeenAt time.Time
+	// mustRead is true if the platform may hold a version other than stored.
+	mustRead bool
 
 	mu sync.Mutex // leaf lock; guards the fields below
-	// epoch is the fencing number held, zero for none.
+	// epoch is the fencing token while the lease is held, zero otherwise.
 	epoch uint64
-	// validUntil is the end of the lease on the holder's clock.
+	// validUntil is the expiry of the lease on the holder's clock.
 	validUntil time.Time
-	// holder is the last known holder, empty if it is not known.
+	// holder is the last observed holder, empty if unknown or released.
 	holder string
 }
 
@@ -114,11 +115,12 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Lease{cfg: cfg, doubtful: true}, nil
+	return &Lease{cfg: cfg, mustRead: true}, nil
 }
 
-// Valid returns the fencing number if the lease is held at now. The holder must
-// ask before each act; orders already sent are fenced by their epoch.
+// Valid returns the fencing token and true if this process holds the lease at now.
+// The holder must check before each action; requests already sent are fenced by
+// their token.
 func (l *Lease) Valid(now time.Time) (epoch uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,23 +130,23 @@
 	return l.epoch, true
 }
 
-// ValidUntil returns the end of the lease on the holder's clock. It is meaningful
-// only while Valid returns true.
+// ValidUntil returns the expiry of the lease on the holder's clock. It is
+// meaningful only while Valid returns true.
 func (l *Lease) ValidUntil() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.validUntil
 }
 
-// Holder returns the last known holder, or the empty text. It may have changed since.
+// Holder returns the last observed holder, or the empty string if it is unknown.
 func (l *Lease) Holder() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder
 }
 
-// note makes the holder known to Holder.
-func (l *Lease) note(v leaseValue) {
+// setHolder updates the result of Holder.
+func (l *Lease) setHolder(v leaseValue) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.holder = v.Holder
@@ -153,53 +155,54 @@
 	}
 }
 
-// AcquireOrRenew acquires the lease if it is free, renews it if it is held by this
-// process, and otherwise observes the holder. It makes at most two calls and
-// blocks on the platform. An error leaves the lease as it was.
+// AcquireOrRenew acquires the lease if it is free, renews it if this process holds
+// it, and otherwise only reads it. It blocks for at most two platform calls. An
+// error leaves the validity of the lease unchanged.
 func (l *Lease) AcquireOrRenew(ctx context.Context) error {
-	if l.doubtful || l.value.Holder != l.cfg.Holder {
+	if l.mustRead || l.value.Holder != l.cfg.Holder {
 		if err := l.read(ctx); err != nil {
 			return err
 		}
 	}
 	switch {
-	case l.seen.Version == 0:
-		return l.write(ctx, l.own(1, false))
+	case l.stored.Version == 0:
+		return l.write(ctx, l.newValue(1, false))
 	case l.value.Holder == l.cfg.Holder && !l.value.Released:
-		return l.write(ctx, l.own(l.value.Epoch, false))
+		return l.write(ctx, l.newValue(l.value.Epoch, false))
 	case l.value.Released || l.expired(l.cfg.Now()) || l.cfg.HolderDead(l.value.Holder):
-		return l.write(ctx, l.own(l.value.Epoch+1, false))
+		return l.write(ctx, l.newValue(l.value.Epoch+1, false))
 	default:
 		return nil
 	}
 }
 
-// Release gives up the lease, so that another process can take it at once. The
-// lease is no longer valid from the start of the call. It blocks on the platform.
+// Release gives up the lease, so that another process can acquire it before it
+// expires. The lease is invalid from the start of the call, even if it fails. It
+// blocks on the platform.
 func (l *Lease) Release(ctx context.Context) error {
-	l.drop()
-	if l.doubtful {
+	l.invalidate()
+	if l.mustRead {
 		if err := l.read(ctx); err != nil {
 			return err
 		}
 	}
-	if l.seen.Version == 0 || l.value.Holder != l.cfg.Holder || l.value.Released {
+	if l.stored.Version == 0 || l.value.Holder != l.cfg.Holder || l.value.Released {
 		return nil
 	}
-	return l.write(ctx, l.own(l.value.Epoch, true))
+	return l.write(ctx, l.newValue(l.value.Epoch, true))
 }
 
-func (l *Lease) own(epoch uint64, released bool) leaseValue {
+func (l *Lease) newValue(epoch uint64, released bool) leaseValue {
 	return leaseValue{
 		Holder: l.cfg.Holder, Epoch: epoch,
 		TTL: l.cfg.TTL.Milliseconds(), Released: released,
 	}
 }
 
-// expired reports whether the lease of another holder has ended for certain.
+// expired reports whether another holder's lease has expired, clock drift included.
 func (l *Lease) expired(now time.Time) bool {
 	ttl := l.value.ttl()
-	return now.Sub(l.seenAt) >= ttl+ttl/driftDivisor
+	return now.Sub(l.storedSeenAt) >= ttl+ttl/clockDriftDivisor
 }
 
 func (l *Lease) read(ctx context.Context) error {
@@ -214,81 +217,81 @@
 	return l.observe(o)
 }
 
-// StaleReadError reports that the platform showed an older version of a lease than before.
+// StaleReadError reports that the platform returned an older version of a lease than before.
 type StaleReadError struct {
-	Duty        Name
-	Seen, Shown uint64
+	Duty               Name
+	Observed, Returned uint64
 }
 
 func (e *StaleReadError) Error() string {
-	return fmt.Sprintf("the platform shows version %d of the lease %q after version %d", e.Shown, string(e.Duty), e.Seen)
+	return fmt.Sprintf("stale read: the platform returned version %d of lease %q after version %d", e.Returned, string(e.Duty), e.Observed)
 }
 
-// observe takes note of the stored object.
+// observe records a lease object of the platform and invalidates a lost lease.
 func (l *Lease) observe(o objectapi.Object) error {
-	if o.Version < l.seen.Version {
-		return &StaleReadError{Duty: l.cfg.Duty, Seen: l.seen.Version, Shown: o.Version}
+	if o.Version < l.stored.Version {
+		return &StaleReadError{Duty: l.cfg.Duty, Observed: l.stored.Version, Returned: o.Version}
 	}
 	var v leaseValue
 	if o.Version > 0 {
 		if err := json.Unmarshal(o.Value, &v); err != nil {
-			return errors.Wrapf(err, "lease %q cannot be decoded", string(l.cfg.Duty))
+			return errors.Wrapf(err, "decode lease %q", string(l.cfg.Duty))
 		}
 	}
-	if o.Version > l.seen.Version {
-		l.seenAt = l.cfg.Now()
+	if o.Version > l.stored.Version {
+		l.storedSeenAt = l.cfg.Now()
 	}
-	l.seen, l.value, l.doubtful = o, v, false
-	l.note(v)
+	l.stored, l.value, l.mustRead = o, v, false
+	l.setHolder(v)
 	if v.Holder != l.cfg.Holder || v.Released {
-		l.drop()
+		l.invalidate()
 	}
 	return nil
 }
 
-// write replaces the stored lease by a conditional update. If that is confirmed,
-// the lease is valid from before the write was sent.
+// write replaces the lease object by a conditional update. A confirmed update is
+// valid for the TTL, less the drift margin, from before it was sent.
 func (l *Lease) write(ctx context.Context, v leaseValue) error {
 	value, err := json.Marshal(v)
 	if err != nil {
-		return errors.Wrap(err, "lease cannot be encoded")
+		return errors.Wrap(err, "encode lease")
 	}
 	sent := l.cfg.Now()
 	o, err := l.cfg.Store.Put(ctx, objectapi.Object{
-		Kind: LeaseKind, Name: string(l.cfg.Duty), Version: l.seen.Version, Value: value,
+		Kind: LeaseKind, Name: string(l.cfg.Duty), Version: l.stored.Version, Value: value,
 	})
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
-		return l.lose(conflict)
+		return l.handleConflict(conflict)
 	}
 	if err != nil {
-		l.doubtful = true
+		l.mustRead = true
 		return err
 	}
-	l.seen, l.value, l.seenAt, l.doubtful = o, v, l.cfg.Now(), false
-	l.note(v)
+	l.stored, l.value, l.storedSeenAt, l.mustRead = o, v, l.cfg.Now(), false
+	l.setHolder(v)
 	if !v.Released {
-		l.hold(v.Epoch, sent.Add(l.cfg.TTL-l.cfg.TTL/driftDivisor))
+		l.setValid(v.Epoch, sent.Add(l.cfg.TTL-l.cfg.TTL/clockDriftDivisor))
 	}
 	return nil
 }
 
-// lose takes note of the object that won a conditional update.
-func (l *Lease) lose(conflict *objectapi.ConflictError) error {
-	l.doubtful = true
-	if conflict.Current.Version <= l.seen.Version {
+// handleConflict observes the object that won a conditional update.
+func (l *Lease) handleConflict(conflict *objectapi.ConflictError) error {
+	l.mustRead = true
+	if conflict.Current.Version <= l.stored.Version {
 		return conflict
 	}
 	return l.observe(conflict.Current)
 }
 
-func (l *Lease) hold(epoch uint64, until time.Time) {
+func (l *Lease) setValid(epoch uint64, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.epoch, l.validUntil = epoch, until
 }
 
-func (l *Lease) drop() {
+func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.epoch = 0
