--- a/fleet/member/config.go
+++ b/fleet/member/config.go
@@ -1,6 +1,7 @@
-// Package member tracks which entry hosts are live. Within a zone, hosts probe
-// a bounded number of others and spread what they learn on the same messages.
-// Between zones, few delegates exchange summaries of constant size.
+// Package member implements SWIM-style membership and failure detection for entry
+// hosts. Within a zone, each host probes a bounded number of others and piggybacks
+// membership updates on the probes. Between zones, a few delegates per zone
+// exchange summaries of constant size.
 package member
 
 import (
@@ -9,75 +10,75 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// Config holds the bounds of both protocols.
+// Config holds the parameters of both protocols.
 type Config struct {
 	Zone  ZoneConfig
 	Cross CrossConfig
 }
 
-// ZoneConfig holds the bounds of the protocol inside a zone.
+// ZoneConfig holds the parameters of the protocol inside a zone.
 type ZoneConfig struct {
 	// ProbeInterval is the time between probes of each monitored host. Unit: duration. Default: 500ms.
 	ProbeInterval time.Duration
-	// Successors is the number of hosts that each host monitors, its next ones
-	// in hash order. Unit: hosts. Default: 2.
+	// Successors is the number of next hosts on the hash ring that each host
+	// monitors. Unit: hosts. Default: 2.
 	Successors int
-	// FingerProbes is the number of further hosts probed in each interval, in turn
-	// those at doubling distances in hash order. Unit: hosts. Default: 1.
+	// FingerProbes is the number of fingers, the hosts at doubling distances on
+	// the hash ring, probed per ProbeInterval in rotation. Unit: hosts. Default: 1.
 	FingerProbes int
-	// RetryInterval is the time without an answer after which a probe is
-	// repeated. The first repetition uses a fresh connection. Unit: duration. Default: 200ms.
+	// RetryInterval is the time after which an unanswered probe is retried. The
+	// first retry uses a new connection. Unit: duration. Default: 200ms.
 	RetryInterval time.Duration
-	// IndirectProbes is the number of hosts asked to probe for each repetition. Unit: hosts. Default: 2.
+	// IndirectProbes is the number of hosts sent a PingReq with each retry. Unit: hosts. Default: 2.
 	IndirectProbes int
 	// SuspectAfter is the silence after which a monitored host is suspected. Unit: duration. Default: 1.2s.
 	SuspectAfter time.Duration
-	// DeadAfter is the time after which a suspected host is declared dead. Unit: duration. Default: 1.6s.
+	// DeadAfter is the time in state Suspect after which a host is declared dead. Unit: duration. Default: 1.6s.
 	DeadAfter time.Duration
-	// Retention is the time for which dead hosts are remembered. Unit: duration. Default: 60s.
+	// Retention is the time after which a dead host is removed from the table. Unit: duration. Default: 60s.
 	Retention time.Duration
-	// RejoinInterval is the time between probes of a host that is dead or
-	// known from the host list only. Unit: duration. Default: 2s.
+	// RejoinInterval is the time between probes of a random host that is dead or
+	// only in the host list. Unit: duration. Default: 2s.
 	RejoinInterval time.Duration
-	// SyncInterval is the least time between two exchanges of all members that
-	// a host starts. Unit: duration. Default: 1s.
+	// SyncInterval is the minimum time between two full syncs that a host
+	// starts. Unit: duration. Default: 1s.
 	SyncInterval time.Duration
-	// MaxUpdates bounds the claims in a message. Unit: claims. Default: 8.
+	// MaxUpdates is the maximum number of queued updates in a message. Unit: updates. Default: 8.
 	MaxUpdates int
-	// Transmits is the number of messages that repeat a claim. Unit: messages. Default: 8.
+	// Transmits is the number of messages that carry each update. Unit: messages. Default: 8.
 	Transmits int
-	// PauseAfter is the time between two ticks from which on the process
-	// itself counts as paused and silence of others is not held against them.
+	// PauseAfter is the gap between two ticks from which the own process counts
+	// as paused; the pause is then not counted as silence of other hosts.
 	// Unit: duration. Default: 400ms.
 	PauseAfter time.Duration
-	// HostListLag is the time after its start for which a host refutes that the
-	// host list calls it leaving. Unit: duration. Default: 60s.
+	// HostListLag is the time after a host's start during which it refutes a
+	// host list that marks it as leaving. Unit: duration. Default: 60s.
 	HostListLag time.Duration
 }
 
-// CrossConfig holds the bounds of the protocol between zones.
+// CrossConfig holds the parameters of the protocol between zones.
 type CrossConfig struct {
-	// Interval is the time between two exchanges of summaries with each other
-	// zone. Unit: duration. Default: 5s.
+	// Interval is the time between exchanges of summaries with each other zone.
+	// Unit: duration. Default: 5s.
 	Interval time.Duration
 	// Delegates is the number of hosts of each zone that exchange summaries. Unit: hosts. Default: 2.
 	Delegates int
-	// Contacts bounds the hosts named in a summary. Unit: hosts. Default: 3.
+	// Contacts is the maximum number of contacts in a summary. Unit: hosts. Default: 3.
 	Contacts int
-	// Seeds bounds the hosts remembered for each other zone from the host list. Unit: hosts. Default: 3.
+	// Seeds is the maximum number of hosts kept per other zone from the host list. Unit: hosts. Default: 3.
 	Seeds int
-	// Transmits is the number of messages that repeat a summary inside a zone. Unit: messages. Default: 3.
+	// Transmits is the number of messages that carry each summary inside a zone. Unit: messages. Default: 3.
 	Transmits int
-	// SilentAfter is the age of the last summary from which on a zone counts as unreachable. Unit: duration. Default: 16s.
+	// SilentAfter is the age of the last summary from which a zone counts as unreachable. Unit: duration. Default: 16s.
 	SilentAfter time.Duration
 }
 
-// Default returns the default bounds.
+// Default returns the default parameters.
 func Default() Config {
 	return Config{Zone: DefaultZone(), Cross: DefaultCross()}
 }
 
-// DefaultZone returns the default bounds inside a zone.
+// DefaultZone returns the default parameters inside a zone.
 func DefaultZone() ZoneConfig {
 	return ZoneConfig{
 		ProbeInterval:  500 * time.Millisecond,
@@ -97,7 +98,7 @@
 	}
 }
 
-// DefaultCross returns the default bounds between zones.
+// DefaultCross returns the default parameters between zones.
 func DefaultCross() CrossConfig {
 	return CrossConfig{
 		Interval:    5 * time.Second,
@@ -109,7 +110,7 @@
 	}
 }
 
-// Validate returns all findings about c.
+// Validate returns an error that lists all findings about c.
 func (c Config) Validate() error {
 	var l finding.List
 	positive := func(place string, v int64) {
--- a/fleet/member/cross.go
+++ b/fleet/member/cross.go
@@ -8,46 +8,46 @@
 	"github.com/siskinford/siskinford/fleet/rendezvous"
 )
 
-// ZoneStatus is what a table knows about another zone.
+// ZoneStatus is the state of another zone.
 type ZoneStatus struct {
 	Name id.Zone
 	// Reachable is true if a summary arrived within CrossConfig.SilentAfter.
 	Reachable bool
-	// Alive is the number of hosts that took new work at the last summary.
+	// Alive is the number of alive hosts in the last summary.
 	Alive int
-	// Contacts are hosts of the zone that take calls from other zones.
+	// Contacts are hosts of the zone to call from other zones.
 	Contacts []Peer
-	// Load is the zone's opaque aggregate.
+	// Load is the zone's opaque aggregated load.
 	Load []byte
-	// Age is the time since the last summary arrived.
+	// Age is the time since the last summary arrived, zero without one.
 	Age time.Duration
 }
 
-// received is a summary and the time of its arrival.
-type received struct {
+// receivedSummary is a summary with its arrival time.
+type receivedSummary struct {
 	summary Summary
 	at      time.Time
 }
 
-// cross is the state of the protocol between zones.
-type cross struct {
+// crossZone is the state of the protocol between zones.
+type crossZone struct {
 	// summaries holds the last summary of each other zone.
-	summaries map[id.Zone]received
-	// seeds are hosts from the host list, to reach zones without a summary.
-	seeds map[id.Zone][]Peer
-	next  time.Time
-	// turn rotates through the contacts of a zone that does not answer.
-	turn int
+	summaries map[id.Zone]receivedSummary
+	// seeds are hosts from the host list, for zones that are not reachable.
+	seeds        map[id.Zone][]Peer
+	nextExchange time.Time
+	// contactOffset rotates through the contacts of an unreachable zone.
+	contactOffset int
 }
 
-func newCross() cross {
-	return cross{
-		summaries: make(map[id.Zone]received),
+func newCrossZone() crossZone {
+	return crossZone{
+		summaries: make(map[id.Zone]receivedSummary),
 		seeds:     make(map[id.Zone][]Peer),
 	}
 }
 
-func (c *cross) setSeeds(others map[id.Zone][]Peer, self id.Host, bound int) {
+func (c *crossZone) setSeeds(others map[id.Zone][]Peer, self id.Host, bound int) {
 	clear(c.seeds)
 	for zone, peers := range others {
 		byHost := make(map[id.Host]Peer, len(peers))
@@ -61,8 +61,8 @@
 	}
 }
 
-// delegateRank returns the position of the own host among the zone's delegates,
-// or false if it is none.
+// delegateRank returns the position of the own host among the zone's delegates, or
+// false if it is not a delegate.
 func (t *Table) delegateRank() (int, bool) {
 	at := slices.Index(t.delegates(), t.self.Host)
 	return at, at >= 0
@@ -73,22 +73,22 @@
 	return ranked[:min(t.cfg.Cross.Delegates, len(ranked))]
 }
 
-// exchange sends the own zone's summary to one contact of each other zone if
-// the own host is a delegate.
-func (t *Table) exchange(now time.Time) []Outgoing {
-	if now.Before(t.cross.next) {
+// exchangeSummaries sends the own zone's summary to one contact of each other zone
+// if the own host is a delegate.
+func (t *Table) exchangeSummaries(now time.Time) []Outgoing {
+	if now.Before(t.cross.nextExchange) {
 		return nil
 	}
 	jitter := time.Duration(t.rng.Int64N(int64(t.cfg.Cross.Interval / 10)))
-	t.cross.next = now.Add(t.cfg.Cross.Interval - jitter)
+	t.cross.nextExchange = now.Add(t.cfg.Cross.Interval - jitter)
 	rank, ok := t.delegateRank()
 	if !ok {
 		return nil
 	}
-	t.cross.turn++
+	t.cross.contactOffset++
 	var out []Outgoing
 	for _, zone := range t.zoneNames() {
-		if t.exchanged(zone, now) {
+		if t.recentlyExchanged(zone, now) {
 			continue
 		}
 		contacts, fresh := t.contacts(zone, now)
@@ -97,27 +97,27 @@
 		}
 		at := rank
 		if fresh {
-			at += t.cross.turn
+			at += t.cross.contactOffset
 		}
 		p := contacts[at%len(contacts)]
-		m := Message{Type: Exchange, Zone: t.opt.Zone, From: t.self, AppData: t.note()}
+		m := Message{Type: Exchange, Zone: t.opt.Zone, From: t.self, AppData: t.appData()}
 		m.Summaries = []Summary{t.summary(now)}
 		out = append(out, Outgoing{Address: p.Address, Reconnect: fresh, Message: m})
 	}
 	return out
 }
 
-// exchanged reports whether a summary of a zone arrived so lately that another
-// delegate, of this or that zone, must have made the exchange that is due.
-func (t *Table) exchanged(zone id.Zone, now time.Time) bool {
-	z := t.zone(zone, now)
+// recentlyExchanged reports whether a summary of a zone is so recent that another
+// delegate, of either zone, must have made the exchange that is due.
+func (t *Table) recentlyExchanged(zone id.Zone, now time.Time) bool {
+	z := t.zoneStatus(zone, now)
 	return z.Reachable && z.Age < t.cfg.Cross.Interval*3/4
 }
 
-// contacts returns hosts of another zone to call. The result is true if the
-// zone is not reachable, in which case seeds are included.
+// contacts returns the hosts of another zone to call. If its summary is older than
+// half of SilentAfter, seeds are included and the result is true.
 func (t *Table) contacts(zone id.Zone, now time.Time) ([]Peer, bool) {
-	z := t.zone(zone, now)
+	z := t.zoneStatus(zone, now)
 	contacts := z.Contacts
 	if z.Reachable && z.Age < t.cfg.Cross.SilentAfter/2 {
 		return contacts, false
@@ -152,24 +152,24 @@
 	return s
 }
 
-// handleForeign takes in a message of another zone.
-func (t *Table) handleForeign(m Message, now time.Time) []Outgoing {
+// handleRemoteZone processes a message of another zone.
+func (t *Table) handleRemoteZone(m Message, now time.Time) []Outgoing {
 	for _, s := range m.Summaries {
-		t.takeSummary(s, now)
+		t.applySummary(s, now)
 	}
-	t.deliverNote(m.From, m.Zone, m.AppData)
+	t.deliverAppData(m.From, m.Zone, m.AppData)
 	if m.Type != Exchange {
 		return nil
 	}
-	a := Message{Type: ExchangeAnswer, Zone: t.opt.Zone, From: t.self, AppData: t.note()}
+	a := Message{Type: ExchangeAnswer, Zone: t.opt.Zone, From: t.self, AppData: t.appData()}
 	a.Summaries = []Summary{t.summary(now)}
 	return []Outgoing{{Address: m.From.Address, Message: a}}
 }
 
-// takeSummary keeps a summary that is newer than the last of its zone and
-// repeats it inside the own zone. After a silence any summary is kept, so that a
-// delegate whose clock was ahead does not hide its successors.
-func (t *Table) takeSummary(s Summary, now time.Time) {
+// applySummary stores a summary that is newer than the last one of its zone and
+// queues it for the own zone. After SilentAfter an older one is stored too, so that
+// a delegate whose clock was ahead does not hide the summaries of later delegates.
+func (t *Table) applySummary(s Summary, now time.Time) {
 	if s.Zone == t.opt.Zone {
 		return
 	}
@@ -180,8 +180,8 @@
 	if ok && s.Stamp == known.summary.Stamp {
 		return
 	}
-	t.cross.summaries[s.Zone] = received{summary: s, at: now}
-	t.announceSummary(s)
+	t.cross.summaries[s.Zone] = receivedSummary{summary: s, at: now}
+	t.enqueueSummary(s)
 }
 
 func (t *Table) zoneNames() []id.Zone {
@@ -198,7 +198,7 @@
 	return out
 }
 
-func (t *Table) zone(name id.Zone, now time.Time) ZoneStatus {
+func (t *Table) zoneStatus(name id.Zone, now time.Time) ZoneStatus {
 	z := ZoneStatus{Name: name}
 	latest, ok := t.cross.summaries[name]
 	if !ok {
@@ -212,11 +212,11 @@
 	return z
 }
 
-// Zones returns what is known of the other zones, sorted by name.
+// Zones returns the states of all other known zones, sorted by name.
 func (t *Table) Zones(now time.Time) []ZoneStatus {
 	var out []ZoneStatus
 	for _, name := range t.zoneNames() {
-		out = append(out, t.zone(name, now))
+		out = append(out, t.zoneStatus(name, now))
 	}
 	return out
 }
--- a/fleet/member/handle.go
+++ b/fleet/member/handle.go
@@ -6,92 +6,92 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// relayTimeout bounds the time for which a probe made for another host is remembered.
-const relayTimeout = 2 * time.Second
+// indirectProbeTimeout is the time after which an indirect probe is dropped.
+const indirectProbeTimeout = 2 * time.Second
 
-// Handle takes in a message and returns the messages to send. Those to
-// m.From.Address may travel as answer to the call that carried m.
+// Handle processes a message and returns the messages to send. Those to
+// m.From.Address may be sent as the answer to the call that carried m.
 func (t *Table) Handle(m Message, now time.Time) []Outgoing {
 	if m.Zone != t.opt.Zone {
-		return t.handleForeign(m, now)
+		return t.handleRemoteZone(m, now)
 	}
-	t.receive(m, now)
-	t.refresh(now)
+	t.applyPiggyback(m, now)
+	t.recompute(now)
 	var out []Outgoing
 	switch m.Type {
 	case Ping:
-		out = append(out, t.answer(Ack, m))
+		out = append(out, t.reply(Ack, m))
 	case Ack:
 		out = t.handleAck(m, now)
 	case PingReq:
-		out = t.handleForward(m, now)
+		out = t.handlePingReq(m, now)
 	case Sync:
-		a := t.answer(SyncAnswer, m)
+		a := t.reply(SyncAnswer, m)
 		a.Message.Updates = t.Members()
 		out = append(out, a)
 	}
-	return append(out, t.sync(m, now)...)
+	return append(out, t.startSync(m, now)...)
 }
 
-// receive takes in all that rides on a message of the own zone.
-func (t *Table) receive(m Message, now time.Time) {
-	t.apply(m.From, now)
-	t.heard(m.From.Host, now)
+// applyPiggyback applies the sender's record and all piggybacked data of a message.
+func (t *Table) applyPiggyback(m Message, now time.Time) {
+	t.applyUpdate(m.From, now)
+	t.markHeard(m.From.Host, now)
 	for _, p := range m.Updates {
-		t.apply(p, now)
+		t.applyUpdate(p, now)
 	}
 	for _, s := range m.Summaries {
-		t.takeSummary(s, now)
+		t.applySummary(s, now)
 	}
-	t.deliverNote(m.From, m.Zone, m.AppData)
+	t.deliverAppData(m.From, m.Zone, m.AppData)
 }
 
-func (t *Table) deliverNote(from Peer, zone id.Zone, note []byte) {
-	if t.opt.OnAppData != nil && len(note) > 0 && from.Host != t.self.Host {
-		t.opt.OnAppData(from, zone, note)
+func (t *Table) deliverAppData(from Peer, zone id.Zone, data []byte) {
+	if t.opt.OnAppData != nil && len(data) > 0 && from.Host != t.self.Host {
+		t.opt.OnAppData(from, zone, data)
 	}
 }
 
-func (t *Table) answer(typ MessageType, m Message) Outgoing {
-	a := t.message(typ, m.From.Host)
+func (t *Table) reply(typ MessageType, m Message) Outgoing {
+	a := t.newMessage(typ, m.From.Host)
 	a.Seq = m.Seq
 	return Outgoing{Address: m.From.Address, Message: a}
 }
 
 func (t *Table) handleAck(m Message, now time.Time) []Outgoing {
 	if m.About != nil {
-		t.apply(*m.About, now)
-		t.heard(m.About.Host, now)
+		t.applyUpdate(*m.About, now)
+		t.markHeard(m.About.Host, now)
 		return nil
 	}
-	r, ok := t.relays[m.Seq]
+	r, ok := t.indirectProbes[m.Seq]
 	if !ok {
 		return nil
 	}
-	delete(t.relays, m.Seq)
+	delete(t.indirectProbes, m.Seq)
 	about := m.From
-	a := t.message(Ack, "")
+	a := t.newMessage(Ack, "")
 	a.Seq = r.seq
 	a.About = &about
-	return []Outgoing{{Address: r.origin, Message: a}}
+	return []Outgoing{{Address: r.requester, Message: a}}
 }
 
-// handleForward probes a host for another one.
-func (t *Table) handleForward(m Message, now time.Time) []Outgoing {
+// handlePingReq probes the host in m.About on behalf of the sender.
+func (t *Table) handlePingReq(m Message, now time.Time) []Outgoing {
 	if m.About == nil {
 		return nil
 	}
 	if m.About.Host == t.self.Host {
-		return []Outgoing{t.answer(Ack, m)}
+		return []Outgoing{t.reply(Ack, m)}
 	}
-	p := t.message(Ping, m.About.Host)
-	t.relays[p.Seq] = relay{origin: m.From.Address, seq: m.Seq, expires: now.Add(relayTimeout)}
+	p := t.newMessage(Ping, m.About.Host)
+	t.indirectProbes[p.Seq] = indirectProbe{requester: m.From.Address, seq: m.Seq, expires: now.Add(indirectProbeTimeout)}
 	return []Outgoing{{Address: m.About.Address, Message: p}}
 }
 
-// sync starts an exchange of all members with a host whose members differ,
-// unless claims are still on their way.
-func (t *Table) sync(m Message, now time.Time) []Outgoing {
+// startSync starts a full sync with a host whose member hash differs, unless
+// updates are still queued.
+func (t *Table) startSync(m Message, now time.Time) []Outgoing {
 	if m.Type != Ping && m.Type != Ack {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	}
 	jitter := time.Duration(t.rng.Int64N(int64(t.cfg.Zone.SyncInterval)))
 	t.nextSync = now.Add(t.cfg.Zone.SyncInterval + jitter)
-	s := t.message(Sync, m.From.Host)
+	s := t.newMessage(Sync, m.From.Host)
 	s.Updates = t.Members()
 	return []Outgoing{{Address: m.From.Address, Message: s}}
 }
--- a/fleet/member/message.go
+++ b/fleet/member/message.go
@@ -8,23 +8,23 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// State is what a table believes about a host. Between two claims of equal
-// incarnation, the greater state wins.
+// State is the liveness state of a host. Of two updates with the same incarnation,
+// the one with the greater state wins.
 type State uint8
 
 const (
-	// Alive means that the host answers.
+	// Alive means that the host answers probes.
 	Alive State = iota
-	// Leaving means that the host answers, but must receive no new work.
+	// Leaving means that the host answers probes but must receive no new work.
 	Leaving
-	// Suspect means that the host has been silent and will be declared dead
-	// unless it answers. It must receive no new work.
+	// Suspect means that probes of the host timed out and that it will be declared
+	// dead unless it answers. It must receive no new work.
 	Suspect
-	// Dead means that the host stayed silent.
+	// Dead means that a suspected host did not answer in time.
 	Dead
 )
 
-// String returns the state as it appears in events.
+// String returns the name of the state in events.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -39,13 +39,13 @@
 	return fmt.Sprintf("state-%d", uint8(s))
 }
 
-// Peer is an entry host as the members of a zone know it.
+// Peer is the membership record of an entry host.
 type Peer struct {
 	Host id.Host `cbor:"1,keyasint"`
-	// Address is where the host takes calls, as "ip:port".
+	// Address is the "ip:port" at which the host takes calls.
 	Address string `cbor:"2,keyasint"`
-	// Incarnation grows with each start of the host's process and whenever the
-	// host refutes a claim about itself.
+	// Incarnation grows with each start of the host's process and each time the
+	// host refutes an update about itself.
 	Incarnation uint64 `cbor:"3,keyasint"`
 	State       State  `cbor:"4,keyasint,omitempty"`
 }
@@ -56,13 +56,13 @@
 const (
 	// Ping asks for an Ack.
 	Ping MessageType = iota + 1
-	// Ack tells that a host answers: the sender, or the host in About.
+	// Ack confirms that a host answers: the sender, or the host in About.
 	Ack
-	// PingReq asks the receiver to ping the host in About for the sender.
+	// PingReq asks the receiver to ping the host in About on behalf of the sender.
 	PingReq
-	// Sync carries all members of the zone. The receiver answers with its own.
+	// Sync carries the sender's full member list and asks for a SyncAnswer.
 	Sync
-	// SyncAnswer answers a Sync.
+	// SyncAnswer carries the full member list of the receiver of a Sync.
 	SyncAnswer
 	// Exchange carries the sender's zone summary to another zone.
 	Exchange
@@ -70,27 +70,27 @@
 	ExchangeAnswer
 )
 
-// Message is exchanged between two hosts.
+// Message is a protocol message between two hosts.
 type Message struct {
 	Type MessageType `cbor:"1,keyasint"`
 	Zone id.Zone     `cbor:"2,keyasint"`
 	From Peer        `cbor:"3,keyasint"`
-	// Seq connects an Ack with its Ping or Forward.
+	// Seq matches an Ack to its Ping or PingReq.
 	Seq uint64 `cbor:"4,keyasint,omitempty"`
-	// About is the host to ping or that answered.
+	// About is the host to ping in a PingReq, or the host that answered in an Ack.
 	About *Peer `cbor:"5,keyasint,omitempty"`
-	// Hash is the hash of the sender's members, set in pings and acks.
+	// Hash is the hash of the sender's member list, set on messages inside a zone.
 	Hash uint64 `cbor:"6,keyasint,omitempty"`
-	// Updates are claims about hosts of the sender's zone.
+	// Updates are membership updates about hosts of the sender's zone.
 	Updates []Peer `cbor:"7,keyasint,omitempty"`
-	// Summaries are the states of zones.
+	// Summaries are zone summaries.
 	Summaries []Summary `cbor:"8,keyasint,omitempty"`
-	// AppData is opaque data of the process, for example a digest of versions.
+	// AppData is opaque application data, for example a digest of versions.
 	AppData []byte `cbor:"9,keyasint,omitempty"`
 }
 
-// Summary is the state of a zone as one of its delegates sees it. Its size does
-// not depend on the number of hosts.
+// Summary is the aggregated state of a zone, made by one of its delegates. Its
+// size does not depend on the number of hosts.
 type Summary struct {
 	Zone id.Zone `cbor:"1,keyasint"`
 	// Delegate is the host that made the summary.
@@ -99,21 +99,21 @@
 	Stamp int64 `cbor:"3,keyasint"`
 	// Alive is the number of hosts that take new work.
 	Alive int `cbor:"4,keyasint"`
-	// Contacts are hosts of the zone that take calls from other zones, delegates first.
+	// Contacts are live hosts of the zone to call from other zones, delegates first.
 	Contacts []Peer `cbor:"5,keyasint,omitempty"`
-	// Load is opaque aggregate data of the zone.
+	// Load is the zone's opaque aggregated load.
 	Load []byte `cbor:"6,keyasint,omitempty"`
 }
 
-// Outgoing is a message to send to an address.
+// Outgoing is a message to send.
 type Outgoing struct {
 	Address string
-	// Reconnect asks to abandon the connection to Address before sending.
+	// Reconnect requests a new connection to Address for this message.
 	Reconnect bool
 	Message   Message
 }
 
-// Encode returns the messages as one payload.
+// Encode encodes messages as one payload, nil if there are none.
 func Encode(messages []Message) ([]byte, error) {
 	if len(messages) == 0 {
 		return nil, nil
@@ -125,7 +125,7 @@
 	return payload, nil
 }
 
-// Decode returns the messages of a payload.
+// Decode decodes the messages of a payload. An empty payload holds none.
 func Decode(payload []byte) ([]Message, error) {
 	if len(payload) == 0 {
 		return nil, nil
--- a/fleet/member/rumor.go
+++ b/fleet/member/rumor.go
@@ -2,27 +2,27 @@
 
 import "github.com/siskinford/siskinford/core/id"
 
-// rumor is a claim or a summary that is repeated on the next messages.
+// rumor is a queued membership update or zone summary to piggyback on messages.
 type rumor struct {
-	peer    *Peer
-	summary *Summary
-	left    int
+	peer          *Peer
+	summary       *Summary
+	transmitsLeft int
 }
 
-// announce repeats a claim on the next messages, in place of earlier claims
-// about the host.
-func (t *Table) announce(p Peer) {
-	t.forget(func(r *rumor) bool { return r.peer != nil && r.peer.Host == p.Host })
-	t.queue = append(t.queue, &rumor{peer: &p, left: t.cfg.Zone.Transmits})
+// enqueueUpdate queues an update for the next messages and drops queued updates
+// about the same host.
+func (t *Table) enqueueUpdate(p Peer) {
+	t.dequeue(func(r *rumor) bool { return r.peer != nil && r.peer.Host == p.Host })
+	t.queue = append(t.queue, &rumor{peer: &p, transmitsLeft: t.cfg.Zone.Transmits})
 }
 
-// announceSummary repeats a summary on the next messages inside the zone.
-func (t *Table) announceSummary(s Summary) {
-	t.forget(func(r *rumor) bool { return r.summary != nil && r.summary.Zone == s.Zone })
-	t.queue = append(t.queue, &rumor{summary: &s, left: t.cfg.Cross.Transmits})
+// enqueueSummary queues a summary for the next messages inside the zone.
+func (t *Table) enqueueSummary(s Summary) {
+	t.dequeue(func(r *rumor) bool { return r.summary != nil && r.summary.Zone == s.Zone })
+	t.queue = append(t.queue, &rumor{summary: &s, transmitsLeft: t.cfg.Cross.Transmits})
 }
 
-func (t *Table) forget(match func(*rumor) bool) {
+func (t *Table) dequeue(match func(*rumor) bool) {
 	kept := t.queue[:0]
 	for _, r := range t.queue {
 		if !match(r) {
@@ -32,9 +32,9 @@
 	t.queue = kept
 }
 
-// attach puts waiting claims and summaries on a message to a host of the zone.
-// A claim about the receiver is always included if it is not Alive.
-func (t *Table) attach(m *Message, to id.Host) {
+// piggyback adds queued updates and summaries to a message inside the zone. The
+// state of the receiver is always included if it is not Alive, so it can refute it.
+func (t *Table) piggyback(m *Message, to id.Host) {
 	if e := t.entries[to]; e != nil && e.peer.State != Alive {
 		m.Updates = append(m.Updates, e.peer)
 	}
@@ -51,8 +51,8 @@
 		} else {
 			m.Summaries = append(m.Summaries, *r.summary)
 		}
-		r.left--
+		r.transmitsLeft--
 		room--
 	}
-	t.forget(func(r *rumor) bool { return r.left <= 0 })
+	t.dequeue(func(r *rumor) bool { return r.transmitsLeft <= 0 })
 }
--- a/fleet/member/runner.go
+++ b/fleet/member/runner.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// callTimeout bounds a call of the protocol.
 	callTimeout = time.Second
-	// maxCalls bounds the calls that wait for an answer at the same time.
+	// maxCalls is the maximum number of concurrent calls.
 	maxCalls = 64
-	// maxPending bounds the messages that wait for a call.
-	maxPending = 256
+	// maxPendingMessages is the maximum number of queued messages.
+	maxPendingMessages = 256
 )
 
-// Runner drives a Table: it ticks, sends, and takes in calls. It is safe for
-// concurrent use. The callbacks in Options run while the table is locked and
-// must not call the Runner.
+// Runner drives a Table with a clock and a transport. It is safe for concurrent
+// use. The callbacks in Options run while the table is locked and must not call
+// the Runner.
 type Runner struct {
 	caller transport.Caller
 	clock  func() time.Time
@@ -43,20 +42,20 @@
 		caller:  caller,
 		clock:   clock,
 		table:   New(o, clock()),
-		pending: make(chan Outgoing, maxPending),
+		pending: make(chan Outgoing, maxPendingMessages),
 		slots:   make(chan struct{}, maxCalls),
 	}, nil
 }
 
-// Run ticks and sends until ctx ends, then waits for open calls.
+// Run runs the protocol until ctx ends, then waits for pending calls.
 func (r *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	r.RunTicks(ctx, ticker.C)
 }
 
-// RunTicks is Run with ticks of the caller, which a test bench holds back while
-// the process is paused.
+// RunTicks is Run with ticks from the caller, which tests hold back to simulate a
+// paused process.
 func (r *Runner) RunTicks(ctx context.Context, ticks <-chan time.Time) {
 	defer r.calls.Wait()
 	for {
@@ -80,7 +79,7 @@
 	}
 }
 
-// send starts a call, or drops the message if too many calls are open.
+// send starts a call, or drops the message if maxCalls are pending.
 func (r *Runner) send(ctx context.Context, o Outgoing) {
 	select {
 	case r.slots <- struct{}{}:
@@ -105,7 +104,7 @@
 	defer cancel()
 	answer, err := r.caller.Call(ctx, o.Address, payload)
 	if err != nil {
-		r.caller.Abandon(o.Address) // The table notices the silence.
+		r.caller.Abandon(o.Address) // The table detects the missing answer.
 		return
 	}
 	messages, err := Decode(answer)
@@ -115,7 +114,7 @@
 	r.enqueue(r.handle(messages))
 }
 
-// Handle answers a call of another host. It is a transport.Handler.
+// Handle processes a call of another host. It is a transport.Handler.
 func (r *Runner) Handle(_ context.Context, payload []byte) ([]byte, error) {
 	messages, err := Decode(payload)
 	if err != nil {
@@ -149,62 +148,62 @@
 	for _, o := range out {
 		select {
 		case r.pending <- o:
-		default: // The protocol repeats what matters.
+		default: // A lost message is retried by a later probe or sync.
 		}
 	}
 }
 
-// Self returns the own host as others see it.
+// Self returns the record of the own host.
 func (r *Runner) Self() Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Self()
 }
 
-// Leave marks the own host as leaving for all members.
+// Leave sets the own host to Leaving and notifies all members.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Leave()
 }
 
-// SetHostList takes in the platform's lagging host list.
+// SetHostList applies the platform's host list, as Table.SetHostList does.
 func (r *Runner) SetHostList(list []objectapi.Host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.SetHostList(list, r.clock())
 }
 
-// Live returns the hosts of the zone that take new work, the own included.
+// Live returns the hosts of the zone in state Alive, possibly with the own one.
 func (r *Runner) Live() []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Live()
 }
 
-// Members returns all known hosts of the zone.
+// Members returns all hosts of the zone in the table and the own one.
 func (r *Runner) Members() []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Members()
 }
 
-// Lookup returns the belief about a host of the zone.
+// Lookup returns the record of a host of the zone.
 func (r *Runner) Lookup(h id.Host) (Peer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Lookup(h)
 }
 
-// Zones returns what is known of the other zones.
+// Zones returns the states of the other zones, sorted by name.
 func (r *Runner) Zones() []ZoneStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Zones(r.clock())
 }
 
-// RemotePeers returns hosts of other zones that take calls, those of reachable
-// zones first.
+// RemotePeers returns hosts of other zones to call: contacts of reachable zones
+// first, then of other zones, then seeds of zones without a summary.
 func (r *Runner) RemotePeers() []Peer {
 	var reachable, rest []Peer
 	for _, z := range r.Zones() {
@@ -214,10 +213,10 @@
 			rest = append(rest, z.Contacts...)
 		}
 	}
-	return append(append(reachable, rest...), r.seedsElsewhere()...)
+	return append(append(reachable, rest...), r.remoteSeeds()...)
 }
 
-func (r *Runner) seedsElsewhere() []Peer {
+func (r *Runner) remoteSeeds() []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Peer
@@ -229,7 +228,7 @@
 	return out
 }
 
-// Owns reports whether the own host is first in the ranking of live hosts for key.
+// Owns reports whether the own host ranks first of the live hosts for key.
 func (r *Runner) Owns(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -11,59 +11,59 @@
 	"github.com/siskinford/siskinford/fleet/rendezvous"
 )
 
-// Change reports that a table changed its belief about a host of its zone.
+// Change is a change of the state of a host in the own zone.
 type Change struct {
 	Peer Peer
-	// Before is the earlier state. It is Dead for a host that was not known.
+	// Before is the previous state, Dead for a new host.
 	Before State
 }
 
-// Options are the parts of a process that a Table works with.
+// Options are the parameters and callbacks of a Table.
 type Options struct {
 	Config Config
 	Zone   id.Zone
 	Host   id.Host
-	// Address is where the process takes calls.
+	// Address is the "ip:port" at which the process takes calls.
 	Address string
-	// Seed selects the hosts for random probes.
+	// Seed seeds the random choice of hosts to probe.
 	Seed uint64
-	// AppData returns opaque data for the heartbeats. It may be nil.
+	// AppData returns opaque data to send with each message. It may be nil.
 	AppData func() []byte
-	// OnAppData receives the notes of other hosts. It must not block. It may be nil.
-	OnAppData func(from Peer, zone id.Zone, note []byte)
-	// Load returns the zone's aggregate for other zones. It may be nil.
+	// OnAppData receives the AppData of other hosts. It must not block. It may be nil.
+	OnAppData func(from Peer, zone id.Zone, data []byte)
+	// Load returns the zone's aggregated load for its summary. It may be nil.
 	Load func() []byte
-	// OnChange receives changes of belief. It must not block. It may be nil.
+	// OnChange receives state changes. It must not block. It may be nil.
 	OnChange func(Change)
 }
 
-// entry is what a table knows about one other host of its zone.
+// entry is the record of another host of the zone.
 type entry struct {
 	peer Peer
-	// since is when the state was entered.
-	since time.Time
-	// heard is when the host was last known to answer, directly or by a helper.
-	heard time.Time
-	// pinged is when the last probe was sent.
-	pinged time.Time
-	// misses counts the probes since heard.
-	misses int
+	// stateSince is when the host entered its state.
+	stateSince time.Time
+	// lastHeard is when the host last answered, directly or to an indirect probe.
+	lastHeard time.Time
+	// lastProbe is when the last direct probe was sent.
+	lastProbe time.Time
+	// unanswered counts the direct probes sent since lastHeard.
+	unanswered int
 	// monitored is true while the host is one of the successors.
 	monitored bool
-	// hinted is true once the host list called this incarnation leaving.
-	hinted uint64
+	// leavingHint is the incarnation that the host list last marked as leaving.
+	leavingHint uint64
 }
 
-// relay is a probe made for another host.
-type relay struct {
-	origin  string
-	seq     uint64
-	expires time.Time
+// indirectProbe is a pending probe on behalf of the sender of a PingReq.
+type indirectProbe struct {
+	requester string
+	seq       uint64
+	expires   time.Time
 }
 
-// Table is the membership state of one process. It is a state machine without
-// clock, goroutines or locks: the caller passes the time, sends the returned
-// messages and serialises all calls.
+// Table is the membership state machine of one process. It has no clock,
+// goroutines or locks: the caller passes the time, sends the returned messages
+// and serialises all calls.
 type Table struct {
 	opt     Options
 	cfg     Config
@@ -71,30 +71,30 @@
 	started time.Time
 	rng     *rand.Rand
 
-	entries map[id.Host]*entry
-	order   []id.Host // keys of entries, sorted
-	ring    []id.Host // successors, recomputed when dirty
-	distant []id.Host // hosts at doubling distances, recomputed when dirty
-	dirty   bool
-	// farewell is true until all members were told that the own host leaves.
-	farewell bool
-	hash     uint64
-	queue    []*rumor
-	seq      uint64
-	relays   map[uint64]relay
+	entries    map[id.Host]*entry
+	order      []id.Host // keys of entries, sorted
+	successors []id.Host // monitored hosts, recomputed when dirty
+	fingers    []id.Host // hosts at doubling distances, recomputed when dirty
+	dirty      bool
+	// leavePending is true until the next Tick notifies all members of Leave.
+	leavePending   bool
+	hash           uint64
+	queue          []*rumor
+	seq            uint64
+	indirectProbes map[uint64]indirectProbe
 
-	last        time.Time
-	nextDistant time.Time
-	turn        int // rotates through distant
-	nextRejoin  time.Time
-	nextSync    time.Time
+	lastTick        time.Time
+	nextFingerProbe time.Time
+	fingerIndex     int // rotates through fingers
+	nextRejoinProbe time.Time
+	nextSync        time.Time
 
-	cross cross
+	cross crossZone
 	seeds []Peer // hosts of the own zone in the host list
 }
 
-// New returns a table that knows only its own host. The incarnation starts at
-// the wall time in milliseconds, so that it grows with each start.
+// New returns a table with the own host as the only member. The incarnation starts
+// at the wall time in milliseconds, so that it grows with each start.
 func New(o Options, now time.Time) *Table {
 	return &Table{
 		opt: o,
@@ -104,32 +104,32 @@
 			Address:     o.Address,
 			Incarnation: uint64(now.UnixMilli()),
 		},
-		started: now,
-		rng:     rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(string(o.Host)))),
-		entries: make(map[id.Host]*entry),
-		relays:  make(map[uint64]relay),
-		last:    now,
-		dirty:   true,
-		cross:   newCross(),
+		started:        now,
+		rng:            rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(string(o.Host)))),
+		entries:        make(map[id.Host]*entry),
+		indirectProbes: make(map[uint64]indirectProbe),
+		lastTick:       now,
+		dirty:          true,
+		cross:          newCrossZone(),
 	}
 }
 
-// Self returns the own host as others see it.
+// Self returns the record of the own host.
 func (t *Table) Self() Peer { return t.self }
 
-// Leave marks the own host as leaving for all members. The next Tick tells each
-// of them directly.
+// Leave sets the own host to Leaving. The next Tick notifies each member
+// directly.
 func (t *Table) Leave() {
 	if t.self.State == Leaving {
 		return
 	}
 	t.self.State = Leaving
 	t.dirty = true
-	t.farewell = true
-	t.announce(t.self)
+	t.leavePending = true
+	t.enqueueUpdate(t.self)
 }
 
-// Members returns all known hosts of the zone including the own, sorted by host.
+// Members returns all hosts of the zone in the table and the own one, sorted by host.
 func (t *Table) Members() []Peer {
 	out := make([]Peer, 0, len(t.order)+1)
 	at, _ := slices.BinarySearch(t.order, t.self.Host)
@@ -144,7 +144,7 @@
 }
 
 func (t *Table) add(p Peer, now time.Time) {
-	t.entries[p.Host] = &entry{peer: p, since: now, heard: now}
+	t.entries[p.Host] = &entry{peer: p, stateSince: now, lastHeard: now}
 	at, _ := slices.BinarySearch(t.order, p.Host)
 	t.order = slices.Insert(t.order, at, p.Host)
 }
@@ -157,13 +157,13 @@
 	t.dirty = true
 }
 
-// Live returns the hosts of the zone in state Alive, sorted by host. They take
-// new work and duties.
+// Live returns the hosts of the zone in state Alive, sorted by host. Only they
+// receive new work and own keys.
 func (t *Table) Live() []Peer {
 	return slices.DeleteFunc(t.Members(), func(p Peer) bool { return p.State != Alive })
 }
 
-// Lookup returns the belief about a host of the zone.
+// Lookup returns the record of a host of the zone.
 func (t *Table) Lookup(h id.Host) (Peer, bool) {
 	if h == t.self.Host {
 		return t.self, true
@@ -175,7 +175,8 @@
 	return e.peer, true
 }
 
-// Owns reports whether the own host is first in the ranking of live hosts for key.
+// Owns reports whether the own host ranks first of the live hosts for key by
+// rendezvous hashing.
 func (t *Table) Owns(key string) bool {
 	first, ok := rendezvous.First(key, hosts(t.Live()))
 	return ok && first == t.self.Host
@@ -189,8 +190,8 @@
 	return out
 }
 
-// apply takes a claim about a host of the zone into the table.
-func (t *Table) apply(p Peer, now time.Time) {
+// applyUpdate merges an update about a host of the zone into the table.
+func (t *Table) applyUpdate(p Peer, now time.Time) {
 	if p.Host == t.self.Host {
 		t.applySelf(p, now)
 		return
@@ -201,7 +202,7 @@
 			return
 		}
 		t.add(p, now)
-		t.changed(Change{Peer: p, Before: Dead})
+		t.recordChange(Change{Peer: p, Before: Dead})
 		return
 	}
 	if !supersedes(p, e.peer) {
@@ -210,13 +211,13 @@
 	before := e.peer
 	e.peer = p
 	if p.Incarnation != before.Incarnation || p.State != before.State {
-		e.since = now
+		e.stateSince = now
 	}
 	if p.State <= Leaving && before.State >= Suspect {
-		e.heard = now
-		e.misses = 0
+		e.lastHeard = now
+		e.unanswered = 0
 	}
-	t.changed(Change{Peer: p, Before: before.State})
+	t.recordChange(Change{Peer: p, Before: before.State})
 }
 
 func supersedes(p, known Peer) bool {
@@ -226,7 +227,7 @@
 	return p.State > known.State
 }
 
-// applySelf refutes wrong claims about the own host and adopts that it leaves.
+// applySelf refutes an update about the own host, or accepts that it is leaving.
 func (t *Table) applySelf(p Peer, now time.Time) {
 	if !supersedes(p, t.self) {
 		return
@@ -237,27 +238,27 @@
 	}
 	t.self.Incarnation = max(p.Incarnation, t.self.Incarnation) + 1
 	t.dirty = true
-	t.announce(t.self)
+	t.enqueueUpdate(t.self)
 }
 
-func (t *Table) changed(c Change) {
+func (t *Table) recordChange(c Change) {
 	t.dirty = true
-	t.announce(c.Peer)
+	t.enqueueUpdate(c.Peer)
 	if t.opt.OnChange != nil && c.Before != c.Peer.State {
 		t.opt.OnChange(c)
 	}
 }
 
-// heard notes that a host answered at a time.
-func (t *Table) heard(h id.Host, now time.Time) {
+// markHeard records an answer of a host.
+func (t *Table) markHeard(h id.Host, now time.Time) {
 	if e := t.entries[h]; e != nil {
-		e.heard = now
-		e.misses = 0
+		e.lastHeard = now
+		e.unanswered = 0
 	}
 }
 
-// refresh recomputes the successors and the hash after a change.
-func (t *Table) refresh(now time.Time) {
+// recompute updates successors, fingers and the member hash after a change.
+func (t *Table) recompute(now time.Time) {
 	if !t.dirty {
 		return
 	}
@@ -272,20 +273,20 @@
 		t.hash ^= rendezvous.Score(p.State.String(), p.Host) * (p.Incarnation | 1)
 		candidates = append(candidates, p.Host)
 	}
-	t.ring, t.distant = partners(t.self.Host, candidates, t.cfg.Zone.Successors)
+	t.successors, t.fingers = ringNeighbors(t.self.Host, candidates, t.cfg.Zone.Successors)
 	for h, e := range t.entries {
-		monitored := slices.Contains(t.ring, h)
+		monitored := slices.Contains(t.successors, h)
 		if monitored && !e.monitored && e.peer.State != Suspect {
-			e.heard = now
-			e.misses = 0
+			e.lastHeard = now
+			e.unanswered = 0
 		}
 		e.monitored = monitored
 	}
 }
 
-// partners returns the n hosts that follow self in hash order, and the hosts
-// beyond them at doubling distances.
-func partners(self id.Host, hosts []id.Host, n int) (next, distant []id.Host) {
+// ringNeighbors returns the n successors of self on the hash ring, and its fingers:
+// the hosts beyond them at doubling distances.
+func ringNeighbors(self id.Host, hosts []id.Host, n int) (next, distant []id.Host) {
 	ring := rendezvous.Rank("ring", hosts)
 	at := slices.Index(ring, self)
 	for i := 1; i < len(ring) && i <= n; i++ {
--- a/fleet/member/tick.go
+++ b/fleet/member/tick.go
@@ -8,44 +8,43 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// TickInterval is the time between two calls of Tick.
+// TickInterval is the interval at which Tick must be called.
 const TickInterval = 100 * time.Millisecond
 
-// Tick advances the table to a time and returns the messages to send. It must
-// be called every TickInterval.
+// Tick advances the table to now and returns the messages to send.
 func (t *Table) Tick(now time.Time) []Outgoing {
-	t.excusePause(now)
-	t.refresh(now)
-	out := t.sayFarewell(now)
+	t.compensatePause(now)
+	t.recompute(now)
+	out := t.notifyLeave(now)
 	for _, h := range slices.Clone(t.order) {
 		e := t.entries[h]
-		t.age(e, now)
+		t.expireState(e, now)
 		if e.monitored {
 			out = append(out, t.probeMonitored(e, now)...)
 		}
 	}
-	if !now.Before(t.nextDistant) {
-		t.nextDistant = now.Add(t.cfg.Zone.ProbeInterval)
-		out = append(out, t.probeDistant(now)...)
+	if !now.Before(t.nextFingerProbe) {
+		t.nextFingerProbe = now.Add(t.cfg.Zone.ProbeInterval)
+		out = append(out, t.probeFingers(now)...)
 	}
-	if !now.Before(t.nextRejoin) {
-		t.nextRejoin = now.Add(t.cfg.Zone.RejoinInterval)
-		out = append(out, t.probeAbsent()...)
+	if !now.Before(t.nextRejoinProbe) {
+		t.nextRejoinProbe = now.Add(t.cfg.Zone.RejoinInterval)
+		out = append(out, t.probeForRejoin()...)
 	}
-	for seq, r := range t.relays {
+	for seq, r := range t.indirectProbes {
 		if now.After(r.expires) {
-			delete(t.relays, seq)
+			delete(t.indirectProbes, seq)
 		}
 	}
-	return append(out, t.exchange(now)...)
+	return append(out, t.exchangeSummaries(now)...)
 }
 
-// sayFarewell probes all members once after the own host was marked as leaving.
-func (t *Table) sayFarewell(now time.Time) []Outgoing {
-	if !t.farewell {
+// notifyLeave pings all members that are not dead, once after Leave.
+func (t *Table) notifyLeave(now time.Time) []Outgoing {
+	if !t.leavePending {
 		return nil
 	}
-	t.farewell = false
+	t.leavePending = false
 	var out []Outgoing
 	for _, h := range t.order {
 		if e := t.entries[h]; e.peer.State != Dead {
@@ -55,117 +54,117 @@
 	return out
 }
 
-// excusePause moves all times by the length of a pause of the own process, so
+// compensatePause shifts all times by the length of a pause of the own process, so
 // that the pause does not count as silence of others.
-func (t *Table) excusePause(now time.Time) {
-	gap := now.Sub(t.last)
-	t.last = now
+func (t *Table) compensatePause(now time.Time) {
+	gap := now.Sub(t.lastTick)
+	t.lastTick = now
 	if gap < t.cfg.Zone.PauseAfter {
 		return
 	}
 	for _, e := range t.entries {
-		e.heard = earlier(e.heard.Add(gap), now)
-		e.pinged = earlier(e.pinged.Add(gap), now)
-		e.since = earlier(e.since.Add(gap), now)
+		e.lastHeard = minTime(e.lastHeard.Add(gap), now)
+		e.lastProbe = minTime(e.lastProbe.Add(gap), now)
+		e.stateSince = minTime(e.stateSince.Add(gap), now)
 	}
 }
 
-func earlier(a, b time.Time) time.Time {
+func minTime(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// age moves a host to the next state when its time is over.
-func (t *Table) age(e *entry, now time.Time) {
+// expireState moves a host to the next state, or removes it, at its timeout.
+func (t *Table) expireState(e *entry, now time.Time) {
 	z := t.cfg.Zone
 	switch e.peer.State {
 	case Alive, Leaving:
-		if e.monitored && e.misses > 1 && now.Sub(e.heard) >= z.SuspectAfter {
-			t.claim(e, Suspect, now)
+		if e.monitored && e.unanswered > 1 && now.Sub(e.lastHeard) >= z.SuspectAfter {
+			t.setState(e, Suspect, now)
 		}
 	case Suspect:
-		if now.Sub(e.since) >= z.DeadAfter {
-			t.claim(e, Dead, now)
+		if now.Sub(e.stateSince) >= z.DeadAfter {
+			t.setState(e, Dead, now)
 		}
 	case Dead:
-		if now.Sub(e.since) >= z.Retention {
+		if now.Sub(e.stateSince) >= z.Retention {
 			t.remove(e.peer.Host)
 		}
 	}
 }
 
-func (t *Table) claim(e *entry, s State, now time.Time) {
+func (t *Table) setState(e *entry, s State, now time.Time) {
 	p := e.peer
 	p.State = s
-	t.apply(p, now)
+	t.applyUpdate(p, now)
 }
 
-// probeMonitored probes a successor at the interval and repeats a probe that
-// was not answered, over a fresh connection first and by helpers.
+// probeMonitored probes a successor at ProbeInterval. It retries an unanswered
+// probe at RetryInterval, first over a new connection, with indirect probes.
 func (t *Table) probeMonitored(e *entry, now time.Time) []Outgoing {
 	z := t.cfg.Zone
 	wait := z.ProbeInterval
-	if e.misses > 0 {
+	if e.unanswered > 0 {
 		wait = z.RetryInterval
 	}
-	if now.Sub(e.pinged) < wait {
+	if now.Sub(e.lastProbe) < wait {
 		return nil
 	}
-	repeat := e.misses > 0
+	repeat := e.unanswered > 0
 	out := []Outgoing{t.ping(e, now)}
 	if !repeat {
 		return out
 	}
-	for _, helper := range t.pick(z.IndirectProbes, func(h *entry) bool { return h.peer.State == Alive && h != e }) {
+	for _, helper := range t.randomEntries(z.IndirectProbes, func(h *entry) bool { return h.peer.State == Alive && h != e }) {
 		about := e.peer
-		m := t.message(PingReq, helper.peer.Host)
+		m := t.newMessage(PingReq, helper.peer.Host)
 		m.About = &about
 		out = append(out, Outgoing{Address: helper.peer.Address, Message: m})
 	}
 	return out
 }
 
-// ping probes a host, over a fresh connection if the last probe was not answered.
+// ping returns a probe of a host, over a new connection after one unanswered probe.
 func (t *Table) ping(e *entry, now time.Time) Outgoing {
-	e.pinged = now
-	e.misses++
+	e.lastProbe = now
+	e.unanswered++
 	return Outgoing{
 		Address:   e.peer.Address,
-		Reconnect: e.misses == 2,
-		Message:   t.message(Ping, e.peer.Host),
+		Reconnect: e.unanswered == 2,
+		Message:   t.newMessage(Ping, e.peer.Host),
 	}
 }
 
-// message returns a message to a host of the zone with all that rides on it.
-func (t *Table) message(typ MessageType, to id.Host) Message {
+// newMessage returns a message to a host of the zone with all piggybacked data.
+func (t *Table) newMessage(typ MessageType, to id.Host) Message {
 	t.seq++
-	m := Message{Type: typ, Zone: t.opt.Zone, From: t.self, Seq: t.seq, Hash: t.hash, AppData: t.note()}
-	t.attach(&m, to)
+	m := Message{Type: typ, Zone: t.opt.Zone, From: t.self, Seq: t.seq, Hash: t.hash, AppData: t.appData()}
+	t.piggyback(&m, to)
 	return m
 }
 
-func (t *Table) note() []byte {
+func (t *Table) appData() []byte {
 	if t.opt.AppData == nil {
 		return nil
 	}
 	return t.opt.AppData()
 }
 
-// probeDistant probes the next of the distant hosts, so that claims cross the
-// zone in few steps.
-func (t *Table) probeDistant(now time.Time) []Outgoing {
+// probeFingers probes the next fingers in rotation, so that updates cross the zone
+// in few hops.
+func (t *Table) probeFingers(now time.Time) []Outgoing {
 	var out []Outgoing
-	for range min(t.cfg.Zone.FingerProbes, len(t.distant)) {
-		t.turn++
-		out = append(out, t.ping(t.entries[t.distant[t.turn%len(t.distant)]], now))
+	for range min(t.cfg.Zone.FingerProbes, len(t.fingers)) {
+		t.fingerIndex++
+		out = append(out, t.ping(t.entries[t.fingers[t.fingerIndex%len(t.fingers)]], now))
 	}
 	return out
 }
 
-// probeAbsent probes one host that is dead or only known from the host list.
-func (t *Table) probeAbsent() []Outgoing {
+// probeForRejoin probes one random host that is dead or only in the host list.
+func (t *Table) probeForRejoin() []Outgoing {
 	var absent []Peer
 	for _, h := range t.order {
 		if e := t.entries[h]; e.peer.State == Dead {
@@ -181,11 +180,11 @@
 		return nil
 	}
 	p := absent[t.rng.IntN(len(absent))]
-	return []Outgoing{{Address: p.Address, Reconnect: true, Message: t.message(Ping, p.Host)}}
+	return []Outgoing{{Address: p.Address, Reconnect: true, Message: t.newMessage(Ping, p.Host)}}
 }
 
-// pick returns up to n random entries for which keep returns true.
-func (t *Table) pick(n int, keep func(*entry) bool) []*entry {
+// randomEntries returns up to n random entries that satisfy keep.
+func (t *Table) randomEntries(n int, keep func(*entry) bool) []*entry {
 	var all []*entry
 	for _, h := range t.order {
 		if e := t.entries[h]; keep(e) {
@@ -196,9 +195,9 @@
 	return all[:min(n, len(all))]
 }
 
-// SetHostList takes in the platform's lagging host list. Hosts of the own zone
-// become seeds, and a live host that the list calls leaving is marked once for
-// each of its incarnations. Of each other zone only few hosts are remembered.
+// SetHostList applies the platform's host list, which lags. Hosts of the own zone
+// become seeds, and an alive host that the list marks as leaving becomes Leaving,
+// once per incarnation. CrossConfig.Seeds hosts of each other zone are kept.
 func (t *Table) SetHostList(list []objectapi.Host, now time.Time) {
 	t.seeds = t.seeds[:0]
 	others := make(map[id.Zone][]Peer)
@@ -209,7 +208,7 @@
 			continue
 		}
 		if h.State == objectapi.HostLeaving {
-			t.hintLeaving(h.Name, now)
+			t.markLeaving(h.Name, now)
 			continue
 		}
 		t.seeds = append(t.seeds, p)
@@ -217,15 +216,15 @@
 	t.cross.setSeeds(others, t.self.Host, t.cfg.Cross.Seeds)
 }
 
-func (t *Table) hintLeaving(h id.Host, now time.Time) {
+func (t *Table) markLeaving(h id.Host, now time.Time) {
 	if h == t.self.Host {
 		t.applySelf(Peer{Host: h, Incarnation: t.self.Incarnation, State: Leaving}, now)
 		return
 	}
 	e := t.entries[h]
-	if e == nil || e.peer.State != Alive || e.hinted == e.peer.Incarnation {
+	if e == nil || e.peer.State != Alive || e.leavingHint == e.peer.Incarnation {
 		return
 	}
-	e.hinted = e.peer.Incarnation
-	t.claim(e, Leaving, now)
+	e.leavingHint = e.peer.Incarnation
+	t.setState(e, Leaving, now)
 }
