--- a/fleet/mesh/cells_test.go
+++ b/fleet/mesh/cells_test.go
@@ -22,28 +22,28 @@
 
 func answersAll(id.Host) bool { return true }
 
-// TestCellsGrowWithTheRoot names the pattern "the fleet grows": what a member
-// exchanges grows with the square root of the fleet.
+// TestCellsGrowWithTheRoot checks that the exchanges of a member grow only with the
+// square root of the fleet.
 func TestCellsGrowWithTheRoot(t *testing.T) {
 	for _, c := range []struct{ members, zones int }{{2, 1}, {4, 3}, {18, 4}, {20, 3}, {21, 3}, {50, 3}, {125, 3}, {360, 10}} {
 		all := members(c.members, c.zones)
 		l := newLayout(all)
 		total, most := 0, 0
 		for _, m := range all {
-			mates := l.mates(m.Host)
+			mates := l.cellMembers(m.Host)
 			for _, h := range mates {
-				assert.Assert(t, l.together(m.Host, h))
+				assert.Assert(t, l.sameCell(m.Host, h))
 			}
 			contacts := l.contacts(m.Host, answersAll)
-			assert.Equal(t, len(contacts), len(l.names)-1, "one contact in each other cell")
+			assert.Equal(t, len(contacts), len(l.cellNames)-1, "one contact in each other cell")
 			n := len(mates) - 1 + len(contacts)
 			total += n
 			most = max(most, n)
 		}
 		mean := float64(total) / float64(c.members)
-		t.Logf("%d members in %d zones: %d cells, %.1f neighbors, %d at most", c.members, c.zones, len(l.names), mean, most)
-		if c.members <= wholeFleet {
-			assert.Equal(t, len(l.names), 1)
+		t.Logf("%d members in %d zones: %d cells, %.1f neighbors, %d at most", c.members, c.zones, len(l.cellNames), mean, most)
+		if c.members <= maxFullMesh {
+			assert.Equal(t, len(l.cellNames), 1)
 			continue
 		}
 		assert.Assert(t, mean <= 2.5*math.Sqrt(float64(c.members)), "%.1f neighbors of %d", mean, c.members)
@@ -55,17 +55,17 @@
 	l := newLayout(all)
 	for _, a := range all {
 		for _, b := range all {
-			assert.Assert(t, a.Zone == b.Zone || !l.together(a.Host, b.Host))
+			assert.Assert(t, a.Zone == b.Zone || !l.sameCell(a.Host, b.Host))
 		}
 	}
 }
 
-// TestCellsLast: a member that comes leaves the others where they are.
+// TestCellsLast checks that adding a member doesn't move others to other cells.
 func TestCellsLast(t *testing.T) {
 	before, after := newLayout(members(125, 3)), newLayout(members(126, 3))
 	moved := 0
-	for host, cell := range before.of {
-		if after.of[host] != cell {
+	for host, cell := range before.cellByHost {
+		if after.cellByHost[host] != cell {
 			moved++
 		}
 	}
@@ -80,24 +80,24 @@
 		for i, h := range l.contacts("h0", answersAll) {
 			if others[i] != h {
 				replaced++
-				assert.Assert(t, h == usual && l.together(h, others[i]))
+				assert.Assert(t, h == usual && l.sameCell(h, others[i]))
 			}
 		}
-		assert.Assert(t, replaced == 1 || len(l.mates(usual)) == 1)
+		assert.Assert(t, replaced == 1 || len(l.cellMembers(usual)) == 1)
 	}
 	none := l.contacts("h0", func(id.Host) bool { return false })
 	assert.DeepEqual(t, none, l.contacts("h0", answersAll))
 }
 
-// TestEachPairHasOneCaller: two members never both leave the call to the other.
+// TestEachPairHasOneCaller checks that of two members exactly one calls the other.
 func TestEachPairHasOneCaller(t *testing.T) {
 	own := 0
 	for _, a := range members(20, 1) {
 		for _, b := range members(20, 1) {
 			if a.Host != b.Host {
-				assert.Assert(t, calls(a.Host, b.Host) != calls(b.Host, a.Host))
+				assert.Assert(t, initiates(a.Host, b.Host) != initiates(b.Host, a.Host))
 			}
-			if a.Host == "h3" && b.Host != "h3" && calls(a.Host, b.Host) {
+			if a.Host == "h3" && b.Host != "h3" && initiates(a.Host, b.Host) {
 				own++
 			}
 		}
@@ -105,8 +105,8 @@
 	assert.Assert(t, own > 4 && own < 15, "%d of 19 pairs", own)
 }
 
-// TestLargeFleet names the pattern "the fleet grows": states of all arrive
-// everywhere as sums, few members read the platform, and a value of one spreads.
+// TestLargeFleet checks with 60 members that the aggregated states of all arrive at
+// each, that few read the platform, and that a new version reaches all.
 func TestLargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 60
@@ -127,7 +127,7 @@
 				reading++
 			}
 		}
-		cells := len(nodes[0].mesh.layout.names)
+		cells := len(nodes[0].mesh.layout.cellNames)
 		assert.Assert(t, reading <= 2*cells, "%d of %d read, in %d cells", reading, size, cells)
 		assert.Assert(t, reading >= 3)
 
@@ -138,9 +138,9 @@
 			assert.Equal(t, n.get().Version, uint64(9), "entry %d", i)
 		}
 
-		// A whole cell is lost. The others notice and forget it.
+		// After a whole cell fails, the others remove its members.
 		l := nodes[0].mesh.layout
-		lost := l.mates("h1")
+		lost := l.cellMembers("h1")
 		gone := make(map[id.Host]bool)
 		for _, h := range lost {
 			gone[h] = true
@@ -166,22 +166,22 @@
 	})
 }
 
-// total returns the entries whose states the node counts: its own, those of its
-// cell and those in the sums of other cells.
+// total returns the number of entries whose states the node has: its own, those of
+// its cell and those in the aggregates of other cells.
 func (n *node) total() int {
 	n.mesh.mu.Lock()
-	l := n.mesh.divided()
+	l := n.mesh.currentLayout()
 	n.mesh.mu.Unlock()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sum := 1
 	for host := range n.states {
-		if l.together(n.mesh.opt.Self.Host, host) {
-			sum++ // Others told theirs before the fleet was divided.
+		if l.sameCell(n.mesh.opt.Self.Host, host) {
+			sum++ // States received before the fleet was divided into cells don't count.
 		}
 	}
 	for cell, c := range n.cells {
-		if len(l.cells[cell]) > 0 {
+		if len(l.hostsByCell[cell]) > 0 {
 			sum += c
 		}
 	}
--- a/fleet/mesh/mesh.go
+++ b/fleet/mesh/mesh.go
@@ -1,15 +1,15 @@
-// Package mesh keeps the entries of a fleet in touch. Each entry registers itself
-// in the platform, dials others and exchanges its state with them at an interval:
-// with all of a small fleet, and in a large one with those of its cell and with a
-// contact in each other cell, which tells the sum of that cell's states.
+// Package mesh provides service discovery, failure detection and anti-entropy
+// between the entries of a fleet. Each entry registers itself in the platform and
+// exchanges its state at an interval: in a small fleet with all entries, in a large
+// one with those of its cell and one contact in each other cell, which sends an
+// aggregate of its cell's states.
 //
-// Values with a version, such as the configuration in force, are handed to entries
-// that are behind. So a few readers in each cell watch the platform for all, and an
-// entry that the platform turns away is not lost.
+// Entries fetch newer versions of values, such as the configuration, from each
+// other. So only a few readers in each cell watch the platform, and an entry that
+// the platform refuses to serve still receives updates.
 //
-// Nothing in the platform expires by itself: an entry that finds another one
-// dead for long removes its registration, and an entry that finds its own
-// missing registers again.
+// Registrations don't expire in the platform: an entry removes those of members
+// that have long been silent, and writes its own again when it is missing.
 package mesh
 
 import (
@@ -33,44 +33,44 @@
 // Kind is the platform object kind of registrations, with the host as object name.
 const Kind = "siskinford-entries"
 
-// Member is one start of an entry.
+// Member identifies one start of an entry, and is the value of its registration.
 type Member struct {
 	Host        id.Host        `json:"host"`
 	Zone        id.Zone        `json:"zone"`
 	Incarnation id.Incarnation `json:"incarnation"`
-	// Address is the "ip:port" for other entries.
+	// Address is the "ip:port" at which the entry takes calls of other entries.
 	Address string `json:"address"`
-	// Fingerprint identifies the certificate of the member.
+	// Fingerprint is that of the member's certificate.
 	Fingerprint string `json:"fingerprint"`
-	// Started is the start in milliseconds since the Unix epoch. It orders the
-	// incarnations of a host as far as its clock allows.
+	// Started is the start time in milliseconds since the Unix epoch. It orders the
+	// incarnations of a host, as far as its clock is correct.
 	Started int64 `json:"started"`
 }
 
-// Topic names a value with a version that members hand to each other.
+// Topic identifies a versioned value that members replicate.
 type Topic string
 
 // Config holds the settings of a Mesh. Zero values select the defaults.
 type Config struct {
-	// Interval is the time between exchanges with a member. It grows with their
-	// number and size, so that they stay within BytesPerSecond. Default: 100 ms.
+	// Interval is the minimum time between exchanges with a member. It grows with
+	// their number and size, to stay within BytesPerSecond. Default: 100 ms.
 	Interval time.Duration
-	// BytesPerSecond bounds what all exchanges send. Default: 9,000, the users' bound for control.
+	// BytesPerSecond limits the traffic of all exchanges. Default: 9,000, the budget for control traffic.
 	BytesPerSecond float64
-	// CallTimeout bounds a call to a member. Default: 400 ms.
+	// CallTimeout is the timeout of a call to a member. Default: 400 ms.
 	CallTimeout time.Duration
 	// AliveTimeout is the time after the last exchange for which a member counts as
-	// alive, at least a few intervals. Default: 1.2 s.
+	// alive, at least aliveIntervals exchange intervals. Default: 1.2 s.
 	AliveTimeout time.Duration
-	// Readers is the number of members of a cell and zone that watch the platform.
+	// Readers is the number of members per cell and zone that watch the platform.
 	// Default: 2.
 	Readers int
-	// FetchDelay is the time for which a reader waits for a newer version from
-	// its own watch before it asks another member. Default: 150 ms.
+	// FetchDelay is the time that a reader waits for its own watch to return a newer
+	// version before it fetches it from a member. Default: 150 ms.
 	FetchDelay time.Duration
-	// ForgetAfter is the silence after which a member's registration is removed. Default: 30 s.
+	// ForgetAfter is the silence after which a member's registration is deleted. Default: 30 s.
 	ForgetAfter time.Duration
-	// ListInterval is the time between lists of the registrations beside the watch. Default: 30 s.
+	// ListInterval is the time between full lists of the registrations. Default: 30 s.
 	ListInterval time.Duration
 }
 
@@ -92,47 +92,47 @@
 	}
 }
 
-// Value is a topic's value at a version.
+// Value is a version of a topic's value, whole or as a delta.
 type Value struct {
 	Version uint64
 	Data    []byte
 }
 
-// Options are the parts of an entry that a Mesh works with.
+// Options are the dependencies and callbacks of a Mesh.
 type Options struct {
 	Config Config
 	Self   Member
 	Store  objectapi.Store
 	Caller transport.Caller
-	// Seeds are addresses of other entries to try while no registration is known.
+	// Seeds are addresses of entries to call while no other member is known.
 	Seeds []string
-	// Versions returns the versions that the entry holds, zero for values that it
-	// wants and does not have. The result is the caller's.
+	// Versions returns the version of each topic, zero for one without a value yet.
+	// The caller owns the map.
 	Versions func() map[Topic]uint64
-	// Watched lists the topics that readers learn of from the platform themselves.
+	// Watched is the set of topics that readers watch in the platform.
 	Watched map[Topic]bool
-	// ValueSince returns what a member that holds a version lacks: the whole value or, as
-	// Put understands it, the rest.
+	// ValueSince returns the value for a member that has version have: the whole value
+	// or a delta that its ApplyValue understands.
 	ValueSince func(t Topic, have uint64) Value
-	// ApplyValue takes in a value of another member. A version that is not greater than
-	// the own one is to be ignored.
+	// ApplyValue applies a value fetched from another member. It must ignore a version
+	// that is not greater than the own one.
 	ApplyValue func(Topic, Value)
-	// LocalState returns the state to send to the members of the own cell.
+	// LocalState returns the state to send to members of the own cell.
 	LocalState func() []byte
-	// CellSummary returns the sum of the states of some members, the own one included,
-	// to send to other cells.
+	// CellSummary returns the aggregate of the states of the members selected by of,
+	// the own one included, to send to other cells.
 	CellSummary func(of func(id.Host) bool) []byte
-	// OnState receives the state of another member, and OnSummary the sum of
+	// OnState receives the state of another member, and OnSummary the aggregate of
 	// another cell. They must not block.
 	OnState   func(Member, []byte)
 	OnSummary func(cell string, summary []byte)
-	// WatchesHealthy reports whether the entry's own watches of the platform are in order.
+	// WatchesHealthy reports whether the entry's own watches of the platform work.
 	// Nil means that it has none.
 	WatchesHealthy func() bool
 	Log            zerolog.Logger
 }
 
-// Validate returns all findings in the options.
+// Validate returns all findings about o.
 func (o Options) Validate() finding.List {
 	var l finding.List
 	if o.Self.Host == "" || o.Self.Incarnation == "" {
@@ -147,87 +147,87 @@
 	return l
 }
 
-// Mesh is the entry's part in the fleet. It is safe for concurrent use.
+// Mesh runs the protocol for one entry. It is safe for concurrent use.
 type Mesh struct {
 	opt Options
 	cfg Config
 
-	mu    sync.Mutex // leaf lock; guards all below
+	mu    sync.Mutex // leaf lock; guards the fields below except wake
 	peers map[id.Host]*peer
-	// registered is the revision of the own registration, zero if it is not known.
-	registered uint64
-	// inPlatform is false while the own registration is known to be missing.
-	inPlatform bool
-	fetching   map[Topic]bool
-	behind     map[Topic]time.Time
-	// layout is that of the known members; stale is true after one came or went.
-	layout layout
-	stale  bool
-	// listed holds the registrations. Revision is that of their last change in the
-	// platform, and current the one up to which they are known.
-	listed            map[id.Host]registration
-	revision, current uint64
-	// watching is true while the registrations are followed in the platform.
+	// registeredRevision is that of the own registration, zero if unknown or absent.
+	registeredRevision uint64
+	// isRegistered is true while the own registration is believed to be in the platform.
+	isRegistered bool
+	fetching     map[Topic]bool
+	behindSince  map[Topic]time.Time
+	// layout divides the known members; layoutStale is true after one was added or removed.
+	layout      layout
+	layoutStale bool
+	// registrations are those in the platform. changeRevision is the platform revision
+	// of their last change, and knownRevision the one up to which changes are applied.
+	registrations                 map[id.Host]registration
+	changeRevision, knownRevision uint64
+	// watching is true while the own watch of the registrations runs.
 	watching bool
-	// roundBytes is the usual size of the exchanges of a round.
+	// roundBytes is the moving average of the bytes exchanged in a round.
 	roundBytes float64
 
-	changed chan struct{}
+	wake chan struct{}
 }
 
-// registration is a member as the platform holds it.
+// registration is a member with the revision of its platform object.
 type registration struct {
 	Member   Member `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"`
 }
 
-// peer is another host with what is known of it.
+// peer is the record of another host.
 type peer struct {
 	member Member
-	// revision is that of its registration, zero if it is not registered.
+	// revision is that of its registration, zero if not registered.
 	revision uint64
-	// seen is the last exchange, and since when the member is known.
-	seen, since time.Time
-	// failed is the last call that was not answered, and silent the first one
-	// since the last that was.
-	failed, silent time.Time
-	versions       map[Topic]uint64
-	alive          bool
-	calling        bool
-	// reads is true if its watches of the platform are in order.
-	reads bool
+	// lastSeen is the time of the last exchange, knownSince when its incarnation was added.
+	lastSeen, knownSince time.Time
+	// lastFailure is the time of the last failed call, failingSince that of the first
+	// one after the last success. Both are zero after a success.
+	lastFailure, failingSince time.Time
+	versions                  map[Topic]uint64
+	alive                     bool
+	callPending               bool
+	// watchesHealthy is true if its own watches of the platform work.
+	watchesHealthy bool
 }
 
-// New returns a mesh. Run must be called for it to work.
+// New returns a mesh, which Run starts.
 func New(o Options) (*Mesh, error) {
 	if err := o.Validate().Err(); err != nil {
 		return nil, errors.Wrap(err, "mesh")
 	}
 	return &Mesh{
 		opt: o, cfg: o.Config.withDefaults(),
-		peers: make(map[id.Host]*peer), fetching: make(map[Topic]bool), behind: make(map[Topic]time.Time),
-		layout: newLayout([]Member{o.Self}), changed: make(chan struct{}, 1),
+		peers: make(map[id.Host]*peer), fetching: make(map[Topic]bool), behindSince: make(map[Topic]time.Time),
+		layout: newLayout([]Member{o.Self}), wake: make(chan struct{}, 1),
 	}, nil
 }
 
-// Run works until ctx ends. The registration is then removed.
+// Run runs the protocol until ctx ends and then deletes the own registration.
 func (m *Mesh) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { m.register(ctx) })
-	wg.Go(func() { m.exchange(ctx) })
+	wg.Go(func() { m.maintainRegistration(ctx) })
+	wg.Go(func() { m.runExchanges(ctx) })
 	wg.Wait()
 	m.unregister()
 }
 
-// Alive returns the other members that were lately in touch, in order of host. Of a
-// large fleet these are the cell and the contacts.
+// Alive returns the other members with an exchange within the alive timeout, sorted
+// by host. In a large fleet only cell members and contacts exchange.
 func (m *Mesh) Alive() []Member {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Member
 	for _, p := range m.peers {
-		if now.Sub(p.seen) < m.aliveFor() {
+		if now.Sub(p.lastSeen) < m.aliveTimeout() {
 			out = append(out, p.member)
 		}
 	}
@@ -240,13 +240,13 @@
 	return out
 }
 
-// Hosts returns the hosts of all registered members and the own one, in order.
+// Hosts returns the hosts of all registered or alive members and the own one, sorted.
 func (m *Mesh) Hosts() []id.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := []id.Host{m.opt.Self.Host}
 	for host, p := range m.peers {
-		if p.revision != 0 || time.Since(p.seen) < m.aliveFor() {
+		if p.revision != 0 || time.Since(p.lastSeen) < m.aliveTimeout() {
 			out = append(out, host)
 		}
 	}
@@ -254,7 +254,7 @@
 	return out
 }
 
-// HostZones returns the availability zones of all known members and the own one.
+// HostZones maps the hosts of all known members and the own one to their zones.
 func (m *Mesh) HostZones() map[id.Host]id.Zone {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -265,21 +265,21 @@
 	return out
 }
 
-// MemberCount returns the number of registered members, the own one included. It
-// counts those that are not in touch, which may still be at work.
+// MemberCount returns the number of registered or alive members and the own one.
+// Registered members count even if silent, since they may still serve requests.
 func (m *Mesh) MemberCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 1
 	for _, p := range m.peers {
-		if p.revision != 0 || time.Since(p.seen) < m.aliveFor() {
+		if p.revision != 0 || time.Since(p.lastSeen) < m.aliveTimeout() {
 			n++
 		}
 	}
 	return n
 }
 
-// Incarnation returns the last known incarnation of a host, empty if none is known.
+// Incarnation returns the last known incarnation of a host, or the empty string.
 func (m *Mesh) Incarnation(host id.Host) id.Incarnation {
 	if host == m.opt.Self.Host {
 		return m.opt.Self.Incarnation
@@ -292,21 +292,21 @@
 	return ""
 }
 
-// Silence returns the time since a member of the own cell was last heard of. It is
-// false for one that was never heard of, and for members of other cells.
+// Silence returns the time since the last exchange with a member of the own cell. It
+// returns false without any exchange, and for members of other cells.
 func (m *Mesh) Silence(host id.Host, incarnation id.Incarnation) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[host]
-	if p == nil || p.member.Incarnation != incarnation || p.seen.IsZero() || !m.divided().together(m.opt.Self.Host, host) {
+	if p == nil || p.member.Incarnation != incarnation || p.lastSeen.IsZero() || !m.currentLayout().sameCell(m.opt.Self.Host, host) {
 		return 0, false
 	}
-	return time.Since(p.seen), true
+	return time.Since(p.lastSeen), true
 }
 
-// Trust implements keys.Trust: a peer is accepted if its certificate is
-// registered, or if it calls from the address of a registered host or a seed.
-// The platform's network is what identifies a host that could not register yet.
+// Trust implements keys.Trust: a peer is trusted if its certificate is registered,
+// or if its IP address is that of a known host or a seed. A host that could not
+// register yet is thus identified by its address in the platform's network.
 func (m *Mesh) Trust(host id.Host, fingerprint string, remote net.Addr) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -315,7 +315,7 @@
 		return true
 	}
 	if remote == nil {
-		return true // The own dial went to the address of a registered host or a seed.
+		return true // A dialed connection goes to a registered host or a seed.
 	}
 	from, err := netip.ParseAddrPort(remote.String())
 	if err != nil {
@@ -333,17 +333,17 @@
 	return false
 }
 
-// note takes in a member, from the platform or from itself. The caller holds mu.
-func (m *Mesh) note(member Member, revision uint64, now time.Time) *peer {
+// updatePeer adds or updates the record of a member. The caller holds mu.
+func (m *Mesh) updatePeer(member Member, revision uint64, now time.Time) *peer {
 	p := m.peers[member.Host]
 	if p == nil {
-		p = &peer{since: now}
+		p = &peer{knownSince: now}
 		m.peers[member.Host] = p
-		m.stale = true
+		m.layoutStale = true
 	}
 	if p.member.Incarnation != member.Incarnation && member.Started >= p.member.Started {
 		p.member, p.versions = member, nil
-		p.since = now
+		p.knownSince = now
 	}
 	if revision > p.revision {
 		p.revision = revision
@@ -352,27 +352,28 @@
 	return p
 }
 
-// divided returns the division of the known members into cells. The caller holds mu.
-func (m *Mesh) divided() layout {
-	if m.stale {
+// currentLayout returns the layout of the known members. The caller holds mu.
+func (m *Mesh) currentLayout() layout {
+	if m.layoutStale {
 		all := []Member{m.opt.Self}
 		for _, p := range m.peers {
 			all = append(all, p.member)
 		}
-		m.layout, m.stale = newLayout(all), false
+		m.layout, m.layoutStale = newLayout(all), false
 	}
 	return m.layout
 }
 
-// aliveIntervals is the number of intervals after the last exchange for which a
-// member counts as alive.
+// aliveIntervals is the minimum alive timeout in exchange intervals.
 const aliveIntervals = 3
 
-// aliveFor returns the time after the last exchange for which a member counts as
-// alive. The caller holds mu.
-func (m *Mesh) aliveFor() time.Duration { return max(m.cfg.AliveTimeout, aliveIntervals*m.interval()) }
+// aliveTimeout returns Config.AliveTimeout, or aliveIntervals intervals if that is
+// longer. The caller holds mu.
+func (m *Mesh) aliveTimeout() time.Duration {
+	return max(m.cfg.AliveTimeout, aliveIntervals*m.interval())
+}
 
-// Interval returns the time between two exchanges with the same member.
+// Interval returns the current time between two exchanges with the same member.
 func (m *Mesh) Interval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/fleet/mesh/mesh_test.go
+++ b/fleet/mesh/mesh_test.go
@@ -23,7 +23,7 @@
 
 const topic Topic = "t"
 
-// fleet is a number of entries in one process.
+// fleet is a set of entries that share an in-memory network and store.
 type fleet struct {
 	t     *testing.T
 	net   *memnet.Network
@@ -31,7 +31,7 @@
 	cfg   Config
 }
 
-// node is one start of an entry.
+// node is one incarnation of an entry.
 type node struct {
 	mesh   *Mesh
 	store  *faultstore.Store
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("10.%d.%d.%d:7000", host[0], n/250, n%250)
 }
 
-// start starts an entry. Its store is its own way to the shared one.
+// start starts an entry with its own fault-injecting access to the shared store.
 func (f *fleet) start(host, incarnation string, seeds ...string) *node {
 	f.t.Helper()
 	return f.startIn("z", host, incarnation, seeds...)
@@ -176,7 +176,7 @@
 		f := newFleet(t)
 		a, b := f.start("a", "1"), f.start("b", "1")
 		time.Sleep(time.Second)
-		b.cancel() // Killed: the registration may stay, or be taken over.
+		b.cancel() // The registration may remain or be replaced.
 		<-b.done
 		time.Sleep(time.Millisecond)
 		b2 := f.start("b", "2")
@@ -189,8 +189,8 @@
 	})
 }
 
-// TestTurnedAwayEntryGetsValues names the pattern "the platform serves some and
-// turns others away".
+// TestTurnedAwayEntryGetsValues checks that an entry whose platform requests fail
+// gets new versions from other entries.
 func TestTurnedAwayEntryGetsValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -206,7 +206,8 @@
 	})
 }
 
-// TestStartWhileThePlatformIsDown names the pattern "an entry is killed during an outage".
+// TestStartWhileThePlatformIsDown checks that an entry restarted during a platform
+// outage gets its values from a seed and registers after the outage.
 func TestStartWhileThePlatformIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -234,7 +235,7 @@
 		})
 		assert.NilError(t, err)
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, a.mesh.MemberCount(), 2, "a silent member may still be at work")
+		assert.Equal(t, a.mesh.MemberCount(), 2, "a silent member may still serve requests")
 		time.Sleep(60 * time.Second)
 		assert.Assert(t, !f.registered()["g"])
 		assert.Equal(t, a.mesh.MemberCount(), 1)
@@ -277,13 +278,13 @@
 		Caller: memnet.New(memnet.Config{}).Join("a"), Seeds: []string{"10.0.0.3:7000"}, Log: zerolog.Nop(),
 	})
 	assert.NilError(t, err)
-	m.note(Member{Host: "b", Incarnation: "1", Address: "10.0.0.2:7000", Fingerprint: "fb"}, 5, time.Now())
+	m.updatePeer(Member{Host: "b", Incarnation: "1", Address: "10.0.0.2:7000", Fingerprint: "fb"}, 5, time.Now())
 	from := func(ip string) net.Addr { return net.UDPAddrFromAddrPort(netip.MustParseAddrPort(ip + ":999")) }
 	assert.Assert(t, m.Trust("b", "fb", from("10.9.9.9")), "the registered certificate")
-	assert.Assert(t, m.Trust("b", "other", from("10.0.0.2")), "a start that could not register yet")
+	assert.Assert(t, m.Trust("b", "other", from("10.0.0.2")), "a new incarnation that is not registered yet")
 	assert.Assert(t, m.Trust("c", "fc", from("10.0.0.3")), "a seed")
-	assert.Assert(t, !m.Trust("c", "fc", from("10.9.9.9")), "a stranger")
-	assert.Assert(t, !m.Trust("b", "other", from("10.9.9.9")), "a stranger under a known name")
+	assert.Assert(t, !m.Trust("c", "fc", from("10.9.9.9")), "an unknown host")
+	assert.Assert(t, !m.Trust("b", "other", from("10.9.9.9")), "an unknown address with a registered name")
 }
 
 func TestOptionsAreChecked(t *testing.T) {
--- a/fleet/mesh/register.go
+++ b/fleet/mesh/register.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// retryInterval is the time between tries to reach the platform.
+	// retryInterval is the time between checks of the registration and between retries.
 	retryInterval = 250 * time.Millisecond
-	// unregisterTimeout bounds the removal of the registration when the entry stops.
+	// unregisterTimeout is the timeout for deleting the registration at shutdown.
 	unregisterTimeout = 500 * time.Millisecond
 )
 
-// register keeps the own registration in place and follows those of others, in the
-// platform or by what readers tell.
-func (m *Mesh) register(ctx context.Context) {
+// maintainRegistration keeps the own registration in the platform. A reader also
+// watches all registrations; other entries fetch them from members.
+func (m *Mesh) maintainRegistration(ctx context.Context) {
 	var listed time.Time
 	for ctx.Err() == nil {
-		err := m.put(ctx)
-		// A list of one's own, now and then, mends what no reader told.
+		err := m.ensureRegistered(ctx)
+		// Non-readers list at ListInterval too, in case no reader replicated a change.
 		if err == nil && (m.IsReader() || time.Since(listed) > m.cfg.ListInterval) {
 			listed = time.Now()
 			err = m.follow(ctx)
 		} else if err == nil {
-			m.forget(ctx)
-			wait(ctx, retryInterval)
+			m.removeSilent(ctx)
+			sleep(ctx, retryInterval)
 		}
 		if err != nil && ctx.Err() == nil {
 			m.setWatching(false)
-			m.opt.Log.Warn().Err(err).Str("event", "members.unclear").Msg("registrations cannot be read; the last known members stay")
-			wait(ctx, retryInterval)
+			m.opt.Log.Warn().Err(err).Str("event", "members.unclear").Msg("cannot write, list or watch registrations; keeping the last known members")
+			sleep(ctx, retryInterval)
 		}
 	}
 }
@@ -47,13 +47,13 @@
 	m.watching = on
 }
 
-// follow lists the registrations and, as a reader, watches them for ListInterval.
+// follow lists the registrations and, while a reader, watches them for ListInterval.
 func (m *Mesh) follow(ctx context.Context) error {
 	objects, revision, err := m.opt.Store.List(ctx, Kind)
 	if err != nil {
 		return err
 	}
-	m.list(objects, revision)
+	m.applyList(objects, revision)
 	m.setWatching(true)
 	defer m.setWatching(false)
 	for until := time.Now().Add(m.cfg.ListInterval); time.Now().Before(until) && m.IsReader(); {
@@ -62,25 +62,25 @@
 			return err
 		}
 		for _, o := range changed {
-			m.change(o)
+			m.applyChange(o)
 		}
-		m.reach(at, len(changed) > 0)
+		m.advanceRevision(at, len(changed) > 0)
 		revision = at
-		if err := m.put(ctx); err != nil {
+		if err := m.ensureRegistered(ctx); err != nil {
 			return err
 		}
-		m.forget(ctx)
+		m.removeSilent(ctx)
 		if len(changed) > 0 {
-			wait(ctx, retryInterval) // Registrations that come together are told together.
+			sleep(ctx, retryInterval) // Batches registrations that arrive close together.
 		}
 	}
 	return nil
 }
 
-// put writes the own registration if it is not in place.
-func (m *Mesh) put(ctx context.Context) error {
+// ensureRegistered writes the own registration if it is missing or replaced.
+func (m *Mesh) ensureRegistered(ctx context.Context) error {
 	m.mu.Lock()
-	inPlace, version := m.inPlatform, m.registered
+	inPlace, version := m.isRegistered, m.registeredRevision
 	m.mu.Unlock()
 	if inPlace {
 		return nil
@@ -95,7 +95,7 @@
 	var notFound *objectapi.NotFoundError
 	switch {
 	case errors.As(err, &conflict):
-		// An earlier start of this host left its registration.
+		// A previous incarnation of this host is still registered.
 		o.Version = conflict.Current.Version
 		written, err = m.opt.Store.Put(ctx, o)
 	case errors.As(err, &notFound):
@@ -107,87 +107,88 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.inPlatform, m.registered = true, written.Version
+	m.isRegistered, m.registeredRevision = true, written.Version
 	return nil
 }
 
-// list takes in a list of all registrations at a revision of the platform.
-func (m *Mesh) list(objects []objectapi.Object, revision uint64) {
+// applyList applies a list of all registrations at a platform revision.
+func (m *Mesh) applyList(objects []objectapi.Object, revision uint64) {
 	listed := make(map[id.Host]registration, len(objects))
 	for _, o := range objects {
-		if r, ok := m.decode(o); ok {
+		if r, ok := m.decodeRegistration(o); ok {
 			listed[r.Member.Host] = r
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if revision >= m.current {
-		m.replace(listed, revision)
+	if revision >= m.knownRevision {
+		m.replaceRegistrations(listed, revision)
 	}
 }
 
-// reach notes up to which revision the registrations are known.
-func (m *Mesh) reach(revision uint64, changed bool) {
+// advanceRevision records the revision up to which changes are applied.
+func (m *Mesh) advanceRevision(revision uint64, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.current = max(m.current, revision)
+	m.knownRevision = max(m.knownRevision, revision)
 	if changed {
-		m.revision = m.current
+		m.changeRevision = m.knownRevision
 		m.NotifyChange()
 	}
 }
 
-// decode returns the registration in an object of the platform.
-func (m *Mesh) decode(o objectapi.Object) (registration, bool) {
+// decodeRegistration decodes the registration in a platform object.
+func (m *Mesh) decodeRegistration(o objectapi.Object) (registration, bool) {
 	member, err := decodeMember(o.Value)
 	if err == nil && member.Host != id.Host(o.Name) {
-		err = errors.Newf("it names the host %q", member.Host)
+		err = errors.Newf("value has host %q", member.Host)
 	}
 	if err != nil {
-		m.opt.Log.Error().Err(err).Str("event", "member.rejected").Str("object", Kind+"/"+o.Name).Msg("registration cannot be read")
+		m.opt.Log.Error().Err(err).Str("event", "member.rejected").Str("object", Kind+"/"+o.Name).Msg("invalid registration ignored")
 		return registration{}, false
 	}
 	return registration{Member: member, Revision: o.Version}, true
 }
 
-// replace takes in all registrations at a revision. The caller holds mu.
-func (m *Mesh) replace(listed map[id.Host]registration, revision uint64) {
-	if !maps.Equal(listed, m.listed) {
-		m.revision = revision
+// replaceRegistrations replaces all registrations by those at a revision. The caller
+// holds mu.
+func (m *Mesh) replaceRegistrations(listed map[id.Host]registration, revision uint64) {
+	if !maps.Equal(listed, m.registrations) {
+		m.changeRevision = revision
 	}
-	m.listed, m.current = listed, revision
+	m.registrations, m.knownRevision = listed, revision
 	self := m.opt.Self.Host
 	for host, r := range listed {
 		if host != self {
-			m.meetRegistered(r)
+			m.addRegistered(r)
 		}
 	}
 	for host, p := range m.peers {
 		if _, ok := listed[host]; !ok {
-			m.removed(host, p)
+			m.dropUnregistered(host, p)
 		}
 	}
-	if r := listed[self]; max(r.Revision, revision) >= m.registered {
-		m.changeOwn(r)
+	if r := listed[self]; max(r.Revision, revision) >= m.registeredRevision {
+		m.updateOwnRegistration(r)
 	}
 }
 
-// meetRegistered takes in the registration of another member. The caller holds mu.
-func (m *Mesh) meetRegistered(r registration) {
+// addRegistered records the registration of another member. The caller holds mu.
+func (m *Mesh) addRegistered(r registration) {
 	known := m.peers[r.Member.Host] != nil
-	p := m.note(r.Member, r.Revision, time.Now())
+	p := m.updatePeer(r.Member, r.Revision, time.Now())
 	if !known {
 		m.opt.Log.Info().Str("event", "member.known").Str("member", string(r.Member.Host)).Str("address", p.member.Address).
-			Uint64("revision", r.Revision).Msg("an entry is registered")
+			Uint64("revision", r.Revision).Msg("new member registered")
 	}
 }
 
-// change takes in one registration or its removal.
-func (m *Mesh) change(o objectapi.Object) {
+// applyChange applies a change or deletion of one registration.
+func (m *Mesh) applyChange(o objectapi.Object) {
 	host := id.Host(o.Name)
 	r, ok := registration{Revision: o.Version}, true
 	if !o.Deleted {
-		r, ok = m.decode(o)
+		r, ok = m.decodeRegistration(o)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -195,48 +196,48 @@
 		return
 	}
 	if o.Deleted {
-		delete(m.listed, host)
+		delete(m.registrations, host)
 	} else {
-		m.listed[host] = r
+		m.registrations[host] = r
 	}
 	switch p := m.peers[host]; {
-	case host == m.opt.Self.Host && r.Revision >= m.registered:
-		m.changeOwn(r)
+	case host == m.opt.Self.Host && r.Revision >= m.registeredRevision:
+		m.updateOwnRegistration(r)
 	case host == m.opt.Self.Host:
 	case !o.Deleted:
-		m.meetRegistered(r)
+		m.addRegistered(r)
 	case p != nil:
-		m.removed(host, p)
+		m.dropUnregistered(host, p)
 	}
 }
 
-// changeOwn notices that the own registration was removed or replaced. It holds no
-// incarnation if it was removed. The caller holds mu.
-func (m *Mesh) changeOwn(r registration) {
-	m.inPlatform = r.Member.Incarnation == m.opt.Self.Incarnation
-	m.registered = 0
+// updateOwnRegistration records whether the own registration is still in place. A
+// deleted one has no incarnation. The caller holds mu.
+func (m *Mesh) updateOwnRegistration(r registration) {
+	m.isRegistered = r.Member.Incarnation == m.opt.Self.Incarnation
+	m.registeredRevision = 0
 	if r.Member.Incarnation != "" {
-		m.registered = r.Revision
+		m.registeredRevision = r.Revision
 	}
 }
 
-// removed forgets a member whose registration is gone, unless it is in touch. The
-// caller holds mu.
-func (m *Mesh) removed(host id.Host, p *peer) {
+// dropUnregistered removes a member whose registration was deleted, unless it is
+// alive. The caller holds mu.
+func (m *Mesh) dropUnregistered(host id.Host, p *peer) {
 	p.revision = 0
-	if time.Since(p.seen) > m.aliveFor() {
+	if time.Since(p.lastSeen) > m.aliveTimeout() {
 		delete(m.peers, host)
-		m.stale = true
+		m.layoutStale = true
 	}
 }
 
-// forget removes the registrations of members that were silent for long.
-func (m *Mesh) forget(ctx context.Context) {
+// removeSilent deletes the registrations of members silent for ForgetAfter.
+func (m *Mesh) removeSilent(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
 	var silent []*peer
 	for _, p := range m.peers {
-		if p.revision != 0 && !p.silent.IsZero() && now.Sub(p.silent) > m.cfg.ForgetAfter && now.Sub(p.seen) > m.cfg.ForgetAfter {
+		if p.revision != 0 && !p.failingSince.IsZero() && now.Sub(p.failingSince) > m.cfg.ForgetAfter && now.Sub(p.lastSeen) > m.cfg.ForgetAfter {
 			silent = append(silent, p)
 		}
 	}
@@ -244,7 +245,7 @@
 	for _, p := range silent {
 		err := m.opt.Store.Delete(ctx, Kind, string(p.member.Host), p.revision)
 		m.opt.Log.Info().Err(err).Str("event", "member.forgotten").Str("member", string(p.member.Host)).
-			Dur("silence", now.Sub(p.seen)).Msg("registration of a silent entry removed")
+			Dur("silence", now.Sub(p.lastSeen)).Msg("deletion of the registration of a silent member")
 	}
 }
 
@@ -252,7 +253,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
 	m.mu.Lock()
-	version, inPlace := m.registered, m.inPlatform
+	version, inPlace := m.registeredRevision, m.isRegistered
 	m.mu.Unlock()
 	if !inPlace {
 		return
@@ -262,7 +263,7 @@
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/fleet/mesh/topics.go
+++ b/fleet/mesh/topics.go
@@ -10,38 +10,38 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-var errUnknownMessage = errors.New("message of a member is neither a greeting nor a question")
+var errUnknownMessage = errors.New("message has neither a hello nor a fetch request")
 
-// topicMembers is the list of registrations, whose version is its revision in the
-// platform.
+// topicMembers is the map of registrations, with the platform revision of its last
+// change as version.
 const topicMembers Topic = "members"
 
-// versions returns the versions that the entry holds.
+// versions returns the version of each topic.
 func (m *Mesh) versions() map[Topic]uint64 {
 	v := m.opt.Versions()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v[topicMembers] = m.revision
+	v[topicMembers] = m.changeRevision
 	return v
 }
 
-// value returns what a member that has a version lacks.
-func (m *Mesh) value(t Topic, have uint64) Value {
+// valueSince returns the value for a member that has version have.
+func (m *Mesh) valueSince(t Topic, have uint64) Value {
 	if t != topicMembers {
 		return m.opt.ValueSince(t, have)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	data, err := cbor.Marshal(m.listed)
+	data, err := cbor.Marshal(m.registrations)
 	if err != nil {
 		m.opt.Log.Error().Err(err).Str("event", "members.not_encoded").Send()
 		return Value{}
 	}
-	return Value{Version: m.revision, Data: data}
+	return Value{Version: m.changeRevision, Data: data}
 }
 
-// take takes in a value of another member.
-func (m *Mesh) take(t Topic, v Value) {
+// applyValue applies a value fetched from another member.
+func (m *Mesh) applyValue(t Topic, v Value) {
 	if t != topicMembers {
 		m.opt.ApplyValue(t, v)
 		return
@@ -53,14 +53,14 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if v.Version > m.current {
-		m.replace(listed, v.Version)
+	if v.Version > m.knownRevision {
+		m.replaceRegistrations(listed, v.Version)
 	}
-	m.revision = max(m.revision, v.Version) // Nothing that is held is older than the other one's.
+	m.changeRevision = max(m.changeRevision, v.Version) // The own registrations are at least as new as v.
 }
 
-// IsReader reports whether the entry is to watch the platform: it is among the first
-// of its cell and zone, or nobody in touch does.
+// IsReader reports whether the entry must watch the platform: it ranks among the
+// readers of its cell and zone, or no alive member has healthy watches.
 func (m *Mesh) IsReader() bool {
 	now := time.Now()
 	m.mu.Lock()
@@ -68,20 +68,20 @@
 	self := m.opt.Self
 	hosts := []id.Host{self.Host}
 	others := false
-	l := m.divided()
+	l := m.currentLayout()
 	for host, p := range m.peers {
-		if now.Sub(p.seen) >= m.aliveFor() {
+		if now.Sub(p.lastSeen) >= m.aliveTimeout() {
 			continue
 		}
-		others = others || p.reads
-		if p.member.Zone == self.Zone && l.together(self.Host, host) {
+		others = others || p.watchesHealthy
+		if p.member.Zone == self.Zone && l.sameCell(self.Host, host) {
 			hosts = append(hosts, host)
 		}
 	}
 	if !others {
 		return true
 	}
-	for _, h := range readers(hosts, m.cfg.Readers) {
+	for _, h := range selectReaders(hosts, m.cfg.Readers) {
 		if h == self.Host {
 			return true
 		}
@@ -89,9 +89,9 @@
 	return false
 }
 
-// checkBehind fetches the topics of which a live member has had a greater
-// version for longer than the own watch should take.
-func (m *Mesh) checkBehind(ctx context.Context, now time.Time) {
+// fetchNewer fetches topics of which an alive member has a greater version. A reader
+// first gives its own watch FetchDelay to return it.
+func (m *Mesh) fetchNewer(ctx context.Context, now time.Time) {
 	own := m.versions()
 	grace := m.cfg.FetchDelay
 	if !m.IsReader() {
@@ -102,7 +102,7 @@
 	defer m.mu.Unlock()
 	best := make(map[Topic]uint64)
 	for _, p := range m.peers {
-		if now.Sub(p.seen) >= m.aliveFor() {
+		if now.Sub(p.lastSeen) >= m.aliveTimeout() {
 			continue
 		}
 		for topic, v := range p.versions {
@@ -111,29 +111,29 @@
 			}
 		}
 	}
-	for topic := range m.behind {
+	for topic := range m.behindSince {
 		if ahead[topic] == "" {
-			delete(m.behind, topic)
+			delete(m.behindSince, topic)
 		}
 	}
 	for topic, address := range ahead {
-		since, ok := m.behind[topic]
+		since, ok := m.behindSince[topic]
 		if !ok {
-			m.behind[topic] = now
+			m.behindSince[topic] = now
 			since = now
 		}
-		// An entry that holds nothing does not wait.
+		// An entry without any version fetches at once.
 		watched := topic == topicMembers || m.opt.Watched[topic]
 		if (watched && now.Sub(since) < grace && own[topic] != 0) || m.fetching[topic] {
 			continue
 		}
 		m.fetching[topic] = true
-		go m.fetch(ctx, topic, own[topic], address)
+		go m.fetchValue(ctx, topic, own[topic], address)
 	}
 }
 
-// fetch asks a member for what is lacking to a value, and takes it in.
-func (m *Mesh) fetch(ctx context.Context, topic Topic, have uint64, address string) {
+// fetchValue fetches a topic's newer value from a member and applies it.
+func (m *Mesh) fetchValue(ctx context.Context, topic Topic, have uint64, address string) {
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -141,16 +141,16 @@
 	}()
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
-	v, err := m.want(ctx, want{Topic: topic, Have: have}, address)
+	v, err := m.requestValue(ctx, fetchRequest{Topic: topic, Have: have}, address)
 	log := m.opt.Log.Info().Err(err).Str("event", "value.fetched").Str("topic", string(topic)).Str("from", address)
-	log.Uint64("version", v.Version).Int("bytes", len(v.Data)).Msg("a member had a greater version")
+	log.Uint64("version", v.Version).Int("bytes", len(v.Data)).Msg("fetch of a newer version from another member")
 	if err == nil && v.Version > 0 {
-		m.take(topic, v)
+		m.applyValue(topic, v)
 	}
 }
 
-func (m *Mesh) want(ctx context.Context, w want, address string) (Value, error) {
-	payload, err := cbor.Marshal(message{Want: &w})
+func (m *Mesh) requestValue(ctx context.Context, w fetchRequest, address string) (Value, error) {
+	payload, err := cbor.Marshal(message{Fetch: &w})
 	if err != nil {
 		return Value{}, err
 	}
@@ -158,7 +158,7 @@
 	if err != nil {
 		return Value{}, err
 	}
-	var a answer
+	var a response
 	if err := cbor.Unmarshal(reply, &a); err != nil {
 		return Value{}, err
 	}
