--- a/fleet/configsync/config.go
+++ b/fleet/configsync/config.go
@@ -1,7 +1,7 @@
-// Package configsync brings accepted configurations to every entry. One host of
-// each zone watches the platform and pushes what is new to its zone. Heartbeats
-// carry digests of versions, and a host that misses a version recovers it from
-// a peer in its zone, then from a peer elsewhere, and from the platform last.
+// Package configsync replicates accepted configurations to every entry. One host per
+// zone, the reader, watches the platform and pushes new versions through its zone.
+// Anti-entropy repairs missed pushes: heartbeats carry digests of versions, and a
+// host fetches a missing version from its zone, another zone or the platform.
 package configsync
 
 import (
@@ -10,36 +10,36 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// Config holds the bounds of the protocol.
+// Config holds the parameters of the protocol.
 type Config struct {
-	// Fanout is the number of hosts that a host pushes a version to. Unit: hosts. Default: 3.
+	// Fanout is the number of children per host in the push tree. Unit: hosts. Default: 3.
 	Fanout int
-	// CallTimeout bounds a call to a peer. Unit: duration. Default: 400ms.
+	// CallTimeout is the timeout of a call to a peer. Unit: duration. Default: 400ms.
 	CallTimeout time.Duration
-	// PushGrace is the time that a host waits for a push after it learned of a
-	// greater version, before it asks for it. Unit: duration. Default: 200ms.
+	// PushGrace is the time to wait for a push after a digest with a greater
+	// version, before fetching it. Unit: duration. Default: 200ms.
 	PushGrace time.Duration
-	// ZoneTries is the number of peers in the zone asked for a version before peers elsewhere. Unit: hosts. Default: 3.
+	// ZoneTries is the maximum number of peers in the zone to fetch from, before other zones. Unit: hosts. Default: 3.
 	ZoneTries int
-	// ElsewhereTries is the number of peers elsewhere asked before the platform. Unit: hosts. Default: 2.
+	// ElsewhereTries is the maximum number of peers in other zones to fetch from, before the platform. Unit: hosts. Default: 2.
 	ElsewhereTries int
-	// DutyInterval is the time between checks whether the host is the reader of its zone. Unit: duration. Default: 200ms.
+	// DutyInterval is the time between checks whether the host has become the reader of its zone. Unit: duration. Default: 200ms.
 	DutyInterval time.Duration
-	// JoinGrace is the time after its start in which a host asks peers only. Unit: duration. Default: 2s.
+	// JoinGrace is the time after the start in which the host bootstraps from peers only. Unit: duration. Default: 2s.
 	JoinGrace time.Duration
-	// WatchTimeout bounds one poll of the platform. Unit: duration. Default: 10s.
+	// WatchTimeout is the timeout of one long poll of the platform. Unit: duration. Default: 10s.
 	WatchTimeout time.Duration
-	// CallPlatformTimeout bounds any other call to the platform. Unit: duration. Default: 2s.
+	// CallPlatformTimeout is the timeout of any other platform call. Unit: duration. Default: 2s.
 	CallPlatformTimeout time.Duration
-	// ListInterval is the time after which the reader lists all objects again. Unit: duration. Default: 60s.
+	// ListInterval is the time after which the reader repeats its full list. Unit: duration. Default: 60s.
 	ListInterval time.Duration
-	// BackoffMin is the first wait after a failure. Unit: duration. Default: 250ms.
+	// BackoffMin is the delay after the first failure. Unit: duration. Default: 250ms.
 	BackoffMin time.Duration
-	// BackoffMax bounds the wait after repeated failures. Unit: duration. Default: 8s.
+	// BackoffMax is the maximum delay after repeated failures. Unit: duration. Default: 8s.
 	BackoffMax time.Duration
 }
 
-// Default returns the default bounds.
+// Default returns the default parameters.
 func Default() Config {
 	return Config{
 		Fanout:              3,
@@ -57,7 +57,7 @@
 	}
 }
 
-// Validate returns all findings about c.
+// Validate returns an error that lists all findings about c.
 func (c Config) Validate() error {
 	var l finding.List
 	positive := func(place string, v int64) {
--- a/fleet/configsync/configsync.go
+++ b/fleet/configsync/configsync.go
@@ -19,45 +19,45 @@
 	"github.com/siskinford/siskinford/fleet/transport"
 )
 
-// Kinds of events that a Spreader records.
+// Event kinds recorded by a Syncer.
 const (
-	// EventApplied tells that a version came into force.
+	// EventApplied is recorded when a version comes into force.
 	EventApplied timeline.Kind = "config.applied"
-	// EventRejected tells that a version could not be applied.
+	// EventRejected is recorded when a version cannot be applied.
 	EventRejected timeline.Kind = "config.rejected"
-	// EventPlatformBehind tells that the platform showed a lower version than the one in force.
+	// EventPlatformBehind is recorded when the platform returns a lower version than the one in force.
 	EventPlatformBehind timeline.Kind = "config.platform-behind"
-	// EventReader tells that the host started or stopped watching the platform for its zone.
+	// EventReader is recorded when the host starts or stops watching the platform for its zone.
 	EventReader timeline.Kind = "config.reader"
-	// EventReady tells that the host knows a configuration to work with.
+	// EventReady is recorded when the host has bootstrapped its configuration.
 	EventReady timeline.Kind = "config.ready"
 )
 
-// Applier holds the configuration in force. It is safe for concurrent use and
+// Applier holds the configuration in force. It must be safe for concurrent use and
 // must not block for long.
 type Applier interface {
-	// Versions returns the version in force of each kind that has one.
+	// Versions returns the versions in force.
 	Versions() map[config.Kind]uint64
-	// Apply brings a version into force. A version that is not greater than the
-	// one in force is ignored without error.
+	// Apply puts a version into force. It ignores, without error, a version that is
+	// not greater than the one in force.
 	Apply(kind config.Kind, version uint64, value []byte) error
-	// Value returns the version in force and its value, or version zero.
+	// Value returns the version in force and its value, or version zero if there is none.
 	Value(kind config.Kind) (uint64, []byte)
 }
 
-// Peers tells which hosts can be called. member.Runner implements it.
+// Peers provides the membership. member.Runner implements it.
 type Peers interface {
 	// Self returns the own host.
 	Self() member.Peer
 	// Live returns the live hosts of the zone, the own included.
 	Live() []member.Peer
-	// RemotePeers returns hosts of other zones, the best first.
+	// RemotePeers returns hosts of other zones in order of preference.
 	RemotePeers() []member.Peer
-	// Owns reports whether the own host is first among the live hosts for key.
+	// Owns reports whether the own host ranks first of the live hosts for key.
 	Owns(key string) bool
 }
 
-// Options are the parts of a process that a Spreader works with.
+// Options are the dependencies of a Syncer.
 type Options struct {
 	Config  Config
 	Zone    id.Zone
@@ -67,48 +67,47 @@
 	Caller  transport.Caller
 	// Recorder receives events. Nil discards them.
 	Recorder timeline.Recorder
-	// Seed selects jitter and peers.
+	// Seed seeds the jitter and the choice of peers.
 	Seed uint64
 }
 
-// source is a host that showed a version.
+// source is a host that reported a version in its digest.
 type source struct {
 	address string
 	version uint64
 	inZone  bool
 }
 
-// pushWorkers bounds the pushes that a host passes on at the same time.
+// pushWorkers is the maximum number of pushes that a host forwards concurrently.
 const pushWorkers = 4
 
-// maxPushes bounds the pushes that wait for a worker.
+// maxPushes is the maximum number of pushes queued for a worker.
 const maxPushes = 16
 
-// maxSources bounds the hosts remembered for a version that is missing.
+// maxSources is the maximum number of sources kept per kind.
 const maxSources = 8
 
-// Syncer keeps the configuration of one process up to date. It is safe for
-// concurrent use.
+// Syncer replicates the configuration to one process. It is safe for concurrent use.
 type Syncer struct {
 	opt Options
 	cfg Config
 
-	mu       sync.Mutex // guards the fields below; no call is made while it is held
-	rng      *rand.Rand
-	ready    bool
-	sources  map[config.Kind][]source
-	rejected map[config.Kind]uint64
-	behind   map[config.Kind]uint64
-	note     []byte
+	mu             sync.Mutex // guards the fields below; no call is made while it is held
+	rng            *rand.Rand
+	ready          bool
+	sources        map[config.Kind][]source
+	rejected       map[config.Kind]uint64
+	platformBehind map[config.Kind]uint64
+	encodedDigest  []byte
 
 	// applying serialises calls of the Applier. It is taken before mu.
 	applying sync.Mutex
 
-	missing chan struct{} // holds one signal while a version may be missing
+	missing chan struct{} // signals that a version may be missing
 	pushes  chan push
 }
 
-// New returns a spreader. Run must be called for it to work.
+// New returns a Syncer, which Run starts.
 func New(o Options) (*Syncer, error) {
 	if err := o.Config.Validate(); err != nil {
 		return nil, err
@@ -117,33 +116,33 @@
 		o.Recorder = timeline.Discard
 	}
 	s := &Syncer{
-		opt:      o,
-		cfg:      o.Config,
-		rng:      rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(string(o.Zone)))),
-		sources:  make(map[config.Kind][]source),
-		rejected: make(map[config.Kind]uint64),
-		behind:   make(map[config.Kind]uint64),
-		missing:  make(chan struct{}, 1),
-		pushes:   make(chan push, maxPushes),
+		opt:            o,
+		cfg:            o.Config,
+		rng:            rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(string(o.Zone)))),
+		sources:        make(map[config.Kind][]source),
+		rejected:       make(map[config.Kind]uint64),
+		platformBehind: make(map[config.Kind]uint64),
+		missing:        make(chan struct{}, 1),
+		pushes:         make(chan push, maxPushes),
 	}
-	s.renewNote()
+	s.updateDigest()
 	return s, nil
 }
 
-// Run works until ctx ends.
+// Run runs the protocol until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { s.read(ctx) })
-	wg.Go(func() { s.catchUp(ctx) })
+	wg.Go(func() { s.runReader(ctx) })
+	wg.Go(func() { s.recoverMissing(ctx) })
 	wg.Go(func() { s.bootstrap(ctx) })
 	for range pushWorkers {
-		wg.Go(func() { s.forward(ctx) })
+		wg.Go(func() { s.runPushes(ctx) })
 	}
 	wg.Wait()
 }
 
-// Ready reports whether the process knows a configuration to work with: one of
-// a peer that is ready, or what the platform showed, which may be none.
+// Ready reports whether the configuration was bootstrapped, from a peer that is
+// ready or from a list of the platform, which may be empty.
 func (s *Syncer) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,42 +156,42 @@
 	s.mu.Unlock()
 	if !before {
 		s.opt.Recorder.Record(timeline.Event{Kind: EventReady, Detail: "configuration from " + from})
-		s.renewNote()
+		s.updateDigest()
 	}
 }
 
-// EncodedDigest returns the encoded digest, which rides on heartbeats.
+// EncodedDigest returns the encoded Digest to piggyback on heartbeats.
 func (s *Syncer) EncodedDigest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.note
+	return s.encodedDigest
 }
 
 func (s *Syncer) digest() Digest {
 	return Digest{Versions: s.opt.Applier.Versions(), Ready: s.Ready()}
 }
 
-func (s *Syncer) renewNote() {
-	note, err := encode(s.digest())
+func (s *Syncer) updateDigest() {
+	encoded, err := encode(s.digest())
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
-	s.note = note
+	s.encodedDigest = encoded
 	s.mu.Unlock()
 }
 
-// HandleDigest takes in the digest of another host. It does not block.
-func (s *Syncer) HandleDigest(from member.Peer, zone id.Zone, note []byte) {
+// HandleDigest processes the encoded digest of another host. It does not block.
+func (s *Syncer) HandleDigest(from member.Peer, zone id.Zone, encoded []byte) {
 	var d Digest
-	if err := decode(note, &d); err != nil {
+	if err := decode(encoded, &d); err != nil {
 		return
 	}
-	s.learn(from.Address, zone == s.opt.Zone, d)
+	s.recordDigest(from.Address, zone == s.opt.Zone, d)
 }
 
-// learn remembers a host that has a greater version and wakes the recovery.
-func (s *Syncer) learn(address string, inZone bool, d Digest) {
+// recordDigest records a host as source of greater versions and wakes the recovery.
+func (s *Syncer) recordDigest(address string, inZone bool, d Digest) {
 	if len(d.Versions) == 0 {
 		return
 	}
@@ -205,15 +204,15 @@
 		if v <= own[kind] || v == s.rejected[kind] {
 			continue
 		}
-		s.remember(kind, source{address: address, version: v, inZone: inZone})
+		s.addSource(kind, source{address: address, version: v, inZone: inZone})
 		wake = true
 	}
 	if wake {
-		s.signal()
+		s.signalMissing()
 	}
 }
 
-func (s *Syncer) remember(kind config.Kind, n source) {
+func (s *Syncer) addSource(kind config.Kind, n source) {
 	list := s.sources[kind]
 	for i := range list {
 		if list[i].address == n.address {
@@ -227,14 +226,14 @@
 	s.sources[kind] = append(list, n)
 }
 
-func (s *Syncer) signal() {
+func (s *Syncer) signalMissing() {
 	select {
 	case s.missing <- struct{}{}:
 	default:
 	}
 }
 
-// apply brings a version into force if it is greater than the one in force, and
+// apply puts a version into force if it is greater than the one in force, and
 // reports whether it did.
 func (s *Syncer) apply(kind config.Kind, version uint64, value []byte, from string) bool {
 	s.applying.Lock()
@@ -249,7 +248,7 @@
 	s.mu.Lock()
 	delete(s.sources, kind)
 	s.mu.Unlock()
-	s.renewNote()
+	s.updateDigest()
 	s.opt.Recorder.Record(timeline.Event{
 		Kind:   EventApplied,
 		Detail: fmt.Sprintf("%s version %d from %s", kind, version, from),
@@ -271,15 +270,15 @@
 	}
 }
 
-// Handle answers a call of another host. It is a transport.Handler.
+// Handle processes a call of another host. It is a transport.Handler.
 func (s *Syncer) Handle(_ context.Context, payload []byte) ([]byte, error) {
 	var r request
 	if err := decode(payload, &r); err != nil {
 		return nil, err
 	}
-	var a answer
+	var a response
 	if r.Push != nil {
-		if err := s.takePush(*r.Push); err != nil {
+		if err := s.handlePush(*r.Push); err != nil {
 			return nil, err
 		}
 	}
@@ -307,7 +306,7 @@
 	return &object{Kind: kind, Version: version, Value: deflated}, nil
 }
 
-// wait blocks for a time between half of d and d. It reports false if ctx ended.
+// wait sleeps for a random time between d/2 and d. It returns false if ctx ended.
 func (s *Syncer) wait(ctx context.Context, d time.Duration) bool {
 	s.mu.Lock()
 	d = d/2 + time.Duration(s.rng.Int64N(int64(d/2)+1))
@@ -315,7 +314,7 @@
 	return timer.Sleep(ctx, d) == nil
 }
 
-// backoff returns the wait after a number of failures in a row.
+// backoff returns the exponential delay after consecutive failures.
 func (c Config) backoff(failures int) time.Duration {
 	d := c.BackoffMin
 	for range failures {
--- a/fleet/configsync/configsync_test.go
+++ b/fleet/configsync/configsync_test.go
@@ -16,35 +16,35 @@
 	"github.com/siskinford/siskinford/fleet/transport"
 )
 
-// settle is the virtual time after which all processes of a bench know each other.
-const settle = 30 * time.Second
+// settleTime is the virtual time after which membership has converged.
+const settleTime = 30 * time.Second
 
-// spreadBound is the time within which a version must be in force everywhere.
-const spreadBound = 2 * time.Second
+// convergenceBound is the time within which a new version must be in force everywhere.
+const convergenceBound = 2 * time.Second
 
-// takeoverBound adds the time to notice a dead reader.
+// takeoverBound is convergenceBound plus the time to detect and replace a dead reader.
 const takeoverBound = 8 * time.Second
 
-// virtual runs a test with virtual time over a settled fleet.
-func virtual(t *testing.T, zones, n int, loss float64, test func(*bench)) {
+// runSimulation runs a test in virtual time once a first version is in force everywhere.
+func runSimulation(t *testing.T, zones, n int, loss float64, test func(*simulation)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, zones, n, loss)
-		first := b.accept(config.KindServices, "first")
-		b.startAll()
-		defer b.stopAll()
-		pass(settle)
-		b.await(config.KindServices, first, 0, b.all)
-		test(b)
+		sim := newSimulation(t, zones, n, loss)
+		first := sim.publish(config.KindServices, "first")
+		sim.startAll()
+		defer sim.stopAll()
+		sleep(settleTime)
+		sim.await(config.KindServices, first, 0, sim.all)
+		test(sim)
 	})
 }
 
 func TestSpreadUnderLoss(t *testing.T) {
-	virtual(t, 2, 18, 0.05, func(b *bench) {
+	runSimulation(t, 2, 18, 0.05, func(sim *simulation) {
 		for range 10 {
-			took := b.await(config.KindTeams, b.accept(config.KindTeams, "teams"), spreadBound, b.all)
+			took := sim.await(config.KindTeams, sim.publish(config.KindTeams, "teams"), convergenceBound, sim.all)
 			t.Logf("in force everywhere after %v", took)
-			pass(time.Second)
+			sleep(time.Second)
 		}
 	})
 }
@@ -54,14 +54,14 @@
 	calls := func(n int) int {
 		var made int
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench(t, 1, n, 0)
-			b.accept(config.KindServices, "first")
-			b.startAll()
-			defer b.stopAll()
-			pass(settle)
-			before := b.calls()
-			pass(2 * time.Minute)
-			made = b.calls() - before
+			sim := newSimulation(t, 1, n, 0)
+			sim.publish(config.KindServices, "first")
+			sim.startAll()
+			defer sim.stopAll()
+			sleep(settleTime)
+			before := sim.platformCalls()
+			sleep(2 * time.Minute)
+			made = sim.platformCalls() - before
 		})
 		return made
 	}
@@ -71,75 +71,75 @@
 }
 
 func TestDeadReader(t *testing.T) {
-	virtual(t, 1, 12, 0.05, func(b *bench) {
-		b.reader("zone-0").node.Kill()
-		alive := slices.DeleteFunc(slices.Clone(b.all), func(p *process) bool { return p.node.Paused() })
+	runSimulation(t, 1, 12, 0.05, func(sim *simulation) {
+		sim.reader("zone-0").node.Kill()
+		alive := slices.DeleteFunc(slices.Clone(sim.all), func(p *process) bool { return p.node.Paused() })
 		assert.Equal(t, len(alive), 11)
-		took := b.await(config.KindTeams, b.accept(config.KindTeams, "teams"), takeoverBound, alive)
+		took := sim.await(config.KindTeams, sim.publish(config.KindTeams, "teams"), takeoverBound, alive)
 		t.Logf("in force at the others after %v", took)
 	})
 }
 
 func TestOutageAndRestartedHost(t *testing.T) {
-	virtual(t, 2, 6, 0, func(b *bench) {
-		version := b.accept(config.KindTeams, "teams")
-		b.await(config.KindTeams, version, spreadBound, b.all)
-		b.each(outage)
-		victim := b.all[2]
+	runSimulation(t, 2, 6, 0, func(sim *simulation) {
+		version := sim.publish(config.KindTeams, "teams")
+		sim.await(config.KindTeams, version, convergenceBound, sim.all)
+		sim.injectFault(outage)
+		victim := sim.all[2]
 		victim.stop()
-		pass(time.Minute)
-		fresh := b.start(victim.name, victim.zone)
-		b.all[2] = fresh
+		sleep(time.Minute)
+		fresh := sim.start(victim.name, victim.zone)
+		sim.all[2] = fresh
 		fresh.store.SetDown(true)
-		assert.Assert(t, !fresh.spread.Ready(), "ready before it asked anyone")
-		b.await(config.KindTeams, version, 5*time.Second, []*process{fresh})
-		pass(time.Second)
-		assert.Assert(t, fresh.spread.Ready())
+		assert.Assert(t, !fresh.syncer.Ready(), "ready before it bootstrapped")
+		sim.await(config.KindTeams, version, 5*time.Second, []*process{fresh})
+		sleep(time.Second)
+		assert.Assert(t, fresh.syncer.Ready())
 		assert.Equal(t, string(fresh.applier.values[config.KindServices].Value), "first")
-		b.each(outageEnds)
-		b.await(config.KindTeams, b.accept(config.KindTeams, "later"), Default().BackoffMax+spreadBound, b.all)
+		sim.injectFault(outageEnds)
+		sim.await(config.KindTeams, sim.publish(config.KindTeams, "later"), Default().BackoffMax+convergenceBound, sim.all)
 	})
 }
 
 func TestNeitherPeersNorPlatformIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2, 3, 0)
-		version := b.accept(config.KindServices, "first")
-		b.startAll()
-		b.each(outage)
-		defer b.stopAll()
-		pass(2 * time.Minute)
-		for _, p := range b.all {
-			assert.Assert(t, !p.spread.Ready(), "%s", p.name)
+		sim := newSimulation(t, 2, 3, 0)
+		version := sim.publish(config.KindServices, "first")
+		sim.startAll()
+		sim.injectFault(outage)
+		defer sim.stopAll()
+		sleep(2 * time.Minute)
+		for _, p := range sim.all {
+			assert.Assert(t, !p.syncer.Ready(), "%s", p.name)
 		}
-		b.each(outageEnds)
-		b.await(config.KindServices, version, Default().BackoffMax+spreadBound, b.all)
-		pass(Default().BackoffMax)
-		for _, p := range b.all {
-			assert.Assert(t, p.spread.Ready(), "%s", p.name)
+		sim.injectFault(outageEnds)
+		sim.await(config.KindServices, version, Default().BackoffMax+convergenceBound, sim.all)
+		sleep(Default().BackoffMax)
+		for _, p := range sim.all {
+			assert.Assert(t, p.syncer.Ready(), "%s", p.name)
 		}
 	})
 }
 
 func TestZoneCutOffAndHealed(t *testing.T) {
-	virtual(t, 3, 6, 0, func(b *bench) {
-		in, out := b.inZone("zone-1")
+	runSimulation(t, 3, 6, 0, func(sim *simulation) {
+		in, out := sim.inZone("zone-1")
 		isIn := func(address string) bool {
 			return slices.ContainsFunc(in, func(p *process) bool { return "addr-"+string(p.name) == address })
 		}
-		b.net.Partition(func(from, to string) bool { return isIn(from) != isIn(to) })
+		sim.net.Partition(func(from, to string) bool { return isIn(from) != isIn(to) })
 		for _, p := range in {
 			p.store.SetDown(true)
 		}
-		version := b.accept(config.KindTeams, "teams")
-		b.await(config.KindTeams, version, spreadBound, out)
-		pass(2 * time.Minute)
+		version := sim.publish(config.KindTeams, "teams")
+		sim.await(config.KindTeams, version, convergenceBound, out)
+		sleep(2 * time.Minute)
 		for _, p := range in {
 			assert.Equal(t, p.applier.Versions()[config.KindTeams], uint64(0))
-			assert.Assert(t, p.spread.Ready(), "%s goes on with what it has", p.name)
+			assert.Assert(t, p.syncer.Ready(), "%s keeps its configuration", p.name)
 		}
-		b.net.Partition(nil) // The way to the platform stays cut.
-		took := b.await(config.KindTeams, version, 19*time.Second, in)
+		sim.net.Partition(nil) // The zone still can't reach the platform.
+		took := sim.await(config.KindTeams, version, 19*time.Second, in)
 		t.Logf("in force in the zone %v after the network healed, without the platform", took)
 		for _, p := range in {
 			assert.Equal(t, p.events(EventApplied, "teams version 1 from the platform"), 0)
@@ -149,34 +149,34 @@
 }
 
 func TestStalePlatformIsNotObeyed(t *testing.T) {
-	virtual(t, 1, 6, 0, func(b *bench) {
-		version := b.accept(config.KindServices, "second")
-		b.await(config.KindServices, version, spreadBound, b.all)
-		b.each(func(s *faultstore.Store) { s.SetBack(1) })
-		pass(2 * time.Minute)
+	runSimulation(t, 1, 6, 0, func(sim *simulation) {
+		version := sim.publish(config.KindServices, "second")
+		sim.await(config.KindServices, version, convergenceBound, sim.all)
+		sim.injectFault(func(s *faultstore.Store) { s.SetBack(1) })
+		sleep(2 * time.Minute)
 		recorded := 0
-		for _, p := range b.all {
+		for _, p := range sim.all {
 			assert.Equal(t, p.applier.Versions()[config.KindServices], version, "version at %s", p.name)
 			recorded += p.events(EventPlatformBehind, "platform shows services version 1, version 2 stays in force")
 		}
-		assert.Assert(t, recorded > 0, "no event tells of the stale platform")
+		assert.Assert(t, recorded > 0, "no event records the stale platform")
 	})
 }
 
 func TestLostAnswersOfPlatform(t *testing.T) {
-	virtual(t, 1, 6, 0, func(b *bench) {
-		version := b.accept(config.KindTeams, "teams")
-		b.await(config.KindTeams, version, spreadBound, b.all)
-		b.each(func(s *faultstore.Store) { s.LoseAnswers(3) })
-		pass(6 * time.Second) // The watch that waits ends and its answer is lost.
-		b.await(config.KindTeams, b.accept(config.KindTeams, "later"), 4*time.Second, b.all)
+	runSimulation(t, 1, 6, 0, func(sim *simulation) {
+		version := sim.publish(config.KindTeams, "teams")
+		sim.await(config.KindTeams, version, convergenceBound, sim.all)
+		sim.injectFault(func(s *faultstore.Store) { s.LoseAnswers(3) })
+		sleep(6 * time.Second) // The pending watch ends and its answer is lost.
+		sim.await(config.KindTeams, sim.publish(config.KindTeams, "later"), 4*time.Second, sim.all)
 	})
 }
 
 func TestMissedVersionComesFromPeerInZone(t *testing.T) {
-	virtual(t, 2, 6, 0, func(b *bench) {
-		reader := b.reader("zone-0")
-		in, _ := b.inZone("zone-0")
+	runSimulation(t, 2, 6, 0, func(sim *simulation) {
+		reader := sim.reader("zone-0")
+		in, _ := sim.inZone("zone-0")
 		missed := in[slices.IndexFunc(in, func(p *process) bool { return p != reader })]
 		missed.node.Serve(func(ctx context.Context, payload []byte) ([]byte, error) {
 			if transport.Purpose(payload[0]) == transport.Configuration {
@@ -184,10 +184,10 @@
 			}
 			return missed.members.Handle(ctx, payload[1:])
 		})
-		calls := b.calls()
-		version := b.accept(config.KindTeams, "teams")
-		b.await(config.KindTeams, version, spreadBound, b.all)
-		made := b.calls() - calls
+		calls := sim.platformCalls()
+		version := sim.publish(config.KindTeams, "teams")
+		sim.await(config.KindTeams, version, convergenceBound, sim.all)
+		made := sim.platformCalls() - calls
 		assert.Assert(t, made <= 2, "%d calls while the version spread, more than the watches of two readers", made)
 		recovered := 0
 		for _, p := range in {
@@ -198,42 +198,42 @@
 }
 
 func TestPushReachesWholeZone(t *testing.T) {
-	virtual(t, 2, 18, 0, func(b *bench) {
-		b.await(config.KindTeams, b.accept(config.KindTeams, "teams"), spreadBound, b.all)
+	runSimulation(t, 2, 18, 0, func(sim *simulation) {
+		sim.await(config.KindTeams, sim.publish(config.KindTeams, "teams"), convergenceBound, sim.all)
 		pushed, read := 0, 0
-		for _, p := range b.all {
+		for _, p := range sim.all {
 			pushed += p.events(EventApplied, "teams version 1 from push")
 			read += p.events(EventApplied, "teams version 1 from the platform")
 		}
 		assert.Equal(t, read, 2, "hosts that read the platform")
-		assert.Equal(t, pushed, len(b.all)-2)
+		assert.Equal(t, pushed, len(sim.all)-2)
 	})
 }
 
 func TestTwoReadersOfAZone(t *testing.T) {
-	virtual(t, 1, 8, 0, func(b *bench) {
+	runSimulation(t, 1, 8, 0, func(sim *simulation) {
 		side := func(address string) bool { return address < "addr-host-0-04" }
-		b.net.Partition(func(from, to string) bool { return side(from) != side(to) })
-		pass(10 * time.Second)
+		sim.net.Partition(func(from, to string) bool { return side(from) != side(to) })
+		sleep(10 * time.Second)
 		readers := 0
-		for _, p := range b.all {
-			if p.spread.reader() {
+		for _, p := range sim.all {
+			if p.syncer.isReader() {
 				readers++
 			}
 		}
 		assert.Equal(t, readers, 2)
-		b.await(config.KindTeams, b.accept(config.KindTeams, "divided"), spreadBound, b.all)
-		b.net.Partition(nil)
-		b.await(config.KindTeams, b.accept(config.KindTeams, "joined"), spreadBound, b.all)
+		sim.await(config.KindTeams, sim.publish(config.KindTeams, "divided"), convergenceBound, sim.all)
+		sim.net.Partition(nil)
+		sim.await(config.KindTeams, sim.publish(config.KindTeams, "joined"), convergenceBound, sim.all)
 	})
 }
 
 func TestVersionThatNobodyHasIsGivenUp(t *testing.T) {
-	virtual(t, 1, 4, 0, func(b *bench) {
-		p := b.all[0]
-		note, err := encode(Digest{Ready: true, Versions: map[config.Kind]uint64{config.KindTeams: 9}})
+	runSimulation(t, 1, 4, 0, func(sim *simulation) {
+		p := sim.all[0]
+		encoded, err := encode(Digest{Ready: true, Versions: map[config.Kind]uint64{config.KindTeams: 9}})
 		assert.NilError(t, err)
-		p.spread.HandleDigest(member.Peer{Host: "gone", Address: "addr-gone"}, p.zone, note)
+		p.syncer.HandleDigest(member.Peer{Host: "gone", Address: "addr-gone"}, p.zone, encoded)
 		gets := func() (n int) {
 			for _, c := range p.store.Calls() {
 				if c.Method == "get" {
@@ -242,24 +242,24 @@
 			}
 			return n
 		}
-		pass(time.Minute)
+		sleep(time.Minute)
 		first := gets()
 		assert.Assert(t, first > 0, "the platform is asked last")
-		pass(5 * time.Minute)
+		sleep(5 * time.Minute)
 		assert.Equal(t, gets(), first)
 	})
 }
 
 func TestInvalidVersionIsRecordedOnce(t *testing.T) {
-	virtual(t, 1, 4, 0, func(b *bench) {
-		odd := b.all[1]
+	runSimulation(t, 1, 4, 0, func(sim *simulation) {
+		odd := sim.all[1]
 		odd.applier.invalid = "strange"
-		version := b.accept(config.KindTeams, "strange")
-		others := slices.DeleteFunc(slices.Clone(b.all), func(p *process) bool { return p == odd })
-		b.await(config.KindTeams, version, spreadBound, others)
-		pass(time.Minute)
+		version := sim.publish(config.KindTeams, "strange")
+		others := slices.DeleteFunc(slices.Clone(sim.all), func(p *process) bool { return p == odd })
+		sim.await(config.KindTeams, version, convergenceBound, others)
+		sleep(time.Minute)
 		assert.Equal(t, odd.events(EventRejected, "teams version 1"), 1)
-		b.await(config.KindTeams, b.accept(config.KindTeams, "fine"), spreadBound, b.all)
+		sim.await(config.KindTeams, sim.publish(config.KindTeams, "fine"), convergenceBound, sim.all)
 	})
 }
 
@@ -269,12 +269,12 @@
 		targets[i].Address = string(rune('A' + i))
 	}
 	var joined []target
-	for _, part := range split(targets, 3) {
+	for _, part := range splitTargets(targets, 3) {
 		assert.Assert(t, len(part) == 11 || len(part) == 12)
 		joined = append(joined, part...)
 	}
 	assert.DeepEqual(t, joined, targets)
-	assert.Equal(t, len(split(nil, 3)), 0)
+	assert.Equal(t, len(splitTargets(nil, 3)), 0)
 }
 
 var _ Peers = (*member.Runner)(nil)
--- a/fleet/configsync/message.go
+++ b/fleet/configsync/message.go
@@ -13,42 +13,41 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// Digest tells which versions a host has in force. It rides on heartbeats.
+// Digest holds the versions in force at a host. It is piggybacked on heartbeats.
 type Digest struct {
 	Versions map[config.Kind]uint64 `cbor:"1,keyasint,omitempty"`
-	// Ready is false while the host does not know whether it misses anything.
+	// Ready is false until the host has bootstrapped from a peer or the platform.
 	Ready bool `cbor:"2,keyasint,omitempty"`
 }
 
-// target is a host that a push must reach.
+// target is a host in a push tree.
 type target struct {
 	Host    id.Host `cbor:"1,keyasint"`
 	Address string  `cbor:"2,keyasint"`
 }
 
-// object is a version of a kind with its deflated value.
+// object is a version of a configuration kind with its deflated value.
 type object struct {
 	Kind    config.Kind `cbor:"1,keyasint"`
 	Version uint64      `cbor:"2,keyasint"`
 	Value   []byte      `cbor:"3,keyasint"`
 }
 
-// request is a call to a peer. At most one of Push and Fetch is set. Every call
-// is answered with the digest.
+// request is a call to a peer. At most one of Push and Fetch is set. Every response
+// carries the digest.
 type request struct {
 	Push *push `cbor:"1,keyasint,omitempty"`
-	// Fetch asks for the current version of a kind.
+	// Fetch requests the version in force of a kind.
 	Fetch config.Kind `cbor:"2,keyasint,omitempty"`
 }
 
-// push brings an object to a host, which passes it on to the hosts in Rest.
+// push carries an object to a host, which forwards it to the hosts in Rest.
 type push struct {
 	Object object   `cbor:"1,keyasint"`
 	Rest   []target `cbor:"2,keyasint,omitempty"`
 }
 
-// answer is the answer to a request.
-type answer struct {
+type response struct {
 	Digest Digest  `cbor:"1,keyasint"`
 	Object *object `cbor:"2,keyasint,omitempty"`
 }
@@ -68,7 +67,7 @@
 	return nil
 }
 
-// Deflate packs a value for the way between entries.
+// Deflate compresses a value for transfer between entries.
 func Deflate(value []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
@@ -84,7 +83,8 @@
 	return b.Bytes(), nil
 }
 
-// Inflate returns a packed value, or an error if it exceeds what the platform stores.
+// Inflate decompresses a value. It fails if the result exceeds
+// objectapi.MaxValueBytes, the limit of the platform.
 func Inflate(deflated []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(deflated))
 	value, err := io.ReadAll(io.LimitReader(r, objectapi.MaxValueBytes+1))
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("inflate configuration: %w", err)
 	}
 	if len(value) > objectapi.MaxValueBytes {
-		return nil, fmt.Errorf("configuration exceeds %d bytes", objectapi.MaxValueBytes)
+		return nil, fmt.Errorf("inflated configuration exceeds %d bytes", objectapi.MaxValueBytes)
 	}
 	return value, nil
 }
--- a/fleet/configsync/push.go
+++ b/fleet/configsync/push.go
@@ -11,9 +11,9 @@
 	"github.com/siskinford/siskinford/fleet/rendezvous"
 )
 
-// pushZone passes the version in force on to all live hosts of the zone. It
-// does not block.
-func (s *Syncer) pushZone(kind config.Kind) {
+// pushToZone queues a push of the version in force to all live hosts of the zone.
+// It does not block.
+func (s *Syncer) pushToZone(kind config.Kind) {
 	o, err := s.object(kind)
 	if err != nil || o == nil {
 		return
@@ -21,8 +21,8 @@
 	s.enqueue(push{Object: *o, Rest: s.targets(*o)})
 }
 
-// enqueue leaves a push to the workers, or drops it if too many wait. Hosts
-// that it would have reached recover the version by the digests.
+// enqueue queues a push for the workers, or drops it if the queue is full. Its
+// targets then recover the version by anti-entropy.
 func (s *Syncer) enqueue(p push) {
 	if len(p.Rest) == 0 {
 		return
@@ -33,8 +33,8 @@
 	}
 }
 
-// targets returns the live hosts of the zone in an order that differs for each
-// version, so that the work of passing it on changes hands.
+// targets returns the live hosts of the zone in an order that differs per version,
+// which spreads the forwarding work.
 func (s *Syncer) targets(o object) []target {
 	live := s.opt.Peers.Live()
 	self := s.opt.Peers.Self().Host
@@ -53,20 +53,20 @@
 	return out
 }
 
-// pushTo splits the targets into parts and sends the object to the first host
-// of each part, which passes it on to the rest of the part. It blocks until
-// each part has a host that took it.
-func (s *Syncer) pushTo(ctx context.Context, o object, targets []target) {
+// pushTree splits the targets into subtrees and sends the object to the first host
+// of each, which forwards it to the rest. It blocks until every subtree has a host
+// that accepted the object or none is left to try.
+func (s *Syncer) pushTree(ctx context.Context, o object, targets []target) {
 	var wg sync.WaitGroup
-	for _, part := range split(targets, s.cfg.Fanout) {
-		wg.Go(func() { s.pushPart(ctx, o, part) })
+	for _, part := range splitTargets(targets, s.cfg.Fanout) {
+		wg.Go(func() { s.pushSubtree(ctx, o, part) })
 	}
 	wg.Wait()
 }
 
-// pushPart sends the object to the first host of the part that answers. Hosts
-// that do not answer recover the version by the digests.
-func (s *Syncer) pushPart(ctx context.Context, o object, part []target) {
+// pushSubtree sends the object to the first host of the part that answers. The hosts
+// skipped recover the version by anti-entropy.
+func (s *Syncer) pushSubtree(ctx context.Context, o object, part []target) {
 	for len(part) > 0 && ctx.Err() == nil {
 		_, err := s.call(ctx, part[0].Address, request{Push: &push{Object: o, Rest: part[1:]}})
 		if err == nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// split divides the targets into up to n parts of about equal size.
-func split(targets []target, n int) [][]target {
+// splitTargets splits the targets into up to n parts of about equal size.
+func splitTargets(targets []target, n int) [][]target {
 	n = min(n, len(targets))
 	var out [][]target
 	for i := range n {
@@ -86,8 +86,8 @@
 	return out
 }
 
-// takePush applies a pushed object and passes it on if it was new.
-func (s *Syncer) takePush(p push) error {
+// handlePush applies a pushed object and forwards it if it was new.
+func (s *Syncer) handlePush(p push) error {
 	value, err := Inflate(p.Object.Value)
 	if err != nil {
 		return err
@@ -98,12 +98,12 @@
 	return nil
 }
 
-// forward passes pushes on until ctx ends.
-func (s *Syncer) forward(ctx context.Context) {
+// runPushes sends queued pushes until ctx ends.
+func (s *Syncer) runPushes(ctx context.Context) {
 	for {
 		select {
 		case p := <-s.pushes:
-			s.pushTo(ctx, p.Object, p.Rest)
+			s.pushTree(ctx, p.Object, p.Rest)
 		case <-ctx.Done():
 			return
 		}
@@ -111,10 +111,10 @@
 }
 
 // call sends a request to a peer and returns its answer.
-func (s *Syncer) call(ctx context.Context, address string, r request) (answer, error) {
+func (s *Syncer) call(ctx context.Context, address string, r request) (response, error) {
 	payload, err := encode(r)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
@@ -123,11 +123,11 @@
 		if ctx.Err() != nil {
 			s.opt.Caller.Abandon(address)
 		}
-		return answer{}, err
+		return response{}, err
 	}
-	var a answer
+	var a response
 	if err := decode(b, &a); err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	return a, nil
 }
--- a/fleet/configsync/reader.go
+++ b/fleet/configsync/reader.go
@@ -10,15 +10,15 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// read watches the platform while the host is the reader of its zone, until
-// ctx ends. Two readers of a zone at the same time do no harm.
-func (s *Syncer) read(ctx context.Context) {
-	if !s.join(ctx) {
+// runReader watches the platform while the host is the reader of its zone, until
+// ctx ends. Concurrent readers of a zone, as in a partition, are harmless.
+func (s *Syncer) runReader(ctx context.Context) {
+	if !s.awaitJoin(ctx) {
 		return
 	}
 	failures := 0
 	for ctx.Err() == nil {
-		if !s.reader() {
+		if !s.isReader() {
 			failures = 0
 			s.wait(ctx, s.cfg.DutyInterval)
 			continue
@@ -35,9 +35,9 @@
 	}
 }
 
-// join waits until the host is ready or JoinGrace is over. Before that, the
-// host does not know its peers and would read without need.
-func (s *Syncer) join(ctx context.Context) bool {
+// awaitJoin waits until the host is ready or JoinGrace has passed. Before that the
+// host has no peers in its table and would become a needless reader.
+func (s *Syncer) awaitJoin(ctx context.Context) bool {
 	grace, cancel := context.WithTimeout(ctx, s.cfg.JoinGrace)
 	defer cancel()
 	for !s.Ready() && s.wait(grace, s.cfg.DutyInterval) {
@@ -45,7 +45,7 @@
 	return ctx.Err() == nil
 }
 
-func (s *Syncer) reader() bool { return s.opt.Peers.Owns("reader/" + string(s.opt.Zone)) }
+func (s *Syncer) isReader() bool { return s.opt.Peers.Owns("reader/" + string(s.opt.Zone)) }
 
 func (s *Syncer) recordReader(what string) {
 	s.opt.Recorder.Record(timeline.Event{
@@ -55,8 +55,8 @@
 	})
 }
 
-// watch lists all objects and follows changes while the host is the reader, at
-// most for ListInterval. It returns nil if it ended without a failure.
+// watch lists all objects and polls for changes while the host is the reader, for at
+// most ListInterval. It returns the error of a failed platform call.
 func (s *Syncer) watch(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.ListInterval)
 	defer cancel()
@@ -64,24 +64,24 @@
 	if err != nil {
 		return err
 	}
-	for s.reader() && ctx.Err() == nil {
+	for s.isReader() && ctx.Err() == nil {
 		objects, next, err := s.poll(ctx, revision)
 		if err != nil {
 			return err
 		}
 		for _, o := range objects {
-			s.take(o)
+			s.applyObject(o)
 		}
 		if next < revision {
-			return nil // The platform went back; list again.
+			return nil // The platform returned an older revision; list again.
 		}
 		revision = next
 	}
 	return nil
 }
 
-// poll waits for objects after a revision. A poll that the platform leaves
-// without an answer ends without objects.
+// poll waits for objects changed after a revision. It returns no objects if the
+// platform does not answer within WatchTimeout.
 func (s *Syncer) poll(ctx context.Context, revision uint64) ([]objectapi.Object, uint64, error) {
 	poll, cancel := context.WithTimeout(ctx, s.cfg.WatchTimeout)
 	defer cancel()
@@ -92,8 +92,8 @@
 	return objects, next, err
 }
 
-// list reads all objects once and reports whether it could.
-func (s *Syncer) list(ctx context.Context) bool {
+// listOnce lists and applies all objects and reports whether the list succeeded.
+func (s *Syncer) listOnce(ctx context.Context) bool {
 	_, err := s.listAll(ctx)
 	return err == nil
 }
@@ -114,35 +114,35 @@
 		if !ok {
 			o = objectapi.Object{Kind: config.ObjectKind, Name: string(kind)}
 		}
-		s.take(o)
+		s.applyObject(o)
 	}
 	s.setReady("the platform")
 	return revision, nil
 }
 
-// take applies an object of the platform and pushes it to the zone if it is
-// new. A version lower than the one in force is recorded and not obeyed.
-func (s *Syncer) take(o objectapi.Object) {
+// applyObject applies an object of the platform and pushes it to the zone if it is
+// new. A version lower than the one in force is recorded as an event and ignored.
+func (s *Syncer) applyObject(o objectapi.Object) {
 	kind := config.Kind(o.Name)
 	own := s.opt.Applier.Versions()[kind]
 	if o.Deleted {
-		o.Version = 0 // A configuration is replaced, never taken away.
+		o.Version = 0 // Configurations are only replaced; a deletion counts as a lower version.
 	}
 	if o.Version < own {
-		s.recordBehind(kind, o.Version, own)
+		s.recordPlatformBehind(kind, o.Version, own)
 		return
 	}
 	if !s.apply(kind, o.Version, o.Value, "the platform") {
 		return
 	}
-	s.pushZone(kind)
+	s.pushToZone(kind)
 }
 
-// recordBehind records a lower version of the platform once.
-func (s *Syncer) recordBehind(kind config.Kind, shown, own uint64) {
+// recordPlatformBehind records an event once per lower version of the platform.
+func (s *Syncer) recordPlatformBehind(kind config.Kind, shown, own uint64) {
 	s.mu.Lock()
-	known, ok := s.behind[kind]
-	s.behind[kind] = shown
+	known, ok := s.platformBehind[kind]
+	s.platformBehind[kind] = shown
 	s.mu.Unlock()
 	if ok && known == shown {
 		return
--- a/fleet/configsync/recover.go
+++ b/fleet/configsync/recover.go
@@ -10,8 +10,8 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// catchUp fetches versions that other hosts showed until ctx ends.
-func (s *Syncer) catchUp(ctx context.Context) {
+// recoverMissing fetches greater versions reported by other hosts until ctx ends.
+func (s *Syncer) recoverMissing(ctx context.Context) {
 	failures := 0
 	for {
 		select {
@@ -30,24 +30,24 @@
 			return
 		}
 		failures++
-		s.signal()
+		s.signalMissing()
 	}
 }
 
-// fetchMissing fetches each version that is missing and reports whether none is left.
+// fetchMissing fetches all missing versions and reports whether it got each.
 func (s *Syncer) fetchMissing(ctx context.Context) bool {
 	whole := true
 	for _, kind := range config.Kinds() {
-		if want := s.wanted(kind); want > 0 && !s.fetch(ctx, kind, want) {
+		if want := s.newestOffered(kind); want > 0 && !s.fetch(ctx, kind, want) {
 			whole = false
 		}
 	}
 	return whole
 }
 
-// wanted returns the greatest version of a kind that others showed, or zero if
+// newestOffered returns the greatest version of a kind among the sources, or zero if
 // none is greater than the one in force.
-func (s *Syncer) wanted(kind config.Kind) uint64 {
+func (s *Syncer) newestOffered(kind config.Kind) uint64 {
 	own := s.opt.Applier.Versions()[kind]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,35 +60,35 @@
 	return want
 }
 
-// fetch asks peers in the zone, then peers elsewhere, and the platform last,
-// until at least version want is in force. Peers that fail are forgotten until
-// they show the version again.
+// fetch asks peers in the zone, then in other zones, then the platform, until
+// version want is resolved. Peers that fail are removed from the sources until
+// their next digest.
 func (s *Syncer) fetch(ctx context.Context, kind config.Kind, want uint64) bool {
 	zone, elsewhere := s.candidates(kind)
 	for _, address := range zone {
 		if s.fetchFrom(ctx, address, kind, want) {
 			return true
 		}
-		s.forget(kind, address)
+		s.removeSource(kind, address)
 	}
 	for _, address := range elsewhere {
 		if s.fetchFrom(ctx, address, kind, want) {
-			s.pushZone(kind)
+			s.pushToZone(kind)
 			return true
 		}
-		s.forget(kind, address)
+		s.removeSource(kind, address)
 	}
 	return s.fetchFromPlatform(ctx, kind, want)
 }
 
-func (s *Syncer) forget(kind config.Kind, address string) {
+func (s *Syncer) removeSource(kind config.Kind, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sources[kind] = slices.DeleteFunc(s.sources[kind], func(src source) bool { return src.address == address })
 }
 
-// candidates returns the addresses of hosts that showed a greater version, in
-// and outside the zone, in random order and bounded.
+// candidates returns the addresses of up to ZoneTries sources in the zone and
+// ElsewhereTries in other zones, in random order.
 func (s *Syncer) candidates(kind config.Kind) (zone, elsewhere []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 }
 
 func (s *Syncer) fetchFrom(ctx context.Context, address string, kind config.Kind, want uint64) bool {
-	if s.inForce(kind, want) {
+	if s.resolved(kind, want) {
 		return true
 	}
 	a, err := s.call(ctx, address, request{Fetch: kind})
@@ -118,7 +118,7 @@
 		return false
 	}
 	s.apply(kind, a.Object.Version, value, address)
-	return s.inForce(kind, want)
+	return s.resolved(kind, want)
 }
 
 func (s *Syncer) fetchFromPlatform(ctx context.Context, kind config.Kind, want uint64) bool {
@@ -127,35 +127,36 @@
 	o, err := s.opt.Store.Get(ctx, config.ObjectKind, string(kind))
 	var missing *objectapi.NotFoundError
 	if errors.As(err, &missing) {
-		s.take(objectapi.Object{Kind: config.ObjectKind, Name: string(kind)})
+		s.applyObject(objectapi.Object{Kind: config.ObjectKind, Name: string(kind)})
 		return false
 	}
 	if err != nil {
 		return false
 	}
-	s.take(o)
-	return s.inForce(kind, want)
+	s.applyObject(o)
+	return s.resolved(kind, want)
 }
 
-// inForce reports whether at least a version is in force or known to be invalid.
-func (s *Syncer) inForce(kind config.Kind, version uint64) bool {
+// resolved reports whether a version or a greater one is in force or was rejected.
+func (s *Syncer) resolved(kind config.Kind, version uint64) bool {
 	own := s.opt.Applier.Versions()[kind]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return own >= version || s.rejected[kind] >= version
 }
 
-// platformAfter is the number of rounds without a peer that is ready after
-// which a host that is not the reader of its zone asks the platform itself.
-const platformAfter = 4
+// peerOnlyRounds is the number of bootstrap rounds without a ready peer after which
+// a host that is not the reader of its zone lists the platform itself.
+const peerOnlyRounds = 4
 
-// bootstrap asks peers until one that is ready has told all its versions.
+// bootstrap fetches all versions from ready peers, or else from the platform, with
+// backoff until the host is ready.
 func (s *Syncer) bootstrap(ctx context.Context) {
 	for round := 0; !s.Ready() && ctx.Err() == nil; round++ {
-		if s.askPeers(ctx) {
+		if s.bootstrapFromPeers(ctx) {
 			return
 		}
-		if round >= platformAfter && s.list(ctx) {
+		if round >= peerOnlyRounds && s.listOnce(ctx) {
 			return
 		}
 		if !s.wait(ctx, s.cfg.backoff(round)) {
@@ -164,23 +165,23 @@
 	}
 }
 
-// askPeers brings the greatest versions of a few peers into force and reports
-// whether one of them was ready.
-func (s *Syncer) askPeers(ctx context.Context) bool {
-	if s.ask(ctx, s.someOf(s.opt.Peers.Live(), s.cfg.ZoneTries), true) {
+// bootstrapFromPeers fetches the greatest versions of a few peers, in the zone first,
+// and reports whether one of them was ready.
+func (s *Syncer) bootstrapFromPeers(ctx context.Context) bool {
+	if s.bootstrapFrom(ctx, s.samplePeers(s.opt.Peers.Live(), s.cfg.ZoneTries), true) {
 		return true
 	}
-	return s.ask(ctx, s.someOf(s.opt.Peers.RemotePeers(), s.cfg.ElsewhereTries), false)
+	return s.bootstrapFrom(ctx, s.samplePeers(s.opt.Peers.RemotePeers(), s.cfg.ElsewhereTries), false)
 }
 
-func (s *Syncer) ask(ctx context.Context, peers []member.Peer, inZone bool) bool {
+func (s *Syncer) bootstrapFrom(ctx context.Context, peers []member.Peer, inZone bool) bool {
 	ready := ""
 	for _, p := range peers {
 		a, err := s.call(ctx, p.Address, request{})
 		if err != nil || !a.Digest.Ready {
 			continue
 		}
-		s.learn(p.Address, inZone, a.Digest)
+		s.recordDigest(p.Address, inZone, a.Digest)
 		ready = string(p.Host)
 	}
 	if ready == "" || !s.fetchMissing(ctx) {
@@ -190,8 +191,8 @@
 	return true
 }
 
-// someOf returns up to n random peers other than the own host.
-func (s *Syncer) someOf(peers []member.Peer, n int) []member.Peer {
+// samplePeers returns up to n random peers, excluding the own host.
+func (s *Syncer) samplePeers(peers []member.Peer, n int) []member.Peer {
 	self := s.opt.Peers.Self().Host
 	peers = slices.DeleteFunc(slices.Clone(peers), func(p member.Peer) bool { return p.Host == self })
 	s.mu.Lock()
--- a/fleet/configsync/bench_test.go
+++ b/fleet/configsync/simulation_test.go
@@ -22,11 +22,11 @@
 	"github.com/siskinford/siskinford/fleet/transport/memnet"
 )
 
-// applier records what a process has in force and each regression.
+// applier holds the versions in force and panics if one regresses.
 type applier struct {
 	mu      sync.Mutex
 	values  map[config.Kind]objectapi.Object
-	invalid string // value that Apply refuses
+	invalid string // value that Apply rejects
 }
 
 func (a *applier) Versions() map[config.Kind]uint64 {
@@ -59,21 +59,21 @@
 	return nil
 }
 
-// process is one entry of a bench.
+// process is one simulated entry.
 type process struct {
 	name    id.Host
 	zone    id.Zone
 	node    *memnet.Node
 	applier *applier
-	store   *faultstore.Store // the process's own way to the platform
+	store   *faultstore.Store // injects faults between the process and the platform
 	members *member.Runner
-	spread  *Syncer
+	syncer  *Syncer
 	ring    *timeline.Ring
 	stop    func()
 }
 
-// bench runs processes inside a synctest bubble, so that time is virtual.
-type bench struct {
+// simulation runs processes in a synctest bubble, in virtual time.
+type simulation struct {
 	t     *testing.T
 	net   *memnet.Network
 	store *memstore.Store
@@ -82,8 +82,8 @@
 	seed  uint64
 }
 
-func newBench(t *testing.T, zones, n int, loss float64) *bench {
-	b := &bench{
+func newSimulation(t *testing.T, zones, n int, loss float64) *simulation {
+	sim := &simulation{
 		t:     t,
 		net:   memnet.New(memnet.Config{Seed: 1, Loss: loss, Delay: time.Millisecond}),
 		store: memstore.New(memstore.Config{PollWait: 5 * time.Second}),
@@ -91,48 +91,48 @@
 	for z := range zones {
 		for i := range n {
 			name := id.Host(fmt.Sprintf("host-%d-%02d", z, i))
-			b.list = append(b.list, objectapi.Host{Name: name, Zone: id.Zone(fmt.Sprintf("zone-%d", z)), Address: "addr-" + string(name)})
+			sim.list = append(sim.list, objectapi.Host{Name: name, Zone: id.Zone(fmt.Sprintf("zone-%d", z)), Address: "addr-" + string(name)})
 		}
 	}
-	return b
+	return sim
 }
 
-func (b *bench) startAll() {
-	for _, h := range b.list {
-		b.all = append(b.all, b.start(h.Name, h.Zone))
+func (sim *simulation) startAll() {
+	for _, h := range sim.list {
+		sim.all = append(sim.all, sim.start(h.Name, h.Zone))
 	}
 }
 
-func (b *bench) start(name id.Host, zone id.Zone) *process {
+func (sim *simulation) start(name id.Host, zone id.Zone) *process {
 	address := "addr-" + string(name)
-	b.seed++
+	sim.seed++
 	p := &process{
-		name: name, zone: zone, node: b.net.Join(address),
+		name: name, zone: zone, node: sim.net.Join(address),
 		applier: &applier{values: make(map[config.Kind]objectapi.Object)},
-		store:   faultstore.New(b.store),
+		store:   faultstore.New(sim.store),
 		ring:    timeline.NewRing(string(name), 64, timeline.NewClock(time.Now)),
 	}
 	mux := transport.NewMux(p.node, metrics.NewSet())
 	var err error
 	p.members, err = member.NewRunner(member.Options{
-		Config: member.Default(), Zone: zone, Host: name, Address: address, Seed: b.seed,
-		AppData:   func() []byte { return p.spread.EncodedDigest() },
-		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { p.spread.HandleDigest(from, zone, note) },
+		Config: member.Default(), Zone: zone, Host: name, Address: address, Seed: sim.seed,
+		AppData:   func() []byte { return p.syncer.EncodedDigest() },
+		OnAppData: func(from member.Peer, zone id.Zone, data []byte) { p.syncer.HandleDigest(from, zone, data) },
 	}, mux.Caller(transport.Membership), time.Now)
-	assert.NilError(b.t, err)
-	p.spread, err = New(Options{
+	assert.NilError(sim.t, err)
+	p.syncer, err = New(Options{
 		Config: Default(), Zone: zone, Store: p.store, Applier: p.applier, Peers: p.members,
-		Caller: mux.Caller(transport.Configuration), Recorder: p.ring, Seed: b.seed,
+		Caller: mux.Caller(transport.Configuration), Recorder: p.ring, Seed: sim.seed,
 	})
-	assert.NilError(b.t, err)
+	assert.NilError(sim.t, err)
 	mux.Register(transport.Membership, p.members.Handle)
-	mux.Register(transport.Configuration, p.spread.Handle)
-	p.members.SetHostList(b.list)
+	mux.Register(transport.Configuration, p.syncer.Handle)
+	p.members.SetHostList(sim.list)
 	p.node.Serve(mux.Handle)
-	ctx, cancel := context.WithCancel(b.t.Context())
+	ctx, cancel := context.WithCancel(sim.t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { p.members.Run(ctx) })
-	wg.Go(func() { p.spread.Run(ctx) })
+	wg.Go(func() { p.syncer.Run(ctx) })
 	p.stop = func() {
 		p.node.Kill()
 		cancel()
@@ -141,34 +141,34 @@
 	return p
 }
 
-func (b *bench) stopAll() {
-	for _, p := range b.all {
+func (sim *simulation) stopAll() {
+	for _, p := range sim.all {
 		p.stop()
 	}
 }
 
-// accept writes a version of a kind to the platform.
-func (b *bench) accept(kind config.Kind, value string) uint64 {
+// publish writes the next version of a kind to the platform.
+func (sim *simulation) publish(kind config.Kind, value string) uint64 {
 	o := objectapi.Object{Kind: config.ObjectKind, Name: string(kind), Value: []byte(value)}
-	if current, err := b.store.Get(b.t.Context(), o.Kind, o.Name); err == nil {
+	if current, err := sim.store.Get(sim.t.Context(), o.Kind, o.Name); err == nil {
 		o.Version = current.Version
 	}
-	written, err := b.store.Put(b.t.Context(), o)
-	assert.NilError(b.t, err)
+	written, err := sim.store.Put(sim.t.Context(), o)
+	assert.NilError(sim.t, err)
 	return written.Version
 }
 
-// poll is the step of the virtual time while a bench waits.
+// poll is the polling interval of await in virtual time.
 const poll = 50 * time.Millisecond
 
-func pass(d time.Duration) {
+func sleep(d time.Duration) {
 	<-time.After(d)
 }
 
-// await returns the virtual time until a version is in force at all processes,
-// and fails if that takes longer than bound.
-func (b *bench) await(kind config.Kind, version uint64, bound time.Duration, processes []*process) time.Duration {
-	b.t.Helper()
+// await waits until a version is in force at all processes and returns the virtual
+// time it took. It fails after bound.
+func (sim *simulation) await(kind config.Kind, version uint64, bound time.Duration, processes []*process) time.Duration {
+	sim.t.Helper()
 	start := time.Now()
 	for {
 		missing := 0
@@ -182,14 +182,14 @@
 			return took
 		}
 		if took > bound {
-			b.t.Fatalf("%d of %d processes miss %s version %d after %v", missing, len(processes), kind, version, took)
+			sim.t.Fatalf("%d of %d processes miss %s version %d after %v", missing, len(processes), kind, version, took)
 		}
-		pass(poll)
+		sleep(poll)
 	}
 }
 
-func (b *bench) inZone(zone id.Zone) (in, out []*process) {
-	for _, p := range b.all {
+func (sim *simulation) inZone(zone id.Zone) (in, out []*process) {
+	for _, p := range sim.all {
 		if p.zone == zone {
 			in = append(in, p)
 		} else {
@@ -199,36 +199,36 @@
 	return in, out
 }
 
-func (b *bench) reader(zone id.Zone) *process {
-	in, _ := b.inZone(zone)
+func (sim *simulation) reader(zone id.Zone) *process {
+	in, _ := sim.inZone(zone)
 	for _, p := range in {
-		if p.spread.reader() {
+		if p.syncer.isReader() {
 			return p
 		}
 	}
-	b.t.Fatalf("zone %s has no reader", zone)
+	sim.t.Fatalf("zone %s has no reader", zone)
 	return nil
 }
 
-// events returns how many events of a kind mention a text.
+// events returns the number of events of a kind whose detail contains text.
 func (p *process) events(kind timeline.Kind, text string) int {
 	return len(p.ring.Events(func(e timeline.Event) bool {
 		return e.Kind == kind && strings.Contains(e.Detail, text)
 	}))
 }
 
-// calls returns the calls of all processes to the platform so far.
-func (b *bench) calls() int {
+// platformCalls returns the number of platform calls of all processes so far.
+func (sim *simulation) platformCalls() int {
 	n := 0
-	for _, p := range b.all {
+	for _, p := range sim.all {
 		n += len(p.store.Calls())
 	}
 	return n
 }
 
-// each applies a fault to the platform as all processes see it.
-func (b *bench) each(fault func(*faultstore.Store)) {
-	for _, p := range b.all {
+// injectFault applies a fault to the store of each process.
+func (sim *simulation) injectFault(fault func(*faultstore.Store)) {
+	for _, p := range sim.all {
 		fault(p.store)
 	}
 }
--- a/fleet/configsync/snapshot.go
+++ b/fleet/configsync/snapshot.go
@@ -8,16 +8,16 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// SnapshotApplier is an Applier that keeps the configuration in force as a snapshot. It
-// is safe for concurrent use, and Current does not block.
+// SnapshotApplier is an Applier that keeps the configuration in force as an
+// immutable snapshot. It is safe for concurrent use, and Current does not block.
 type SnapshotApplier struct {
 	mu      sync.Mutex // serialises Apply
 	current atomic.Pointer[config.Snapshot]
 	changed func(*config.Snapshot)
 }
 
-// NewSnapshotApplier returns a holder of an empty configuration. It calls changed, which
-// may be nil and must not block, with each new snapshot in order.
+// NewSnapshotApplier returns a SnapshotApplier with an empty configuration. It calls
+// changed, which may be nil and must not block, with each new snapshot in order.
 func NewSnapshotApplier(changed func(*config.Snapshot)) *SnapshotApplier {
 	h := &SnapshotApplier{changed: changed}
 	h.current.Store(config.NewSnapshot())
