--- a/fleet/transport/memnet/memnet.go
+++ b/fleet/transport/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a transport inside one process with seeded loss, delay,
-// cuts, paused nodes and silent connections, for tests and measurements.
+// Package memnet is an in-memory transport for tests and measurements that simulates
+// seeded loss, delay, partitions, paused nodes and black-holed connections.
 package memnet
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/siskinford/siskinford/fleet/transport"
 )
 
-// Config holds the properties of all links of a network.
+// Config holds the properties that all links of a network share.
 type Config struct {
-	// Seed selects which messages are lost.
+	// Seed determines which messages are lost.
 	Seed uint64
-	// Loss is the share of messages that are lost in each direction. Range: 0 to 1.
+	// Loss is the probability that a message is lost. Range: 0 to 1.
 	Loss float64
 	// Delay is the one-way delay of each message.
 	Delay time.Duration
 }
 
-// link is a direction between two addresses.
+// link is an ordered pair of addresses.
 type link struct{ from, to string }
 
 // conn is the state of the current connection of a link.
 type conn struct {
-	messages uint64 // messages on the link so far, over all connections
-	silent   bool
+	messages   uint64 // messages on the link so far, on all its connections
+	blackholed bool
 }
 
 // Network connects nodes by address. It is safe for concurrent use.
@@ -40,11 +40,11 @@
 	seed  uint64
 	delay time.Duration
 
-	mu    sync.Mutex // guards all fields below; never held while a handler runs
-	loss  float64
-	nodes map[string]*Node
-	conns map[link]*conn
-	cut   func(from, to string) bool
+	mu        sync.Mutex // guards all fields below; never held while a handler runs
+	loss      float64
+	nodes     map[string]*Node
+	conns     map[link]*conn
+	partition func(from, to string) bool
 }
 
 // New returns a network without nodes.
@@ -58,7 +58,7 @@
 	}
 }
 
-// Node is one process of the network. It implements transport.Caller.
+// Node is a simulated process. It implements transport.Caller.
 type Node struct {
 	net     *Network
 	address string
@@ -71,15 +71,15 @@
 	resume  chan struct{} // not nil while the node is paused; closed at the end of the pause
 }
 
-// Traffic counts the messages and payload bytes of a node in both directions.
+// Traffic counts the calls and payload bytes of a node.
 type Traffic struct {
 	// Calls is the number of calls that the node made.
 	Calls uint64
-	// Sent and Received are bytes of requests and answers.
+	// Sent and Received are the payload bytes of requests and answers.
 	Sent, Received uint64
 }
 
-// Join adds a node, replacing any node that had the address before.
+// Join adds a node and replaces a previous node with the same address.
 func (n *Network) Join(address string) *Node {
 	node := &Node{net: n, address: address}
 	n.mu.Lock()
@@ -88,27 +88,27 @@
 	return node
 }
 
-// SetLoss changes the share of messages that are lost in each direction.
+// SetLoss changes Config.Loss.
 func (n *Network) SetLoss(loss float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = loss
 }
 
-// Partition drops all messages for which cut returns true. A nil cut heals the network.
+// Partition drops all messages for which cut returns true. Nil heals the network.
 func (n *Network) Partition(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.partition = cut
 }
 
-// Blackhole drops all messages between two addresses in both directions until
-// the calling side abandons its connection.
+// Blackhole drops all messages on the current connections between two addresses,
+// until the calling side of each abandons it.
 func (n *Network) Blackhole(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conn(link{a, b}).silent = true
-	n.conn(link{b, a}).silent = true
+	n.conn(link{a, b}).blackholed = true
+	n.conn(link{b, a}).blackholed = true
 }
 
 func (n *Network) conn(l link) *conn {
@@ -120,9 +120,9 @@
 	return c
 }
 
-// delivers decides the fate of the next message of a call made over the
-// connection from caller to callee. Loss depends only on the seed, the link and
-// the number of the message on the link.
+// delivers reports whether the network delivers the next message, a request or its
+// answer, on the connection from caller to callee. Loss depends only on the seed,
+// the link and the number of the message on the link.
 func (n *Network) delivers(caller, callee string, answer bool) bool {
 	l := link{caller, callee}
 	if answer {
@@ -132,31 +132,31 @@
 	defer n.mu.Unlock()
 	c := n.conn(l)
 	c.messages++
-	if n.cut != nil && n.cut(l.from, l.to) {
+	if n.partition != nil && n.partition(l.from, l.to) {
 		return false
 	}
-	if n.conn(link{caller, callee}).silent {
+	if n.conn(link{caller, callee}).blackholed {
 		return false
 	}
 	h := xxhash.Sum64String(fmt.Sprintf("%d %s %s %d", n.seed, l.from, l.to, c.messages))
 	return float64(h>>11)/(1<<53) >= n.loss
 }
 
-// Serve sets the handler of the node. Calls before it are lost.
+// Serve sets the handler of the node. Earlier calls to the node are lost.
 func (d *Node) Serve(h transport.Handler) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.handler = h
 }
 
-// Kill stops the node for good: all calls to it and from it are lost.
+// Kill stops the node permanently: calls to it are lost and its own fail.
 func (d *Node) Kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.killed = true
 }
 
-// Pause stops the node until Resume. Messages wait meanwhile.
+// Pause stops the node until Resume. Messages are held meanwhile.
 func (d *Node) Pause() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,20 +175,20 @@
 	}
 }
 
-// Paused reports whether the node is paused or was killed. Loops that drive the
-// process of the node stop while it returns true.
+// Paused reports whether the node is paused or killed. Loops that drive its process
+// must stop while it returns true.
 func (d *Node) Paused() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.killed || d.resume != nil
 }
 
-// Traffic returns the node's counts so far.
+// Traffic returns the node's counters.
 func (d *Node) Traffic() Traffic {
 	return Traffic{Calls: d.calls.Load(), Sent: d.sent.Load(), Received: d.received.Load()}
 }
 
-// errKilled ends the calls of a node that was killed.
+// errKilled is returned by calls of a killed node.
 var errKilled = errors.New("node was killed")
 
 // awaitRunning blocks while the node is paused.
@@ -218,7 +218,7 @@
 	}
 	d.calls.Add(1)
 	d.sent.Add(uint64(len(payload)))
-	callee, handler, err := d.reach(ctx, address)
+	callee, handler, err := d.deliverRequest(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -226,7 +226,7 @@
 	answer, handlerErr := handler(context.WithoutCancel(ctx), payload)
 	callee.sent.Add(uint64(len(answer)))
 	if !d.net.delivers(d.address, address, true) {
-		return nil, lost(ctx)
+		return nil, awaitTimeout(ctx)
 	}
 	if err := d.net.wait(ctx); err != nil {
 		return nil, err
@@ -241,10 +241,11 @@
 	return answer, nil
 }
 
-// reach carries a request to the node at address and returns its handler.
-func (d *Node) reach(ctx context.Context, address string) (*Node, transport.Handler, error) {
+// deliverRequest simulates the delivery of a request and returns the callee and its
+// handler.
+func (d *Node) deliverRequest(ctx context.Context, address string) (*Node, transport.Handler, error) {
 	if !d.net.delivers(d.address, address, false) {
-		return nil, nil, lost(ctx)
+		return nil, nil, awaitTimeout(ctx)
 	}
 	if err := d.net.wait(ctx); err != nil {
 		return nil, nil, err
@@ -253,11 +254,11 @@
 	callee := d.net.nodes[address]
 	d.net.mu.Unlock()
 	if callee == nil {
-		return nil, nil, lost(ctx)
+		return nil, nil, awaitTimeout(ctx)
 	}
 	handler, err := callee.awaitRunning(ctx)
 	if errors.Is(err, errKilled) || (err == nil && handler == nil) {
-		return nil, nil, lost(ctx)
+		return nil, nil, awaitTimeout(ctx)
 	}
 	return callee, handler, err
 }
@@ -266,10 +267,10 @@
 func (d *Node) Abandon(address string) {
 	d.net.mu.Lock()
 	defer d.net.mu.Unlock()
-	d.net.conn(link{d.address, address}).silent = false
+	d.net.conn(link{d.address, address}).blackholed = false
 }
 
-func lost(ctx context.Context) error {
+func awaitTimeout(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/fleet/transport/mux.go
+++ b/fleet/transport/mux.go
@@ -8,7 +8,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Purpose tells which protocol a payload belongs to. It is the first byte of
+// Purpose identifies the protocol of a payload. It is sent as the first byte of
 // each payload.
 type Purpose byte
 
@@ -17,17 +17,17 @@
 	Membership Purpose = iota + 1
 	// Configuration payloads belong to package configsync.
 	Configuration
-	// Duties payloads belong to packages that coordinate duties of entries.
+	// Duties payloads belong to packages that run singleton tasks, such as hosts.
 	Duties
 	// Limits payloads divide the teams' limits between entries.
 	Limits
-	// Operators payloads carry operators' questions between entries.
+	// Operators payloads carry operators' queries between entries.
 	Operators
 
 	purposes
 )
 
-// String returns the purpose as it appears in the label of metrics.
+// String returns the value of the purpose label in metrics.
 func (p Purpose) String() string {
 	switch p {
 	case Membership:
@@ -44,9 +44,9 @@
 	return fmt.Sprintf("purpose-%d", byte(p))
 }
 
-// Mux shares one transport between purposes and counts the payload bytes of
-// each as siskinford_control_bytes_total. Calls with a purpose that has no
-// handler yet are refused.
+// Mux multiplexes purposes over one transport and counts the payload bytes of
+// each in siskinford_control_bytes_total. Calls with a purpose that has no
+// registered handler fail.
 type Mux struct {
 	caller   Caller
 	handlers [purposes]atomic.Pointer[Handler]
@@ -54,7 +54,7 @@
 	received [purposes]*metrics.Counter
 }
 
-// NewMux returns a Mux that sends through caller and counts in set.
+// NewMux returns a Mux that sends through caller and registers its metrics in set.
 func NewMux(caller Caller, set *metrics.Set) *Mux {
 	m := &Mux{caller: caller}
 	for p := Membership; p < purposes; p++ {
@@ -74,7 +74,7 @@
 // Caller returns a Caller whose payloads have purpose p.
 func (m *Mux) Caller(p Purpose) Caller { return &purposeCaller{mux: m, purpose: p} }
 
-// Handle answers a call. It is the Handler of the shared transport.
+// Handle dispatches a call to the handler of its purpose. It is a Handler.
 func (m *Mux) Handle(ctx context.Context, payload []byte) ([]byte, error) {
 	if len(payload) == 0 {
 		return nil, fmt.Errorf("peer message is empty")
--- a/fleet/transport/transport.go
+++ b/fleet/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport carries opaque control messages between the entries of the
-// fleet as calls with an answer.
+// Package transport defines request-response calls between the entries of the
+// fleet and multiplexes the control protocols over them.
 package transport
 
 import (
@@ -11,22 +11,21 @@
 // concurrent use.
 type Caller interface {
 	// Call sends payload to the process at address and returns its answer. It
-	// blocks until the answer arrives or ctx ends. An error does not tell
-	// whether the other process handled the payload.
+	// blocks until the answer arrives or ctx ends. After an error the other
+	// process may or may not have handled the payload.
 	Call(ctx context.Context, address string, payload []byte) ([]byte, error)
-	// Abandon drops the connection to address, so that the next call opens a
-	// fresh one. It does not block.
+	// Abandon closes the connection to address, so that the next call opens a
+	// new one. It does not block.
 	Abandon(address string)
 }
 
-// Handler answers the calls of other entries. The transport calls it from many
-// goroutines. It must not retain payload after it returns. It may block until
-// ctx ends.
+// Handler answers the calls of other entries. It is called concurrently, may
+// block until ctx ends, and must not retain payload after it returns.
 type Handler func(ctx context.Context, payload []byte) ([]byte, error)
 
-// RemoteError is an error that the handler at the other end returned.
+// RemoteError is an error returned by the remote handler.
 type RemoteError struct {
-	// Address is the address of the process that returned the error.
+	// Address is that of the remote process.
 	Address string
 	// Message is the text of the error.
 	Message string
