--- a/fleet/duty/lease.go
+++ b/fleet/duty/lease.go
@@ -119,8 +119,7 @@
 }
 
 // Valid returns the fencing token and true if this process holds the lease at now.
-// The holder must check before each action; requests already sent are fenced by
-// their token.
+// Callers must check it before each action; sent requests are fenced by the token.
 func (l *Lease) Valid(now time.Time) (epoch uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,9 +175,8 @@
 	}
 }
 
-// Release gives up the lease, so that another process can acquire it before it
-// expires. The lease is invalid from the start of the call, even if it fails. It
-// blocks on the platform.
+// Release gives up the lease, so that another process can acquire it at once. It
+// blocks on the platform. The lease is invalid from the start, even after an error.
 func (l *Lease) Release(ctx context.Context) error {
 	l.invalidate()
 	if l.mustRead {
