--- a/agent/gate/operator.go
+++ b/agent/gate/operator.go
@@ -29,7 +29,7 @@
 	set := metrics.NewSet()
 	set.NewGauge("siskinford_attempts_unsettled", func() float64 { return float64(a.Unsettled()) })
 	r := chi.NewRouter()
-	ops.Routes(r, set, a.unready)
+	ops.AddRoutes(r, set, a.unready)
 	a.operator = operatorServer{listener: listener, server: &http.Server{Handler: r, ReadHeaderTimeout: operatorTimeout}}
 	a.wg.Go(func() { _ = a.operator.server.Serve(listener) })
 	return nil
--- a/core/ops/ops.go
+++ b/core/ops/ops.go
@@ -11,9 +11,9 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Routes adds the common routes to r. Ready returns an error text while the
+// AddRoutes adds the common routes to r. Ready returns an error text while the
 // process does not accept work, and the empty text otherwise.
-func Routes(r chi.Router, set *metrics.Set, ready func() string) {
+func AddRoutes(r chi.Router, set *metrics.Set, ready func() string) {
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	r.Get("/readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if reason := ready(); reason != "" {
--- a/entry/edge/control.go
+++ b/entry/edge/control.go
@@ -17,7 +17,7 @@
 // startControl serves operators and collectors of metrics.
 func (e *Edge) startControl() error {
 	r := chi.NewRouter()
-	ops.Routes(r, e.set, e.notReady)
+	ops.AddRoutes(r, e.set, e.notReady)
 	e.control = &http.Server{Handler: r, ReadHeaderTimeout: controlTimeout}
 	e.gauges()
 	for _, address := range []string{e.cfg.ControlListen, e.cfg.MetricsListen} {
--- a/entry/server/operator.go
+++ b/entry/server/operator.go
@@ -11,7 +11,7 @@
 
 func (s *Server) operatorHandler() http.Handler {
 	r := chi.NewRouter()
-	ops.Routes(r, s.metrics, s.unreadyReason)
+	ops.AddRoutes(r, s.metrics, s.unreadyReason)
 	operator.NewAPI(s.config.Operator, s.operator).Routes(r)
 	return r
 }
