--- a/core/process/process.go
+++ b/core/process/process.go
@@ -27,12 +27,12 @@
 	ExitFailure = 1
 	// ExitUsage means that settings or arguments are invalid. No port was opened.
 	ExitUsage = 2
-	// ExitCutOff means that a shutdown cut off requests in flight.
-	ExitCutOff = 3
-	// ExitLostRace means that another operator's change came first. Nothing was changed.
-	ExitLostRace = 4
-	// ExitUnknown means that a change may or may not have been accepted.
-	ExitUnknown = 5
+	// ExitForcedShutdown means that a shutdown cut off requests in flight.
+	ExitForcedShutdown = 3
+	// ExitConflict means that another operator's change came first. Nothing was changed.
+	ExitConflict = 4
+	// ExitUnknownOutcome means that a change may or may not have been accepted.
+	ExitUnknownOutcome = 5
 	// ExitIncomplete means that some processes did not answer.
 	ExitIncomplete = 6
 )
@@ -121,7 +121,7 @@
 	log.Info().Str("event", "process.stopping").Dur("bound", bound).Msg("shutting down")
 	if err := d.Shutdown(ctx); err != nil {
 		log.Error().Err(err).Str("event", "process.cut_off").Msg("shutdown cut off requests")
-		return ExitCutOff
+		return ExitForcedShutdown
 	}
 	return ExitOK
 }
--- a/itest/operate_test.go
+++ b/itest/operate_test.go
@@ -59,7 +59,7 @@
 		return strings.Contains(out, "none from entry-0: draining; none from entry-1: draining")
 	})
 
-	race := operate(ctx, t, c, second, process.ExitLostRace, "query", "--seen=1", "undrain endpoint asistente-0")
+	race := operate(ctx, t, c, second, process.ExitConflict, "query", "--seen=1", "undrain endpoint asistente-0")
 	assert.Assert(t, strings.Contains(race, `changed by "ana"`) && strings.Contains(race, "asistente-1\" weight: 1 -> 0.5"), race)
 	for _, kind := range []string{"services", "teams", "replicas", "groups", "maps", "requests", "hosts", "zones", "duties"} {
 		out := operate(ctx, t, c, first, process.ExitOK, "query", kind)
--- a/itest/shutdown_test.go
+++ b/itest/shutdown_test.go
@@ -93,7 +93,7 @@
 			for _, p := range tc.victim(c) {
 				code, err := p.Wait(ctx)
 				assert.NilError(t, err)
-				assert.Equal(t, code, process.ExitCutOff, "%s: %s", p.Name(), p.Output())
+				assert.Equal(t, code, process.ExitForcedShutdown, "%s: %s", p.Name(), p.Output())
 			}
 		})
 	}
--- a/operate/cli/cli.go
+++ b/operate/cli/cli.go
@@ -112,7 +112,7 @@
 	fmt.Fprintln(a.streams.Err, err)
 	var unreachable *client.UnreachableError
 	if sent && !errors.As(err, &unreachable) {
-		return process.ExitUnknown
+		return process.ExitUnknownOutcome
 	}
 	return process.ExitFailure
 }
@@ -131,9 +131,9 @@
 	case len(r.Findings) > 0:
 		return process.ExitUsage
 	case r.Plan != nil && r.Plan.State == answer.LostRace:
-		return process.ExitLostRace
+		return process.ExitConflict
 	case r.Plan != nil && r.Plan.State == answer.OutcomeUnknown:
-		return process.ExitUnknown
+		return process.ExitUnknownOutcome
 	case r.Error != "":
 		return process.ExitFailure
 	case a.all && incomplete(r):
