--- a/core/dial/dial.go
+++ b/core/dial/dial.go
@@ -14,10 +14,10 @@
 	Source netip.Addr
 	// Timeout bounds the time to connect.
 	Timeout time.Duration
-	// ProbeInterval is the time without traffic after which a connection is
+	// KeepAliveInterval is the time without traffic after which a connection is
 	// probed, and between probes. ProbeCount probes without an answer end it.
-	ProbeInterval time.Duration
-	ProbeCount    int
+	KeepAliveInterval time.Duration
+	KeepAliveProbes    int
 }
 
 // Dialer returns a dialer for such connections.
@@ -26,9 +26,9 @@
 	if c.Source.IsValid() {
 		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(c.Source, 0))
 	}
-	if c.ProbeInterval > 0 {
+	if c.KeepAliveInterval > 0 {
 		d.KeepAliveConfig = net.KeepAliveConfig{
-			Enable: true, Idle: c.ProbeInterval, Interval: c.ProbeInterval, Count: c.ProbeCount,
+			Enable: true, Idle: c.KeepAliveInterval, Interval: c.KeepAliveInterval, Count: c.KeepAliveProbes,
 		}
 	}
 	return d
--- a/core/dial/dial_test.go
+++ b/core/dial/dial_test.go
@@ -17,7 +17,7 @@
 		netip.MustParseAddr("127.0.0.9"): "127.0.0.9",
 		{}:                               "127.0.0.1",
 	} {
-		c, err := Config{Source: source, Timeout: time.Second, ProbeInterval: time.Second, ProbeCount: 3}.Dialer().Dial("tcp", l.Addr().String())
+		c, err := Config{Source: source, Timeout: time.Second, KeepAliveInterval: time.Second, KeepAliveProbes: 3}.Dialer().Dial("tcp", l.Addr().String())
 		assert.NilError(t, err)
 		host, _, err := net.SplitHostPort(c.LocalAddr().String())
 		assert.NilError(t, err)
--- a/entry/upstream/pool.go
+++ b/entry/upstream/pool.go
@@ -68,7 +68,7 @@
 // TCPDialer returns a Config.Dial that opens TCP connections from a local address, or
 // from the operating system's choice if source is invalid.
 func TCPDialer(source netip.Addr) func(ctx context.Context, address string) (net.Conn, error) {
-	d := dial.Config{Source: source, ProbeInterval: probeInterval, ProbeCount: probeCount}.Dialer()
+	d := dial.Config{Source: source, KeepAliveInterval: probeInterval, KeepAliveProbes: probeCount}.Dialer()
 	return func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 }
 
--- a/fleet/objectapi/client.go
+++ b/fleet/objectapi/client.go
@@ -166,7 +166,7 @@
 }
 
 func transport(cfg ClientConfig, single bool) *http.Transport {
-	d := dial.Config{Source: cfg.Source, Timeout: cfg.CallTimeout, ProbeInterval: cfg.KeepAlive, ProbeCount: keepAliveProbes}
+	d := dial.Config{Source: cfg.Source, Timeout: cfg.CallTimeout, KeepAliveInterval: cfg.KeepAlive, KeepAliveProbes: keepAliveProbes}
 	return &http.Transport{
 		DialContext:       d.Dialer().DialContext,
 		DisableKeepAlives: single,
