--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -266,5 +266,5 @@
 func (a *Agent) record(e timeline.Event) {
 	e.Endpoint = a.config.Endpoint
 	e.Incarnation = a.incarnation
-	timeline.Logged{Ring: a.deps.Ring, Log: a.deps.Log}.Record(e)
+	timeline.LoggingRecorder{Ring: a.deps.Ring, Log: a.deps.Log}.Record(e)
 }
--- a/cmd/siskinford-agent/main.go
+++ b/cmd/siskinford-agent/main.go
@@ -51,7 +51,7 @@
 	}
 	if p.Ranks.Group != "" {
 		d.Incarnation = id.NewIncarnation()
-		d.Ranks, err = ranklink.Open(p.Ranks, d.Incarnation, timeline.Logged{Ring: d.Ring, Log: d.Log})
+		d.Ranks, err = ranklink.Open(p.Ranks, d.Incarnation, timeline.LoggingRecorder{Ring: d.Ring, Log: d.Log})
 	}
 	if err != nil {
 		return nil, err
--- a/core/timeline/clock.go
+++ b/core/timeline/clock.go
@@ -51,13 +51,13 @@
 	return c.last
 }
 
-// MaxDrift is how far a received stamp may be ahead of the wall time. Stamps
+// MaxClockOffset is how far a received stamp may be ahead of the wall time. Stamps
 // beyond it are ignored, so that one wrong clock does not move all others.
-const MaxDrift = time.Minute
+const MaxClockOffset = time.Minute
 
 // Observe advances the clock past a stamp received from another process.
 func (c *Clock) Observe(s Stamp) {
-	if s.Wall > c.wall().Add(MaxDrift).UnixNano() {
+	if s.Wall > c.wall().Add(MaxClockOffset).UnixNano() {
 		return
 	}
 	c.mu.Lock()
--- a/core/timeline/clock_test.go
+++ b/core/timeline/clock_test.go
@@ -21,7 +21,7 @@
 
 func TestWrongClockDoesNotMoveOthers(t *testing.T) {
 	c := NewClock(at(10))
-	c.Observe(Stamp{Wall: time.Unix(10, 0).Add(MaxDrift + 1).UnixNano()})
+	c.Observe(Stamp{Wall: time.Unix(10, 0).Add(MaxClockOffset + 1).UnixNano()})
 	assert.Equal(t, c.Now(), Stamp{Wall: time.Unix(10, 0).UnixNano()})
 }
 
--- a/core/timeline/log.go
+++ b/core/timeline/log.go
@@ -6,16 +6,16 @@
 	"github.com/rs/zerolog"
 )
 
-// Logged is a Recorder that also writes events to a log. Events carry the same
+// LoggingRecorder is a Recorder that also writes events to a log. Events carry the same
 // names and IDs there. Events of requests and attempts are logged at debug level,
 // unless they tell of an outcome that is unknown or of a broken answer.
-type Logged struct {
+type LoggingRecorder struct {
 	Ring *Ring
 	Log  zerolog.Logger
 }
 
 // Record implements Recorder.
-func (l Logged) Record(e Event) {
+func (l LoggingRecorder) Record(e Event) {
 	l.Ring.Record(e)
 	entry := l.Log.WithLevel(level(e))
 	for _, f := range []struct{ name, value string }{
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
 	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
-	s.events = s.requests.Recorder(timeline.Logged{Ring: d.Ring, Log: d.Log})
+	s.events = s.requests.Recorder(timeline.LoggingRecorder{Ring: d.Ring, Log: d.Log})
 	s.holder = spread.NewHolder(s.applySnapshot)
 	if err := s.initComponents(); err != nil {
 		cancel()
