--- a/entry/actions/actions.go
+++ b/entry/actions/actions.go
@@ -92,7 +92,7 @@
 
 // BindTicket implements caller.Actions. Only the agent verifies the ticket.
 func (a *Actions) BindTicket(c *dispatch.Call, text string) *problem.Problem {
-	claims, err := ticket.Read(text)
+	claims, err := ticket.ParseUnverified(text)
 	if err != nil {
 		return problem.Newf(problem.TicketInvalid, "%v", err)
 	}
@@ -141,7 +141,7 @@
 }
 
 func (a *Actions) resolveBinding(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem) {
-	claims, err := ticket.Read(key)
+	claims, err := ticket.ParseUnverified(key)
 	if err == nil {
 		if claims.Team != team || claims.Service != service {
 			return "", dispatch.Binding{}, problem.Newf(problem.TicketInvalid, "the ticket is for another team or service")
--- a/wire/ticket/ticket.go
+++ b/wire/ticket/ticket.go
@@ -106,8 +106,8 @@
 	return claims, nil
 }
 
-// Read returns the claims of a ticket without verifying them. They only tell where to send it.
-func Read(text string) (Claims, error) {
+// ParseUnverified returns the claims of a ticket without verifying them. They only tell where to send it.
+func ParseUnverified(text string) (Claims, error) {
 	_, claims, err := decode(text)
 	return claims, err
 }
