--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -36,7 +36,7 @@
 type Deps struct {
 	Engine engine.Engine
 	Plain  PlainBackend
-	Keys   *keys.Ring
+	Keys   *keys.Credentials
 	Ring   *timeline.Ring
 	Log    zerolog.Logger
 	// Incarnation is that of the process. Default: a new one.
@@ -148,7 +148,7 @@
 
 // Start listens for entries and begins to serve.
 func (a *Agent) Start() error {
-	server, err := link.Listen(a.config.Listen, a.deps.Keys.Server(keys.RoleEntry), a.config.Link, (*handler)(a))
+	server, err := link.Listen(a.config.Listen, a.deps.Keys.ServerConfig(keys.RoleEntry), a.config.Link, (*handler)(a))
 	if err != nil {
 		return err
 	}
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func newKeyRing(t *testing.T, a *keys.Authority, role keys.Role) *keys.Ring {
+func newKeyRing(t *testing.T, a *keys.Authority, role keys.Role) *keys.Credentials {
 	t.Helper()
 	material, err := a.Issue(role, "host", time.Hour)
 	assert.NilError(t, err)
@@ -119,7 +119,7 @@
 	var agents []*scriptedAgent
 	for i, script := range scripts {
 		agent := &scriptedAgent{respond: script}
-		server, err := link.Listen("127.0.0.1:0", agentKeys.Server(keys.RoleEntry), link.DefaultConfig(), agent)
+		server, err := link.Listen("127.0.0.1:0", agentKeys.ServerConfig(keys.RoleEntry), link.DefaultConfig(), agent)
 		assert.NilError(t, err)
 		t.Cleanup(server.Close)
 		name := id.Endpoint([]string{"e0", "e1", "e2"}[i])
@@ -129,7 +129,7 @@
 	}
 	linkConfig := link.DefaultConfig()
 	linkConfig.DialTimeout = 10 * time.Second
-	pool := link.NewPool(linkConfig, func() *tls.Config { return entryKeys.Client(keys.RoleAgent) })
+	pool := link.NewPool(linkConfig, func() *tls.Config { return entryKeys.ClientConfig(keys.RoleAgent) })
 	t.Cleanup(pool.Close)
 	c := DefaultConfig()
 	c.RecoveryTimeout = 300 * time.Millisecond
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -120,7 +120,7 @@
 	maps    maps
 	// followers keep up with the platform's objects while the entry is a reader.
 	followers []*follower
-	pinned    *keys.Pinned
+	pinned    *keys.PinnedIdentity
 	pool      *link.Pool
 	mux       *transport.Mux
 	peers     *link.Server
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.pinned, err = keys.NewPinned(keys.RoleEntry, cfg.Host); err != nil {
+	if e.pinned, err = keys.NewPinnedIdentity(keys.RoleEntry, cfg.Host); err != nil {
 		return nil, err
 	}
 	e.self = mesh.Member{
@@ -218,7 +218,7 @@
 }
 
 func (e *Edge) newMesh() error {
-	e.pool = link.NewPool(e.peerConfig(), func() *tls.Config { return e.pinned.Client(keys.RoleEntry, e.mesh.Trust) })
+	e.pool = link.NewPool(e.peerConfig(), func() *tls.Config { return e.pinned.ClientConfig(keys.RoleEntry, e.mesh.Trust) })
 	mux := transport.NewMux(peer.NewCaller(e.pool), e.set)
 	var err error
 	e.mesh, err = mesh.New(mesh.Options{
@@ -248,7 +248,7 @@
 // listenPeers accepts the calls of other entries.
 func (e *Edge) listenPeers() (err error) {
 	events := func(*msg.EventsOrder) *msg.Events { return &msg.Events{Process: string(e.self.Host)} }
-	e.peers, err = link.Listen(e.cfg.PeerListen.String(), e.pinned.Server(keys.RoleEntry, e.mesh.Trust), e.peerConfig(),
+	e.peers, err = link.Listen(e.cfg.PeerListen.String(), e.pinned.ServerConfig(keys.RoleEntry, e.mesh.Trust), e.peerConfig(),
 		peer.NewServer(e.mux.Handle, events))
 	return err
 }
--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -32,13 +32,13 @@
 // startNode listens for other entries and starts the membership and all background work.
 func (s *Server) startNode() error {
 	n := &s.node
-	n.pool = link.NewPool(s.peerLinkConfig(), func() *tls.Config { return s.deps.Keys.Client(keys.RoleEntry) })
+	n.pool = link.NewPool(s.peerLinkConfig(), func() *tls.Config { return s.deps.Keys.ClientConfig(keys.RoleEntry) })
 	s.registerTrafficMetrics("entries", n.pool)
 	mux := transport.NewMux(peer.NewCaller(n.pool), s.metrics)
 	n.operators = mux.Caller(transport.Operators)
 	var err error
 	handler := peer.NewServer(mux.Handle, s.selectEvents)
-	n.server, err = link.Listen(s.config.PeerListen, s.deps.Keys.Server(keys.RoleEntry), s.peerLinkConfig(), handler)
+	n.server, err = link.Listen(s.config.PeerListen, s.deps.Keys.ServerConfig(keys.RoleEntry), s.peerLinkConfig(), handler)
 	if err != nil {
 		return err
 	}
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -36,7 +36,7 @@
 // Deps are the dependencies of an entry.
 type Deps struct {
 	Store objectapi.Store
-	Keys  *keys.Ring
+	Keys  *keys.Credentials
 	Ring  *timeline.Ring
 	Log   zerolog.Logger
 }
@@ -115,7 +115,7 @@
 // newEndpoints creates the connections to agents and the routing table that
 // their reports update.
 func (s *Server) newEndpoints() {
-	s.pool = link.NewPool(s.config.Link, func() *tls.Config { return s.deps.Keys.Client(keys.RoleAgent) })
+	s.pool = link.NewPool(s.config.Link, func() *tls.Config { return s.deps.Keys.ClientConfig(keys.RoleAgent) })
 	s.registerTrafficMetrics("agents", s.pool)
 	prefixes := prefix.NewIndex(prefix.Config{})
 	s.table = route.NewTable(route.Config{Prefixes: prefixes})
--- a/fleet/mesh/mesh.go
+++ b/fleet/mesh/mesh.go
@@ -304,7 +304,7 @@
 	return time.Since(p.seen), true
 }
 
-// Trust implements keys.Trust: a peer is accepted if its certificate is
+// Trust implements keys.TrustFunc: a peer is accepted if its certificate is
 // registered, or if it calls from the address of a registered host or a seed.
 // The platform's network is what identifies a host that could not register yet.
 func (m *Mesh) Trust(host id.Host, fingerprint string, remote net.Addr) bool {
--- a/itest/histories/world_test.go
+++ b/itest/histories/world_test.go
@@ -181,7 +181,7 @@
 }
 
 // keyRings are the keys of all processes.
-type keyRings struct{ agent, entry *keys.Ring }
+type keyRings struct{ agent, entry *keys.Credentials }
 
 func newKeyRings() (*keyRings, error) {
 	authority, err := keys.NewAuthority(24 * time.Hour)
@@ -189,7 +189,7 @@
 		return nil, err
 	}
 	var rings keyRings
-	for role, ring := range map[keys.Role]**keys.Ring{keys.RoleAgent: &rings.agent, keys.RoleEntry: &rings.entry} {
+	for role, ring := range map[keys.Role]**keys.Credentials{keys.RoleAgent: &rings.agent, keys.RoleEntry: &rings.entry} {
 		material, err := authority.Issue(role, "host", 24*time.Hour)
 		if err != nil {
 			return nil, err
@@ -287,7 +287,7 @@
 }
 
 func (w *world) addEntry() error {
-	e := &entry{pool: link.NewPool(linkConfig(), func() *tls.Config { return w.keys.entry.Client(keys.RoleAgent) })}
+	e := &entry{pool: link.NewPool(linkConfig(), func() *tls.Config { return w.keys.entry.ClientConfig(keys.RoleAgent) })}
 	var err error
 	e.claims, err = claim.New(claim.Config{Store: w.store, Retention: 30 * time.Minute, Timeout: 100 * time.Millisecond, FlushTimeout: 200 * time.Millisecond})
 	if err != nil {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -132,7 +132,7 @@
 	return "http://" + listener.Addr().String(), nil
 }
 
-func (f *Fleet) keyRing(role keys.Role, host id.Host) (*keys.Ring, error) {
+func (f *Fleet) keyRing(role keys.Role, host id.Host) (*keys.Credentials, error) {
 	material, err := f.authority.Issue(role, host, certValidity)
 	if err != nil {
 		return nil, err
--- a/lab/slopes/wire.go
+++ b/lab/slopes/wire.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	b := &wireBench{}
-	b.server, err = link.Listen("127.0.0.1:0", ring.Server(keys.RoleEntry), l, &echo{})
+	b.server, err = link.Listen("127.0.0.1:0", ring.ServerConfig(keys.RoleEntry), l, &echo{})
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		b.server.Close()
 		return nil, err
 	}
-	b.pool = link.NewPool(l, func() *tls.Config { return ring.Client(keys.RoleEntry) })
+	b.pool = link.NewPool(l, func() *tls.Config { return ring.ClientConfig(keys.RoleEntry) })
 	b.conn, err = b.pool.Conn(ctx, b.proxy.Addr())
 	if err != nil {
 		b.close()
--- a/wire/keys/keys.go
+++ b/wire/keys/keys.go
@@ -70,8 +70,8 @@
 	return l
 }
 
-// Ring holds the current key material. It is safe for concurrent use.
-type Ring struct {
+// Credentials holds the current key material. It is safe for concurrent use.
+type Credentials struct {
 	config  Config
 	current atomic.Pointer[material]
 }
@@ -82,8 +82,8 @@
 }
 
 // New loads the key material.
-func New(c Config) (*Ring, error) {
-	r := &Ring{config: c}
+func New(c Config) (*Credentials, error) {
+	r := &Credentials{config: c}
 	if err := r.Reload(); err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 
 // Reload reads the key material again. New connections use it at once. On an
 // error the former material stays in use.
-func (r *Ring) Reload() error {
+func (r *Credentials) Reload() error {
 	m, err := load(r.config)
 	if err != nil {
 		return err
@@ -136,8 +136,8 @@
 	return data, errors.Wrapf(err, "read %s", name)
 }
 
-// Server returns the TLS configuration of a listener that accepts the given roles.
-func (r *Ring) Server(accept ...Role) *tls.Config {
+// ServerConfig returns the TLS configuration of a listener that accepts the given roles.
+func (r *Credentials) ServerConfig(accept ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -156,8 +156,8 @@
 	}
 }
 
-// Client returns the TLS configuration for dialing a process of the given roles.
-func (r *Ring) Client(accept ...Role) *tls.Config {
+// ClientConfig returns the TLS configuration for dialing a process of the given roles.
+func (r *Credentials) ClientConfig(accept ...Role) *tls.Config {
 	m := r.current.Load()
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -172,7 +172,7 @@
 
 func verifyRole(accept []Role) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
-		role, host, err := Identity(s)
+		role, host, err := PeerIdentity(s)
 		if err != nil {
 			return err
 		}
@@ -185,8 +185,8 @@
 	}
 }
 
-// Identity returns the role and host of the peer of a connection.
-func Identity(s tls.ConnectionState) (Role, id.Host, error) {
+// PeerIdentity returns the role and host of the peer of a connection.
+func PeerIdentity(s tls.ConnectionState) (Role, id.Host, error) {
 	if len(s.PeerCertificates) == 0 {
 		return "", "", errors.New("peer presented no certificate")
 	}
--- a/wire/keys/pinned.go
+++ b/wire/keys/pinned.go
@@ -21,19 +21,19 @@
 // the time of day may jump.
 const pinnedValidity = 10 * 365 * 24 * time.Hour
 
-// Trust decides whether a peer is accepted that presents a certificate with a
+// TrustFunc decides whether a peer is accepted that presents a certificate with a
 // fingerprint. The remote address is nil when dialing. It must not block.
-type Trust func(host id.Host, fingerprint string, remote net.Addr) bool
+type TrustFunc func(host id.Host, fingerprint string, remote net.Addr) bool
 
-// Pinned is the identity of a process whose key nobody signs: it is made anew at
+// PinnedIdentity is the identity of a process whose key nobody signs: it is made anew at
 // each start, and peers know it by its fingerprint.
-type Pinned struct {
+type PinnedIdentity struct {
 	certificate tls.Certificate
 	fingerprint string
 }
 
-// NewPinned creates an identity.
-func NewPinned(role Role, host id.Host) (*Pinned, error) {
+// NewPinnedIdentity creates an identity.
+func NewPinnedIdentity(role Role, host id.Host) (*PinnedIdentity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "generate key")
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "sign certificate")
 	}
-	return &Pinned{
+	return &PinnedIdentity{
 		certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key},
 		fingerprint: fingerprint(der),
 	}, nil
@@ -61,10 +61,10 @@
 }
 
 // Fingerprint returns the SHA-256 of the certificate in hexadecimal.
-func (p *Pinned) Fingerprint() string { return p.fingerprint }
+func (p *PinnedIdentity) Fingerprint() string { return p.fingerprint }
 
-// Server returns the TLS configuration of a listener that accepts trusted peers of a role.
-func (p *Pinned) Server(accept Role, trust Trust) *tls.Config {
+// ServerConfig returns the TLS configuration of a listener that accepts trusted peers of a role.
+func (p *PinnedIdentity) ServerConfig(accept Role, trust TrustFunc) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocol},
@@ -80,22 +80,22 @@
 	}
 }
 
-// Client returns the TLS configuration for dialing trusted peers of a role.
-func (p *Pinned) Client(accept Role, trust Trust) *tls.Config {
+// ClientConfig returns the TLS configuration for dialing trusted peers of a role.
+func (p *PinnedIdentity) ClientConfig(accept Role, trust TrustFunc) *tls.Config {
 	c := p.config(accept, trust, nil)
 	c.ServerName = serverName
 	c.InsecureSkipVerify = true // VerifyConnection decides by the fingerprint.
 	return c
 }
 
-func (p *Pinned) config(accept Role, trust Trust, remote net.Addr) *tls.Config {
+func (p *PinnedIdentity) config(accept Role, trust TrustFunc, remote net.Addr) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             []string{protocol},
 		Certificates:           []tls.Certificate{p.certificate},
 		SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			role, host, err := Identity(s)
+			role, host, err := PeerIdentity(s)
 			if err != nil {
 				return err
 			}
--- a/wire/link/link_test.go
+++ b/wire/link/link_test.go
@@ -35,7 +35,7 @@
 type fixture struct {
 	server *Server
 	pool   *Pool
-	keys   *keys.Ring
+	keys   *keys.Credentials
 	tls    func() *tls.Config
 }
 
@@ -45,9 +45,9 @@
 	assert.NilError(t, err)
 	agent := ring(t, authority, keys.RoleAgent)
 	dialer := ring(t, authority, dialerRole)
-	server, err := Listen("127.0.0.1:0", agent.Server(keys.RoleEntry), DefaultConfig(), echo{})
+	server, err := Listen("127.0.0.1:0", agent.ServerConfig(keys.RoleEntry), DefaultConfig(), echo{})
 	assert.NilError(t, err)
-	f := &fixture{server: server, keys: agent, tls: func() *tls.Config { return dialer.Client(keys.RoleAgent) }}
+	f := &fixture{server: server, keys: agent, tls: func() *tls.Config { return dialer.ClientConfig(keys.RoleAgent) }}
 	f.pool = NewPool(DefaultConfig(), f.tls)
 	t.Cleanup(func() {
 		f.pool.Close()
@@ -56,7 +56,7 @@
 	return f
 }
 
-func ring(t *testing.T, a *keys.Authority, role keys.Role) *keys.Ring {
+func ring(t *testing.T, a *keys.Authority, role keys.Role) *keys.Credentials {
 	t.Helper()
 	material, err := a.Issue(role, "host", time.Hour)
 	assert.NilError(t, err)
@@ -186,7 +186,7 @@
 		_, err := f.pool.Conn(context.Background(), address)
 		assert.NilError(t, err)
 		f.server.Close()
-		server, err := Listen(address, f.keys.Server(keys.RoleEntry), DefaultConfig(), echo{})
+		server, err := Listen(address, f.keys.ServerConfig(keys.RoleEntry), DefaultConfig(), echo{})
 		assert.NilError(t, err, "a restarted agent listens at its former address")
 		f.server = server
 		f.pool.Close()
@@ -230,9 +230,9 @@
 	assert.NilError(t, err)
 	agent, dialer := ring(t, authority, keys.RoleAgent), ring(t, authority, keys.RoleEntry)
 	b := burst{queued: make(chan struct{})}
-	server, err := Listen("127.0.0.1:0", agent.Server(keys.RoleEntry), DefaultConfig(), b)
+	server, err := Listen("127.0.0.1:0", agent.ServerConfig(keys.RoleEntry), DefaultConfig(), b)
 	assert.NilError(t, err)
-	pool := NewPool(DefaultConfig(), func() *tls.Config { return dialer.Client(keys.RoleAgent) })
+	pool := NewPool(DefaultConfig(), func() *tls.Config { return dialer.ClientConfig(keys.RoleAgent) })
 	defer pool.Close()
 	conn, err := pool.Conn(context.Background(), server.Address())
 	assert.NilError(t, err)
--- a/wire/link/server.go
+++ b/wire/link/server.go
@@ -164,7 +164,7 @@
 }
 
 func (s *Server) serve(q *quic.Conn) {
-	role, host, err := keys.Identity(q.ConnectionState().TLS)
+	role, host, err := keys.PeerIdentity(q.ConnectionState().TLS)
 	if err != nil {
 		_ = q.CloseWithError(1, "")
 		return
--- a/wire/link/stamp_test.go
+++ b/wire/link/stamp_test.go
@@ -26,9 +26,9 @@
 	agent, dialer := ring(t, authority, keys.RoleAgent), ring(t, authority, keys.RoleEntry)
 	for _, wall := range []struct{ server, client int64 }{{130, 100}, {100, 130}} {
 		server, client := skewed(wall.server), skewed(wall.client)
-		s, err := Listen("127.0.0.1:0", agent.Server(keys.RoleEntry), server, echo{})
+		s, err := Listen("127.0.0.1:0", agent.ServerConfig(keys.RoleEntry), server, echo{})
 		assert.NilError(t, err)
-		pool := NewPool(client, func() *tls.Config { return dialer.Client(keys.RoleAgent) })
+		pool := NewPool(client, func() *tls.Config { return dialer.ClientConfig(keys.RoleAgent) })
 		conn, err := pool.Conn(context.Background(), s.Address())
 		assert.NilError(t, err)
 		before := client.Clock.Now()
