--- a/entry/dispatch/stream.go
+++ b/entry/dispatch/stream.go
@@ -10,7 +10,7 @@
 // are dropped and requested again.
 const maxBufferedBytes = 4 << 20
 
-// stream buffers the frames of one order. It implements link.Waiter.
+// stream buffers the frames of one order. It implements link.ReplyHandler.
 type stream struct {
 	notify chan struct{}
 
@@ -26,7 +26,7 @@
 	return &stream{notify: make(chan struct{}, 1)}
 }
 
-// Reply implements link.Waiter.
+// Reply implements link.ReplyHandler.
 func (s *stream) Reply(r *msg.Reply) {
 	if r.Frame == nil {
 		return
@@ -40,7 +40,7 @@
 	s.signal()
 }
 
-// Lost implements link.Waiter.
+// Lost implements link.ReplyHandler.
 func (s *stream) Lost(sent bool, cause error) {
 	s.mu.Lock()
 	s.lossCause, s.sentBeforeLoss = cause, sent
--- a/entry/endpoints/watcher.go
+++ b/entry/endpoints/watcher.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// reportReceiver is the link.Waiter of a subscription.
+// reportReceiver is the link.ReplyHandler of a subscription.
 type reportReceiver struct {
 	watcher  *watcher
 	endpoint id.Endpoint
@@ -152,7 +152,7 @@
 
 func (r *reportReceiver) Lost(bool, error) {}
 
-// discardReplies is the link.Waiter of orders without replies.
+// discardReplies is the link.ReplyHandler of orders without replies.
 type discardReplies struct{}
 
 func (discardReplies) Reply(*msg.Reply) {}
--- a/entry/groups/transport.go
+++ b/entry/groups/transport.go
@@ -157,10 +157,10 @@
 	}
 }
 
-// statusReceiver is the link.Waiter for the status of an agent.
+// statusReceiver is the link.ReplyHandler for the status of an agent.
 type statusReceiver struct{ transport *transport }
 
-// Reply implements link.Waiter.
+// Reply implements link.ReplyHandler.
 func (r statusReceiver) Reply(reply *msg.Reply) {
 	if reply.Group == nil {
 		return
@@ -173,5 +173,5 @@
 	}
 }
 
-// Lost implements link.Waiter.
+// Lost implements link.ReplyHandler.
 func (statusReceiver) Lost(bool, error) {}
--- a/lab/slopes/wire.go
+++ b/lab/slopes/wire.go
@@ -190,10 +190,10 @@
 // counter counts the replies to an order.
 type counter struct{ replies atomic.Int64 }
 
-// Reply implements link.Waiter.
+// Reply implements link.ReplyHandler.
 func (c *counter) Reply(*msg.Reply) { c.replies.Add(1) }
 
-// Lost implements link.Waiter.
+// Lost implements link.ReplyHandler.
 func (*counter) Lost(bool, error) {}
 
 func wireReports(ctx context.Context, b *wireBench, window time.Duration) (int, error) {
--- a/wire/link/conn.go
+++ b/wire/link/conn.go
@@ -16,9 +16,9 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// Waiter receives what becomes of an order. Its methods are called on the
+// ReplyHandler receives what becomes of an order. Its methods are called on the
 // reader goroutine of the connection and must not block.
-type Waiter interface {
+type ReplyHandler interface {
 	// Reply is called for each reply to the order.
 	Reply(r *msg.Reply)
 	// Lost is called once if the connection ends before the call is released.
@@ -26,8 +26,8 @@
 	Lost(sent bool, cause error)
 }
 
-// ErrReleased is the cause of messages sent on a connection that was closed locally.
-var ErrReleased = errors.New("connection was closed")
+// ErrClosed is the cause of messages sent on a connection that was closed locally.
+var ErrClosed = errors.New("connection was closed")
 
 // SilentError reports a connection on which nothing arrived although it was probed.
 type SilentError struct {
@@ -66,7 +66,7 @@
 	conn     *Conn
 	id       uint64
 	position uint64
-	waiter   Waiter
+	waiter   ReplyHandler
 	// subscription is true for a call that stays open without being waited for.
 	subscription bool
 }
@@ -132,7 +132,7 @@
 
 // Send queues an order and sets its ID. It does not wait for the peer. An error
 // means that no byte of the order left; the waiter is then not called.
-func (c *Conn) Send(o *msg.Order, w Waiter) (*Call, error) {
+func (c *Conn) Send(o *msg.Order, w ReplyHandler) (*Call, error) {
 	call := &Call{conn: c, waiter: w, subscription: o.Reports != nil}
 	o.Stamp = c.config.stamp()
 	c.mu.Lock()
@@ -194,12 +194,12 @@
 }
 
 // Close ends the connection. Calls in progress are lost.
-func (c *Conn) Close() { c.end(ErrReleased) }
+func (c *Conn) Close() { c.end(ErrClosed) }
 
 // end closes the connection once and tells the waiters.
 func (c *Conn) end(cause error) {
 	if cause == nil {
-		cause = ErrReleased
+		cause = ErrClosed
 	}
 	c.mu.Lock()
 	if c.cause != nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-func (c *Conn) waiter(id uint64) Waiter {
+func (c *Conn) waiter(id uint64) ReplyHandler {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call, ok := c.calls[id]; ok {
--- a/wire/link/link_test.go
+++ b/wire/link/link_test.go
@@ -136,7 +136,7 @@
 	assert.Assert(t, <-w.lost, "a byte of the order has left")
 	assert.Equal(t, len(w.lost), 0)
 	_, err = conn.Send(ticketOrder("a"), w)
-	assert.ErrorIs(t, err, ErrReleased)
+	assert.ErrorIs(t, err, ErrClosed)
 }
 
 func TestOutboxKnowsWhatLeft(t *testing.T) {
--- a/wire/link/pool.go
+++ b/wire/link/pool.go
@@ -67,7 +67,7 @@
 	defer p.mu.Unlock()
 	if p.closed {
 		go c.Close()
-		return nil, ErrReleased
+		return nil, ErrClosed
 	}
 	p.conns[address] = c
 	go p.forget(c)
--- a/wire/link/server.go
+++ b/wire/link/server.go
@@ -63,7 +63,7 @@
 func (s *Session) end(cause error) {
 	s.once.Do(func() {
 		if cause == nil {
-			cause = ErrReleased
+			cause = ErrClosed
 		}
 		s.out.close(cause)
 		_ = s.quic.CloseWithError(0, "")
@@ -128,13 +128,13 @@
 func (s *Server) Close() {
 	s.cancel()
 	for _, session := range s.list() {
-		session.out.close(ErrReleased)
+		session.out.close(ErrClosed)
 	}
 	for _, session := range s.list() {
 		select {
 		case <-session.done:
 		case <-time.After(lingerTime):
-			session.end(ErrReleased)
+			session.end(ErrClosed)
 		}
 	}
 	_ = s.listener.Close()
@@ -182,7 +182,7 @@
 	defer s.handler.Closed(session)
 	s.wg.Go(func() {
 		err := session.out.run(stream)
-		if errors.Is(err, ErrReleased) {
+		if errors.Is(err, ErrClosed) {
 			flush(stream, q)
 		}
 		session.end(err)
