--- a/agent/relay/relay_test.go
+++ b/agent/relay/relay_test.go
@@ -64,7 +64,7 @@
 func (e *engine) Layout(context.Context) (relay.Layout, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return relay.Layout{Epoch: e.state.Epoch, Version: e.state.Map, Experts: [][]int{{0, 1}}}, e.err
+	return relay.Layout{Epoch: e.state.Epoch, Version: e.state.MapVersion, Experts: [][]int{{0, 1}}}, e.err
 }
 
 func (e *engine) Order(_ context.Context, o relay.Order) relay.Result {
@@ -129,7 +129,7 @@
 }
 
 func TestStatesAndSamples(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Group: "g", Epoch: 2, Step: 5, Open: true}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10, 20}}}
+	e := &engine{state: relay.State{StartMillis: 1, Group: "g", Epoch: 2, Step: 5, Open: true}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10, 20}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
@@ -143,24 +143,24 @@
 	sample := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil }).Sample
 	assert.Equal(t, sample.From, uint64(5))
 	assert.Equal(t, sample.To, uint64(9))
-	assert.DeepEqual(t, sample.Levels, []byte{relay.Level(0), relay.Level(64)})
+	assert.DeepEqual(t, sample.Levels, []byte{relay.EncodeLevel(0), relay.EncodeLevel(64)})
 }
 
 // TestRestartedRankIsNoSample names the pattern "a rank begins anew": its counts
 // are smaller than those before, or of another run.
 func TestRestartedRankIsNoSample(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
+	e := &engine{state: relay.State{StartMillis: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
 	e.set(func() {
-		e.state = relay.State{Born: 7, Epoch: 3, Step: 1}
+		e.state = relay.State{StartMillis: 7, Epoch: 3, Step: 1}
 		e.counts = relay.Counts{Step: 1, Epoch: 3, Tokens: []uint64{4}}
 	})
 	e.awaitCounts(t, 2)
 	x.next("state of the new run", func(m relay.FromRelay) bool {
 		assert.Assert(t, m.Sample == nil, "%v", m.Sample)
-		return m.State != nil && m.State.Born == 7
+		return m.State != nil && m.State.StartMillis == 7
 	})
 	e.set(func() { e.state.Step, e.counts = 3, relay.Counts{Step: 3, Epoch: 3, Tokens: []uint64{9}} })
 	sample := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil }).Sample
@@ -189,7 +189,7 @@
 
 // TestSamplesAfterAPauseBeginAnew: what was counted while nobody asked is of an older demand.
 func TestSamplesAfterAPauseBeginAnew(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
+	e := &engine{state: relay.State{StartMillis: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
 	x := connect(t, e)
 	asked := &relay.Watch{StateMillis: 10, SampleMillis: 10}
 	x.send(relay.ToRelay{Watch: asked})
@@ -203,7 +203,7 @@
 	e.set(func() { e.state.Step, e.counts = 91, relay.Counts{Step: 91, Epoch: 2, Tokens: []uint64{1002}} })
 	sample := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil }).Sample
 	assert.Equal(t, sample.From, uint64(90))
-	assert.DeepEqual(t, sample.Levels, []byte{relay.Level(2)})
+	assert.DeepEqual(t, sample.Levels, []byte{relay.EncodeLevel(2)})
 }
 
 // TestOrdersDoNotKeepFromLooking names the pattern "orders that come faster than looks".
@@ -225,7 +225,7 @@
 
 // TestLookIsOneMessage: each message wakes the entry.
 func TestLookIsOneMessage(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{1}}}
+	e := &engine{state: relay.State{StartMillis: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{1}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
--- a/agent/relay/sample.go
+++ b/agent/relay/sample.go
@@ -66,7 +66,7 @@
 	}
 	s.failing = false
 	var m relay.FromRelay
-	if state.Epoch != s.layout.Epoch || state.Map != s.layout.Version || s.layout.Experts == nil {
+	if state.Epoch != s.layout.Epoch || state.MapVersion != s.layout.Version || s.layout.Experts == nil {
 		layout, err := s.session.server.engine.Layout(ctx)
 		if err != nil {
 			s.fail(err)
@@ -93,7 +93,7 @@
 		s.base = relay.Counts{} // What is counted until the next watch is not of one time.
 		return nil, nil
 	}
-	if now.Sub(s.sampled) < interval || state.Step <= s.base.Step && state.Born == s.baseBorn {
+	if now.Sub(s.sampled) < interval || state.Step <= s.base.Step && state.StartMillis == s.baseBorn {
 		return nil, nil
 	}
 	counts, err := s.session.server.engine.Counts(ctx)
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	s.sampled = now
-	return s.advance(state.Born, counts), nil
+	return s.advance(state.StartMillis, counts), nil
 }
 
 // repeatAfter returns the time after which a state is sent although it is the
@@ -133,7 +133,7 @@
 		if n < old.Tokens[i] {
 			return nil
 		}
-		levels[i] = relay.Level(n - old.Tokens[i])
+		levels[i] = relay.EncodeLevel(n - old.Tokens[i])
 	}
-	return &relay.Sample{Born: born, Epoch: c.Epoch, From: old.Step, To: c.Step, Levels: levels}
+	return &relay.Sample{StartMillis: born, Epoch: c.Epoch, From: old.Step, To: c.Step, Levels: levels}
 }
--- a/core/dial/dial.go
+++ b/core/dial/dial.go
@@ -17,7 +17,7 @@
 	// KeepAliveInterval is the time without traffic after which a connection is
 	// probed, and between probes. ProbeCount probes without an answer end it.
 	KeepAliveInterval time.Duration
-	KeepAliveProbes    int
+	KeepAliveProbes   int
 }
 
 // Dialer returns a dialer for such connections.
--- a/entry/expertmaps/bench_test.go
+++ b/entry/expertmaps/bench_test.go
@@ -65,7 +65,7 @@
 	}
 	f := &fakeRanks{session: s, rng: rand.New(rand.NewPCG(1, 1)), levels: make([]byte, sets*experts)}
 	for i := range f.levels {
-		f.levels[i] = relay.Level(uint64(f.rng.IntN(400)))
+		f.levels[i] = relay.EncodeLevel(uint64(f.rng.IntN(400)))
 	}
 	for r := range size {
 		l := ranklink.Open(ctx, ranklink.Options{
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -87,19 +87,19 @@
 		return false
 	}
 	m := &g.ranks[s.Rank]
-	if s.Born < m.born {
+	if s.StartMillis < m.born {
 		return false
 	}
 	newLink := m.link != l
 	if newLink {
 		m.sampleState = sampleState{}
 	}
-	m.link, m.born, m.running, m.pace, m.stateAt = l, s.Born, s.Running, s.Pace, now
+	m.link, m.born, m.running, m.pace, m.stateAt = l, s.StartMillis, s.Running, s.Pace, now
 	if s.Epoch > g.machine.Epoch() {
 		g.demand.Reset()
 	}
 	g.machine.Report(mapswitch.Report{
-		Rank: s.Rank, Epoch: s.Epoch, Open: s.Open, Step: s.Step, Version: s.Map,
+		Rank: s.Rank, Epoch: s.Epoch, Open: s.Open, Step: s.Step, Version: s.MapVersion,
 		Prepared: s.Prepared, Armed: s.Armed, Held: s.Held,
 	}, now)
 	return newLink
@@ -139,7 +139,7 @@
 	}
 	counts := make([]float64, len(s.Levels))
 	for i, l := range s.Levels {
-		counts[i] = relay.Count(l)
+		counts[i] = relay.DecodeLevel(l)
 	}
 	rank := g.rankOf(l)
 	g.sampledAt, g.ranks[rank].sampledAt = now, now
--- a/entry/expertmaps/session.go
+++ b/entry/expertmaps/session.go
@@ -253,7 +253,7 @@
 	s.nextOrder++
 	s.pending[s.nextOrder] = pendingOrder{group: g, id: o.ID, sent: now}
 	order := relay.Order{
-		ID: s.nextOrder, Op: ops[o.Op], Epoch: o.Epoch, Version: o.Version, Step: o.Step, Experts: relay.Map(o.Map), Fence: s.token,
+		ID: s.nextOrder, Op: ops[o.Op], Epoch: o.Epoch, Version: o.Version, Step: o.Step, Experts: relay.ExpertMap(o.Map), FencingToken: s.token,
 	}
 	if via := g.ranks[o.Via].link; via != nil && via != l {
 		via.SendTo(l.Endpoint(), order)
--- a/entry/ranklink/link.go
+++ b/entry/ranklink/link.go
@@ -306,7 +306,7 @@
 		l.emit(ctx, Event{State: &state})
 		return
 	}
-	if layout.Experts == nil || layout.Epoch != state.Epoch || layout.Version != state.Map {
+	if layout.Experts == nil || layout.Epoch != state.Epoch || layout.Version != state.MapVersion {
 		got, err := engine.Layout(ctx)
 		if err != nil {
 			return
--- a/lab/replicas/engine.go
+++ b/lab/replicas/engine.go
@@ -38,8 +38,8 @@
 		return relay.State{}, err
 	}
 	s := relay.State{
-		Born: r.born, Group: g.cfg.Name, Epoch: g.epoch, Rank: e.index, Size: len(g.ranks),
-		Open: len(g.missing) == 0 && g.formingAt.IsZero(), Step: g.step, Map: r.version, Armed: r.armed, Held: r.held,
+		StartMillis: r.born, Group: g.cfg.Name, Epoch: g.epoch, Rank: e.index, Size: len(g.ranks),
+		Open: len(g.missing) == 0 && g.formingAt.IsZero(), Step: g.step, MapVersion: r.version, Armed: r.armed, Held: r.held,
 		Waiting: len(r.waiting), Running: len(r.running), Pace: 1,
 	}
 	if r.prepared != 0 && !time.Now().Before(r.readyAt) {
--- a/wire/relay/level.go
+++ b/wire/relay/level.go
@@ -6,8 +6,8 @@
 // below 4.5 % and fit 31 doublings into a byte.
 const levelsPerDoubling = 8
 
-// Level encodes a count in one byte on a logarithmic scale.
-func Level(n uint64) byte {
+// EncodeLevel encodes a count in one byte on a logarithmic scale.
+func EncodeLevel(n uint64) byte {
 	l := math.Round(levelsPerDoubling * math.Log2(1+float64(n)))
 	return byte(min(l, math.MaxUint8))
 }
@@ -20,5 +20,5 @@
 	return t
 }()
 
-// Count returns the count that a level stands for.
-func Count(level byte) float64 { return levels[level] }
+// DecodeLevel returns the count that a level stands for.
+func DecodeLevel(level byte) float64 { return levels[level] }
--- a/wire/relay/map.go
+++ b/wire/relay/map.go
@@ -6,16 +6,16 @@
 	"errors"
 )
 
-// Map tells the experts of each rank, by set, rank and place. Its text is short, as
+// ExpertMap tells the experts of each rank, by set, rank and place. Its text is short, as
 // each rank of a group gets the whole map: varints in base64, namely the number of
 // sets, then for each set the number of ranks, then for each rank the number of its
 // experts and the experts.
-type Map [][][]int
+type ExpertMap [][][]int
 
 var errBadMap = errors.New("the expert map cannot be read")
 
 // MarshalText implements encoding.TextMarshaler.
-func (m Map) MarshalText() ([]byte, error) {
+func (m ExpertMap) MarshalText() ([]byte, error) {
 	b := binary.AppendUvarint(nil, uint64(len(m)))
 	for _, set := range m {
 		b = binary.AppendUvarint(b, uint64(len(set)))
@@ -30,13 +30,13 @@
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (m *Map) UnmarshalText(text []byte) error {
+func (m *ExpertMap) UnmarshalText(text []byte) error {
 	b, err := base64.RawURLEncoding.AppendDecode(nil, text)
 	if err != nil {
 		return err
 	}
 	r := mapReader{rest: b}
-	out := make(Map, r.length())
+	out := make(ExpertMap, r.length())
 	for s := range out {
 		out[s] = make([][]int, r.length())
 		for i := range out[s] {
--- a/wire/relay/map_test.go
+++ b/wire/relay/map_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestMapKeepsItsContent(t *testing.T) {
-	for name, m := range map[string]Map{
+	for name, m := range map[string]ExpertMap{
 		"none":             nil,
 		"no ranks":         {{}, {}},
 		"a rank without":   {{{0, 2}, {}}, {{1}, {300, 70000}}},
@@ -29,7 +29,7 @@
 // gets the whole map.
 func TestMapOfALargeGroupIsSmall(t *testing.T) {
 	const sets, ranks, places, experts = 12, 72, 3, 144
-	m := make(Map, sets)
+	m := make(ExpertMap, sets)
 	for s := range m {
 		m[s] = make([][]int, ranks)
 		for r := range m[s] {
@@ -52,7 +52,7 @@
 		"no end of a number":   "_____________w",
 	} {
 		t.Run(name, func(t *testing.T) {
-			var m Map
+			var m ExpertMap
 			assert.Assert(t, m.UnmarshalText([]byte(text)) != nil, "%v", m)
 		})
 	}
@@ -61,13 +61,13 @@
 func FuzzMap(f *testing.F) {
 	f.Add([]byte("AgIC"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var m Map
+		var m ExpertMap
 		if m.UnmarshalText(text) != nil {
 			return
 		}
 		b, err := m.MarshalText()
 		assert.NilError(t, err)
-		var again Map
+		var again ExpertMap
 		assert.NilError(t, again.UnmarshalText(b))
 		assert.DeepEqual(t, again, m)
 	})
--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -53,9 +53,9 @@
 
 // State is what a rank reports of itself.
 type State struct {
-	// Born is the start of the rank in milliseconds since the Unix epoch.
-	Born  int64    `json:"born"`
-	Group id.Group `json:"group"`
+	// StartMillis is the start of the rank in milliseconds since the Unix epoch.
+	StartMillis int64    `json:"born"`
+	Group       id.Group `json:"group"`
 	// Epoch grows each time that the group forms.
 	Epoch uint64 `json:"epoch"`
 	Rank  int    `json:"rank"`
@@ -65,8 +65,8 @@
 	Open bool `json:"open"`
 	// Step is the last pass that was begun.
 	Step uint64 `json:"step"`
-	// Map is the version of the expert map in use, zero for the initial one.
-	Map uint64 `json:"map"`
+	// MapVersion is the version of the expert map in use, zero for the initial one.
+	MapVersion uint64 `json:"map"`
 	// Prepared is the version that the rank holds ready, zero for none.
 	Prepared uint64 `json:"prepared,omitempty"`
 	// Armed is the version that the rank takes into use at its armed step, zero for none.
@@ -82,8 +82,8 @@
 
 // Sample counts the experts' tokens at a rank between two passes.
 type Sample struct {
-	Born  int64  `json:"born"`
-	Epoch uint64 `json:"epoch"`
+	StartMillis int64  `json:"born"`
+	Epoch       uint64 `json:"epoch"`
 	// From and To are the last passes counted before and with the sample.
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
@@ -124,9 +124,9 @@
 	// Step is the pass that Arm, Hold and Release name.
 	Step uint64 `json:"step,omitempty"`
 	// Experts is the map that Prepare brings, by set, rank and place.
-	Experts Map `json:"experts,omitempty"`
-	// Fence is the fencing number of the sender.
-	Fence uint64 `json:"fence,omitempty"`
+	Experts ExpertMap `json:"experts,omitempty"`
+	// FencingToken is the fencing number of the sender.
+	FencingToken uint64 `json:"fence,omitempty"`
 }
 
 // Outcome tells how a rank answered an order.
