--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -29,7 +29,7 @@
 	// Do forwards p and blocks until the answer has ended. It never repeats a
 	// request. The error is a *plain.NotStartedError only if no byte of the
 	// request can have reached the service.
-	Do(ctx context.Context, p *msg.Plain, w plain.Writer) error
+	Do(ctx context.Context, p *msg.HTTPRequest, w plain.Writer) error
 }
 
 // Deps are the parts that an agent works with. Exactly one of Engine and Plain is set.
--- a/agent/gate/handler.go
+++ b/agent/gate/handler.go
@@ -42,11 +42,11 @@
 	case o.Attach != nil:
 		a.attach(o.Attach, to)
 	case o.Withdraw != nil:
-		s.Reply(&msg.Reply{ID: o.ID, Verdict: a.withdraw(o.Withdraw)})
+		s.Reply(&msg.Reply{ID: o.ID, Status: a.withdraw(o.Withdraw)})
 	case o.Ticket != nil:
 		s.Reply(&msg.Reply{ID: o.ID, Ticket: a.issueTicket(o.Ticket)})
 	case o.Inquire != nil:
-		s.Reply(&msg.Reply{ID: o.ID, Verdict: a.inquire(o.Inquire)})
+		s.Reply(&msg.Reply{ID: o.ID, Status: a.inquire(o.Inquire)})
 	case o.Reports != nil:
 		a.reports.add(s, o)
 	case o.Drain != nil:
@@ -163,8 +163,8 @@
 
 // withdraw tombstones an attempt before its start. Afterwards it is cancelled
 // unless it is a non-idempotent action, which runs to its end.
-func (a *Agent) withdraw(o *msg.Withdraw) *msg.Verdict {
-	v := &msg.Verdict{Incarnation: a.incarnation, Attempt: o.Attempt, Outcome: outcome.Unknown}
+func (a *Agent) withdraw(o *msg.Withdraw) *msg.AttemptStatus {
+	v := &msg.AttemptStatus{Incarnation: a.incarnation, Attempt: o.Attempt, Outcome: outcome.Unknown}
 	if o.Incarnation != a.incarnation {
 		v.State = msg.StateUnknown
 		return v
@@ -215,9 +215,9 @@
 }
 
 // inquire reports what is known of an action of this incarnation.
-func (a *Agent) inquire(o *msg.Inquire) *msg.Verdict {
+func (a *Agent) inquire(o *msg.Inquire) *msg.AttemptStatus {
 	if o.Incarnation != a.incarnation {
-		return &msg.Verdict{Incarnation: a.incarnation, State: msg.StateUnknown, Outcome: outcome.Unknown}
+		return &msg.AttemptStatus{Incarnation: a.incarnation, State: msg.StateUnknown, Outcome: outcome.Unknown}
 	}
 	v := a.ledger.Action(ledger.Key{Team: o.Team, Action: o.Action})
 	v.Incarnation = a.incarnation
--- a/agent/gate/report.go
+++ b/agent/gate/report.go
@@ -54,7 +54,7 @@
 
 // add subscribes a session and sends it a first report.
 func (r *reporter) add(s *link.Session, o *msg.Order) {
-	interval := time.Duration(o.Reports.Interval) * time.Microsecond
+	interval := time.Duration(o.Reports.IntervalMicros) * time.Microsecond
 	r.mu.Lock()
 	r.subscribers[s] = subscriber{order: o.ID, interval: max(interval, r.agent.config.ReportInterval)}
 	r.mu.Unlock()
@@ -155,9 +155,9 @@
 	r.seq++
 	report.Seq = r.seq
 	report.Healthy = r.healthy
-	report.StepTime = r.load.StepTime.Microseconds()
+	report.StepTimeMicros = r.load.StepTime.Microseconds()
 	if !r.loadAt.IsZero() {
-		report.EngineLag = (now.Sub(r.loadAt) + r.load.Age).Microseconds()
+		report.EngineLagMicros = (now.Sub(r.loadAt) + r.load.Age).Microseconds()
 	}
 	for s, sub := range r.subscribers {
 		if now.Before(sub.next) {
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -31,8 +31,8 @@
 }
 
 func (a *Agent) runContext(d *msg.Dispatch) (context.Context, context.CancelFunc) {
-	if d.RunTimeout > 0 {
-		return context.WithTimeout(a.ctx, time.Duration(d.RunTimeout)*time.Microsecond)
+	if d.RunTimeoutMicros > 0 {
+		return context.WithTimeout(a.ctx, time.Duration(d.RunTimeoutMicros)*time.Microsecond)
 	}
 	return context.WithCancel(a.ctx)
 }
@@ -75,7 +75,7 @@
 	request := engine.Request{
 		Attempt: d.Attempt, Model: d.Chat.Model, Prompt: d.Chat.Prompt, MaxTokens: d.Chat.MaxTokens,
 	}
-	if d.Class == msg.Short {
+	if d.Class == msg.ClassShort {
 		request.Priority = 1
 	}
 	usage, err := a.deps.Engine.Run(ctx, request, func(t engine.Token) error {
@@ -101,7 +101,7 @@
 	attempt id.Attempt
 }
 
-func (p *plainAnswer) Head(h msg.Head) error {
+func (p *plainAnswer) Head(h msg.ResponseHead) error {
 	p.agent.ledger.Append(p.attempt, msg.Frame{Head: &h})
 	return nil
 }
--- a/agent/gate/schedule.go
+++ b/agent/gate/schedule.go
@@ -39,7 +39,7 @@
 	now := a.now()
 	item := queue.Item{
 		Attempt: d.Attempt, Team: d.Team, Class: d.Class, Work: d.Work,
-		Deadline: now.Add(time.Duration(d.QueueTimeout) * time.Microsecond),
+		Deadline: now.Add(time.Duration(d.QueueTimeoutMicros) * time.Microsecond),
 	}
 	if err := a.queue.Push(item, now); err != nil {
 		refusal := msg.Refusal{Code: msg.CodeQueueFull, Detail: err.Error()}
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -368,14 +368,14 @@
 
 // Action returns what is known of an action. An unknown action may still be on
 // its way, so that its outcome is unknown too.
-func (l *Ledger) Action(k Key) msg.Verdict {
+func (l *Ledger) Action(k Key) msg.AttemptStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.actions[k]
 	if !ok {
-		return msg.Verdict{State: msg.StateUnknown, Outcome: outcome.Unknown}
+		return msg.AttemptStatus{State: msg.StateUnknown, Outcome: outcome.Unknown}
 	}
-	v := msg.Verdict{State: r.state, Outcome: outcome.Unknown, Attempt: r.attempt.ID}
+	v := msg.AttemptStatus{State: r.state, Outcome: outcome.Unknown, Attempt: r.attempt.ID}
 	switch r.state {
 	case msg.StateDone:
 		v.Outcome = r.end.Outcome
--- a/agent/plain/plain.go
+++ b/agent/plain/plain.go
@@ -65,7 +65,7 @@
 // Writer receives an answer. Head is called once, before any Write. The agent
 // calls both from the goroutine that called Do; both may block.
 type Writer interface {
-	Head(head msg.Head) error
+	Head(head msg.ResponseHead) error
 	io.Writer
 }
 
@@ -111,7 +111,7 @@
 
 // Do sends the request once and streams the answer to w. The error is a
 // *NotStartedError only if no byte of the request can have left.
-func (c *Client) Do(ctx context.Context, p *msg.Plain, w Writer) error {
+func (c *Client) Do(ctx context.Context, p *msg.HTTPRequest, w Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	request, err := c.request(ctx, p)
@@ -126,14 +126,14 @@
 		return errors.Wrapf(err, "%s %s", p.Method, p.Path)
 	}
 	defer response.Body.Close()
-	head := msg.Head{Status: response.StatusCode, Header: answerHeader(response.Header)}
+	head := msg.ResponseHead{Status: response.StatusCode, Header: answerHeader(response.Header)}
 	if err := w.Head(head); err != nil {
 		return err
 	}
 	return c.copyBody(w, response.Body)
 }
 
-func (c *Client) request(ctx context.Context, p *msg.Plain) (*http.Request, error) {
+func (c *Client) request(ctx context.Context, p *msg.HTTPRequest) (*http.Request, error) {
 	if len(p.Body) > c.config.MaxBodyBytes {
 		return nil, &LimitError{What: "request body", Limit: int64(c.config.MaxBodyBytes)}
 	}
--- a/agent/plain/plain_test.go
+++ b/agent/plain/plain_test.go
@@ -18,13 +18,13 @@
 
 // recorder is a plain.Writer that keeps the answer.
 type recorder struct {
-	head msg.Head
+	head msg.ResponseHead
 	body bytes.Buffer
 }
 
-func (r *recorder) Head(head msg.Head) error       { r.head = head; return nil }
-func (r *recorder) Write(data []byte) (int, error) { return r.body.Write(data) }
-func (r *recorder) has(name string) bool           { return r.get(name) != "" }
+func (r *recorder) Head(head msg.ResponseHead) error { r.head = head; return nil }
+func (r *recorder) Write(data []byte) (int, error)   { return r.body.Write(data) }
+func (r *recorder) has(name string) bool             { return r.get(name) != "" }
 
 func newClient(t *testing.T, c plain.Config) *plain.Client {
 	t.Helper()
@@ -58,7 +58,7 @@
 	defer server.Close()
 	client := newClient(t, plain.Config{URL: server.URL})
 	var out recorder
-	err := client.Do(context.Background(), &msg.Plain{
+	err := client.Do(context.Background(), &msg.HTTPRequest{
 		Method: http.MethodPost,
 		Path:   "/tags?bay=3%2F4",
 		Body:   []byte("order"),
@@ -92,14 +92,14 @@
 	defer server.Close()
 	tests := []struct {
 		name  string
-		plain msg.Plain
+		plain msg.HTTPRequest
 	}{
-		{"body too large", msg.Plain{Method: "POST", Path: "/tags", Body: make([]byte, 11)}},
-		{"header too large", msg.Plain{Method: "GET", Path: "/tags", Header: []msg.Header{{Name: "X", Value: strings.Repeat("v", 100)}}}},
-		{"relative path", msg.Plain{Method: "GET", Path: "tags"}},
-		{"absolute URL", msg.Plain{Method: "GET", Path: "http://example.org/"}},
-		{"bad method", msg.Plain{Method: "GET /x", Path: "/tags"}},
-		{"bad header", msg.Plain{Method: "GET", Path: "/tags", Header: []msg.Header{{Name: "X", Value: "a\r\nY: b"}}}},
+		{"body too large", msg.HTTPRequest{Method: "POST", Path: "/tags", Body: make([]byte, 11)}},
+		{"header too large", msg.HTTPRequest{Method: "GET", Path: "/tags", Header: []msg.Header{{Name: "X", Value: strings.Repeat("v", 100)}}}},
+		{"relative path", msg.HTTPRequest{Method: "GET", Path: "tags"}},
+		{"absolute URL", msg.HTTPRequest{Method: "GET", Path: "http://example.org/"}},
+		{"bad method", msg.HTTPRequest{Method: "GET /x", Path: "/tags"}},
+		{"bad header", msg.HTTPRequest{Method: "GET", Path: "/tags", Header: []msg.Header{{Name: "X", Value: "a\r\nY: b"}}}},
 	}
 	client := newClient(t, plain.Config{URL: server.URL, MaxBodyBytes: 10, MaxHeaderBytes: 50})
 	for _, test := range tests {
@@ -117,10 +117,10 @@
 	}))
 	defer server.Close()
 	client := newClient(t, plain.Config{URL: server.URL, MaxAnswerBytes: 10})
-	assert.NilError(t, client.Do(context.Background(), &msg.Plain{Method: "GET", Path: "/"}, &recorder{}))
+	assert.NilError(t, client.Do(context.Background(), &msg.HTTPRequest{Method: "GET", Path: "/"}, &recorder{}))
 	long := "/?header=" + strings.Repeat("x", 70<<10)
-	assert.ErrorContains(t, client.Do(context.Background(), &msg.Plain{Method: "GET", Path: long}, &recorder{}), "header")
-	err := client.Do(context.Background(), &msg.Plain{Method: "GET", Path: "/?more=x"}, &recorder{})
+	assert.ErrorContains(t, client.Do(context.Background(), &msg.HTTPRequest{Method: "GET", Path: long}, &recorder{}), "header")
+	err := client.Do(context.Background(), &msg.HTTPRequest{Method: "GET", Path: "/?more=x"}, &recorder{})
 	var limit *plain.LimitError
 	assert.Assert(t, errors.As(err, &limit), "%v", err)
 	var notStarted *plain.NotStartedError
--- a/agent/queue/headofline_test.go
+++ b/agent/queue/headofline_test.go
@@ -118,7 +118,7 @@
 	const until = 2 * time.Minute
 	w := workload{seed: 1, duration: until, rate: 2 * rateFor(1) * (1 - longShare + longShare*longTimes), minTokens: minTokens, maxTokens: maxTokens}
 	jobs := w.jobs()
-	long := &job{item: queue.Item{Attempt: "att_long", Team: "team-0", Class: msg.Long, Work: 2000}, started: notYet, ended: notYet, remaining: 2000}
+	long := &job{item: queue.Item{Attempt: "att_long", Team: "team-0", Class: msg.ClassLong, Work: 2000}, started: notYet, ended: notYet, remaining: 2000}
 	jobs = append([]*job{long}, jobs...)
 	late := *long
 	late.item.Attempt = "att_late"
--- a/agent/queue/policy.go
+++ b/agent/queue/policy.go
@@ -51,7 +51,7 @@
 }
 
 func (q *Policy) class(c msg.Class) *class {
-	if c == msg.Short {
+	if c == msg.ClassShort {
 		return q.short
 	}
 	return q.long
@@ -117,7 +117,7 @@
 	for _, a := range active {
 		s, ok := q.started[a.Attempt]
 		if !ok {
-			s = &started{class: msg.Long} // Started by an earlier queue.
+			s = &started{class: msg.ClassLong} // Started by an earlier queue.
 			q.started[a.Attempt] = s
 		}
 		if a.Paused && !s.paused {
@@ -150,7 +150,7 @@
 			continue
 		}
 		r.running++
-		if s.class != msg.Short {
+		if s.class != msg.ClassShort {
 			r.longRunning++
 		}
 	}
@@ -197,7 +197,7 @@
 	r.started[e.item.Attempt] = &started{class: e.item.Class, remaining: e.item.Work}
 	r.decision.Start = append(r.decision.Start, e.item)
 	r.running++
-	if e.item.Class != msg.Short {
+	if e.item.Class != msg.ClassShort {
 		r.longRunning++
 	}
 }
@@ -265,7 +265,7 @@
 func (r *round) pausable(n int) []id.Attempt {
 	var attempts []id.Attempt
 	for attempt, s := range r.started {
-		if s.class != msg.Short && !s.paused && s.pauses < r.config.MaxPauses && !r.moved(attempt) {
+		if s.class != msg.ClassShort && !s.paused && s.pauses < r.config.MaxPauses && !r.moved(attempt) {
 			attempts = append(attempts, attempt)
 		}
 	}
--- a/agent/queue/queue_test.go
+++ b/agent/queue/queue_test.go
@@ -68,7 +68,7 @@
 	item := queue.Item{
 		Attempt: id.Attempt(fmt.Sprintf("att_%d", len(m.items))),
 		Team:    id.Team(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.T, "team")),
-		Class:   rapid.SampledFrom([]msg.Class{msg.Short, msg.Long}).Draw(m.T, "class"),
+		Class:   rapid.SampledFrom([]msg.Class{msg.ClassShort, msg.ClassLong}).Draw(m.T, "class"),
 		Work:    rapid.Uint32Range(0, 1000).Draw(m.T, "work"),
 	}
 	if rapid.Bool().Draw(m.T, "has deadline") {
@@ -118,7 +118,7 @@
 		m.setPaused(attempt, true)
 		m.pauses[attempt]++
 		assert.Assert(m, m.pauses[attempt] <= m.config.MaxPauses)
-		assert.Equal(m, m.items[attempt].Class, msg.Long)
+		assert.Equal(m, m.items[attempt].Class, msg.ClassLong)
 	}
 	for _, attempt := range d.Resume {
 		m.setPaused(attempt, false)
@@ -150,7 +150,7 @@
 		switch {
 		case a.Paused:
 			paused++
-		case m.items[a.Attempt].Class == msg.Long:
+		case m.items[a.Attempt].Class == msg.ClassLong:
 			long++
 			running++
 		default:
@@ -163,7 +163,7 @@
 			waitingBy[m.items[attempt].Class]++
 		}
 	}
-	assert.Equal(m, m.queue.Len(), waitingBy[msg.Short]+waitingBy[msg.Long])
+	assert.Equal(m, m.queue.Len(), waitingBy[msg.ClassShort]+waitingBy[msg.ClassLong])
 	assert.Assert(m, running <= m.config.Slots)
 	if !m.policy {
 		assert.Assert(m, running == m.config.Slots || m.queue.Len() == 0)
@@ -171,8 +171,8 @@
 	}
 	longSlots := m.config.Slots - m.config.ReservedSlots
 	assert.Assert(m, long <= longSlots && paused <= m.config.Slots)
-	assert.Assert(m, running == m.config.Slots || waitingBy[msg.Short] == 0, "short work waits beside a free slot")
-	assert.Assert(m, running == m.config.Slots || long == longSlots || waitingBy[msg.Long]+paused == 0, "long work waits beside a free slot")
+	assert.Assert(m, running == m.config.Slots || waitingBy[msg.ClassShort] == 0, "short work waits beside a free slot")
+	assert.Assert(m, running == m.config.Slots || long == longSlots || waitingBy[msg.ClassLong]+paused == 0, "long work waits beside a free slot")
 }
 
 func TestQueueProperties(t *testing.T) {
@@ -292,7 +292,7 @@
 	var active []queue.Active
 	for i := range 4 {
 		attempt := id.Attempt(fmt.Sprintf("long-%d", i))
-		push(t, q, simStart, queue.Item{Attempt: attempt, Class: msg.Long, Work: 1000})
+		push(t, q, simStart, queue.Item{Attempt: attempt, Class: msg.ClassLong, Work: 1000})
 		active = append(active, queue.Active{Attempt: attempt, Remaining: uint32(1000 - 100*i)})
 	}
 	assert.Equal(t, len(q.Next(simStart, nil).Start), 4)
--- a/agent/queue/sim_test.go
+++ b/agent/queue/sim_test.go
@@ -60,7 +60,7 @@
 		}
 		if random.Float64() < w.longShare {
 			tokens *= w.longTimes
-			item.Class = msg.Long
+			item.Class = msg.ClassLong
 		}
 		item.Work = uint32(tokens)
 		jobs = append(jobs, &job{item: item, arrival: at, started: notYet, ended: notYet, remaining: tokens})
@@ -69,7 +69,7 @@
 
 // withoutLong returns fresh copies of the short jobs.
 func withoutLong(jobs []*job) []*job {
-	return slices.DeleteFunc(fresh(jobs), func(j *job) bool { return j.item.Class == msg.Long })
+	return slices.DeleteFunc(fresh(jobs), func(j *job) bool { return j.item.Class == msg.ClassLong })
 }
 
 func fresh(jobs []*job) []*job {
@@ -196,7 +196,7 @@
 		if j.started != notYet {
 			wait = j.started - j.arrival
 		}
-		if j.item.Class == msg.Short {
+		if j.item.Class == msg.ClassShort {
 			short = append(short, wait)
 			continue
 		}
--- a/entry/actions/actions.go
+++ b/entry/actions/actions.go
@@ -134,10 +134,10 @@
 	reply, err := a.callAgent(ctx, bound.Endpoint, &msg.Order{Inquire: &msg.Inquire{
 		Action: action, Incarnation: bound.Incarnation, Team: team,
 	}})
-	if err != nil || reply.Verdict == nil {
+	if err != nil || reply.Status == nil {
 		return caller.ActionStatus{State: msg.StateUnknown, Outcome: outcome.Unknown}, nil
 	}
-	return caller.ActionStatus{State: reply.Verdict.State, Outcome: reply.Verdict.Outcome}, nil
+	return caller.ActionStatus{State: reply.Status.State, Outcome: reply.Status.Outcome}, nil
 }
 
 func (a *Actions) resolveBinding(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem) {
--- a/entry/caller/chat.go
+++ b/entry/caller/chat.go
@@ -165,7 +165,7 @@
 		Chat:         &msg.Chat{Model: request.Model, Prompt: prompt, MaxTokens: tokens},
 	}
 	if call.Work >= a.config.LongRequestTokens {
-		call.Class = msg.Long
+		call.Class = msg.ClassLong
 	}
 	return call
 }
--- a/entry/caller/plain.go
+++ b/entry/caller/plain.go
@@ -87,7 +87,7 @@
 		Deadline:    time.Now().Add(s.Deadline()),
 		Work:        plainWorkTokens,
 		PayloadHash: payloadHash(r.Method, path, body),
-		Plain:       &msg.Plain{Method: r.Method, Path: path, Header: forwardedHeaders(r.Header), Body: body},
+		Plain:       &msg.HTTPRequest{Method: r.Method, Path: path, Header: forwardedHeaders(r.Header), Body: body},
 	}
 }
 
@@ -163,7 +163,7 @@
 // plainWriter sends the response of a plain service. It implements dispatch.Sink.
 type plainWriter struct {
 	w        http.ResponseWriter
-	head     *msg.Head
+	head     *msg.ResponseHead
 	buffered []byte
 	headSent bool
 }
--- a/entry/dispatch/attempt.go
+++ b/entry/dispatch/attempt.go
@@ -81,20 +81,20 @@
 func (a *attempt) newDispatch() *msg.Dispatch {
 	c := a.call
 	return &msg.Dispatch{
-		Request:      c.Request,
-		Attempt:      a.id,
-		Incarnation:  a.choice.Incarnation,
-		Endpoint:     a.choice.Endpoint,
-		Team:         c.Team,
-		Service:      c.Service,
-		Action:       c.Action,
-		Ticket:       c.Ticket,
-		PayloadHash:  c.PayloadHash,
-		QueueTimeout: max(time.Until(c.Deadline).Microseconds(), 0),
-		Class:        c.Class,
-		Work:         c.Work,
-		Chat:         c.Chat,
-		Plain:        c.Plain,
+		Request:            c.Request,
+		Attempt:            a.id,
+		Incarnation:        a.choice.Incarnation,
+		Endpoint:           a.choice.Endpoint,
+		Team:               c.Team,
+		Service:            c.Service,
+		Action:             c.Action,
+		Ticket:             c.Ticket,
+		PayloadHash:        c.PayloadHash,
+		QueueTimeoutMicros: max(time.Until(c.Deadline).Microseconds(), 0),
+		Class:              c.Class,
+		Work:               c.Work,
+		Chat:               c.Chat,
+		Plain:              c.Plain,
 	}
 }
 
@@ -193,7 +193,7 @@
 	a.reportFailure()
 	a.record(a.call, "request.refused", a.id, a.choice.Endpoint, string(r.Code))
 	p := problem.Newf(refusalCode(r.Code), "endpoint %q refused: %s", a.choice.Endpoint, r.Detail)
-	p.RetryAfter = time.Duration(r.RetryAfter) * time.Microsecond
+	p.RetryAfter = time.Duration(r.RetryAfterMicros) * time.Microsecond
 	if a.mayHaveRun(r.Code) {
 		p.Outcome = outcome.Unknown
 	}
@@ -269,7 +269,7 @@
 	return Result{Outcome: outcome.Unknown, Problem: unknown}
 }
 
-func (a *attempt) requestVerdict(ctx context.Context) (*msg.Verdict, error) {
+func (a *attempt) requestVerdict(ctx context.Context) (*msg.AttemptStatus, error) {
 	conn, err := a.deps.Pool.Conn(ctx, a.address)
 	if err != nil {
 		return nil, err
@@ -281,8 +281,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if reply.Verdict == nil {
+	if reply.Status == nil {
 		return nil, errors.Newf("agent at %s sent no verdict", a.address)
 	}
-	return reply.Verdict, nil
+	return reply.Status, nil
 }
--- a/entry/dispatch/call.go
+++ b/entry/dispatch/call.go
@@ -36,7 +36,7 @@
 	// first frame or its withdrawal. It may be nil and must not block.
 	OnFirstFrame func(after time.Duration)
 	Chat         *msg.Chat
-	Plain        *msg.Plain
+	Plain        *msg.HTTPRequest
 }
 
 // Binding is the only endpoint and agent incarnation that may run an action.
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -166,7 +166,7 @@
 }
 
 func newCall(idempotent bool) *Call {
-	return &Call{Request: "req", Team: "puno", Service: "s", Idempotent: idempotent, Deadline: time.Now().Add(20 * time.Second), Plain: &msg.Plain{}}
+	return &Call{Request: "req", Team: "puno", Service: "s", Idempotent: idempotent, Deadline: time.Now().Add(20 * time.Second), Plain: &msg.HTTPRequest{}}
 }
 
 func newActionCall() *Call {
@@ -293,13 +293,13 @@
 func TestWithdrawal(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
-		verdict         *msg.Verdict
+		verdict         *msg.AttemptStatus
 		request, action outcome.Outcome
 	}{
-		{"attempt and action tombstoned", &msg.Verdict{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.NotRun, outcome.NotRun},
-		{"only the attempt tombstoned", &msg.Verdict{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.Unknown}, outcome.NotRun, outcome.Unknown},
-		{"tombstoned by another incarnation", &msg.Verdict{Incarnation: "new", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.Unknown, ""},
-		{"started", &msg.Verdict{Incarnation: "inc", State: msg.StateStarted, Outcome: outcome.Unknown}, outcome.Unknown, ""},
+		{"attempt and action tombstoned", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.NotRun, outcome.NotRun},
+		{"only the attempt tombstoned", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.Unknown}, outcome.NotRun, outcome.Unknown},
+		{"tombstoned by another incarnation", &msg.AttemptStatus{Incarnation: "new", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.Unknown, ""},
+		{"started", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateStarted, Outcome: outcome.Unknown}, outcome.Unknown, ""},
 		{"no verdict", nil, outcome.Unknown, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -310,7 +310,7 @@
 				case o.Dispatch != nil:
 					cancel()
 				case o.Withdraw != nil && tc.verdict != nil:
-					s.Reply(&msg.Reply{ID: o.ID, Verdict: tc.verdict})
+					s.Reply(&msg.Reply{ID: o.ID, Status: tc.verdict})
 				}
 			})
 			d.config.WithdrawTimeout = 100 * time.Millisecond
--- a/entry/endpoints/manager.go
+++ b/entry/endpoints/manager.go
@@ -296,6 +296,6 @@
 		QueuedTokens:  r.QueuedTokens,
 		RunningTokens: r.RunningTokens,
 		Slots:         r.Slots,
-		StepTime:      time.Duration(r.StepTime) * time.Microsecond,
+		StepTime:      time.Duration(r.StepTimeMicros) * time.Microsecond,
 	}
 }
--- a/entry/endpoints/watcher.go
+++ b/entry/endpoints/watcher.go
@@ -92,7 +92,7 @@
 func (w *watcher) subscribe(conn *link.Conn) bool {
 	endpoint, _ := w.current()
 	interval := w.manager.reportInterval(endpoint.Zone)
-	order := &msg.Order{Reports: &msg.ReportsOrder{Interval: interval.Microseconds()}}
+	order := &msg.Order{Reports: &msg.ReportsOrder{IntervalMicros: interval.Microseconds()}}
 	receiver := &reportReceiver{watcher: w, endpoint: endpoint.Name}
 	call, err := conn.Send(order, receiver)
 	if err != nil {
--- a/entry/operator/rows.go
+++ b/entry/operator/rows.go
@@ -106,7 +106,7 @@
 // reportValues returns queued, running, slots, step time and age of a report.
 func reportValues(seen endpoints.ReceivedReport, now time.Time) table.Row {
 	r := seen.Report
-	step := time.Duration(r.StepTime) * time.Microsecond
+	step := time.Duration(r.StepTimeMicros) * time.Microsecond
 	return table.Row{
 		table.Number(r.Queued), table.Number(r.Running), table.Number(r.Slots), millis(step), millis(now.Sub(seen.At)),
 	}
--- a/itest/histories/histories_test.go
+++ b/itest/histories/histories_test.go
@@ -144,7 +144,7 @@
 	call := &dispatch.Call{
 		Request: id.Request(r.request), Team: team, Service: service, Idempotent: r.idempotent,
 		Deadline: time.Now().Add(timeout), PayloadHash: uint64(len(payload)),
-		Plain: &msg.Plain{Method: "POST", Path: "/", Body: []byte(payload), Header: []msg.Header{{Name: headRequest, Value: r.request}}},
+		Plain: &msg.HTTPRequest{Method: "POST", Path: "/", Body: []byte(payload), Header: []msg.Header{{Name: headRequest, Value: r.request}}},
 	}
 	if k.text != "" {
 		call.Plain.Header = append(call.Plain.Header, msg.Header{Name: headKey, Value: k.text})
--- a/itest/histories/late_test.go
+++ b/itest/histories/late_test.go
@@ -58,16 +58,16 @@
 				Attempt: d.Attempt, Incarnation: d.Incarnation, Team: d.Team, Action: d.Action,
 			}})
 			assert.NilError(t, err)
-			assert.Equal(t, reply.Verdict.State, msg.StateTombstoned)
+			assert.Equal(t, reply.Status.State, msg.StateTombstoned)
 			want := outcome.NotRun
 			if d.Action != "" {
 				want = outcome.Unknown // another attempt of the action may still come
 			}
-			assert.Equal(t, reply.Verdict.Outcome, want)
+			assert.Equal(t, reply.Status.Outcome, want)
 		}},
 		{"to another incarnation", func(_ *testing.T, _ *link.Conn, d *msg.Dispatch) { d.Incarnation = "former" }},
 		{"to another endpoint", func(_ *testing.T, _ *link.Conn, d *msg.Dispatch) { d.Endpoint = "other" }},
-		{"past its deadline in the queue", func(_ *testing.T, _ *link.Conn, d *msg.Dispatch) { d.QueueTimeout = -1 }},
+		{"past its deadline in the queue", func(_ *testing.T, _ *link.Conn, d *msg.Dispatch) { d.QueueTimeoutMicros = -1 }},
 	} {
 		for _, action := range []string{"", "act"} {
 			t.Run(tc.name+" "+action, func(t *testing.T) {
@@ -81,8 +81,8 @@
 				assert.NilError(t, err)
 				d := &msg.Dispatch{
 					Request: "req", Attempt: "att", Incarnation: e.current().Incarnation(), Endpoint: e.name, Team: team,
-					Service: service, QueueTimeout: time.Minute.Microseconds(),
-					Plain: &msg.Plain{Method: "POST", Path: "/", Header: []msg.Header{{Name: headRequest, Value: "req"}}},
+					Service: service, QueueTimeoutMicros: time.Minute.Microseconds(),
+					Plain: &msg.HTTPRequest{Method: "POST", Path: "/", Header: []msg.Header{{Name: headRequest, Value: "req"}}},
 				}
 				if action != "" {
 					d.Action = "act"
--- a/itest/histories/world_test.go
+++ b/itest/histories/world_test.go
@@ -84,7 +84,7 @@
 
 var errBroken = errors.New("the back end broke")
 
-func header(p *msg.Plain, name string) string {
+func header(p *msg.HTTPRequest, name string) string {
 	for _, h := range p.Header {
 		if h.Name == name {
 			return h.Value
@@ -95,7 +95,7 @@
 
 // answerTo returns the text that a back end answers to a request: a mark of the
 // action or the request, and the payload.
-func answerTo(p *msg.Plain) string {
+func answerTo(p *msg.HTTPRequest) string {
 	mark := header(p, headKey)
 	if mark == "" {
 		mark = header(p, headRequest)
@@ -104,12 +104,12 @@
 }
 
 // Do implements gate.PlainBackend.
-func (b *backend) Do(ctx context.Context, p *msg.Plain, w plain.Writer) error {
+func (b *backend) Do(ctx context.Context, p *msg.HTTPRequest, w plain.Writer) error {
 	if ctx.Err() != nil || b.chance.percent(4) {
 		return &plain.NotStartedError{Cause: errBroken}
 	}
 	b.witness.run(header(p, headKey), header(p, headRequest))
-	if err := w.Head(msg.Head{Status: 201}); err != nil {
+	if err := w.Head(msg.ResponseHead{Status: 201}); err != nil {
 		return err
 	}
 	text := answerTo(p)
--- a/lab/plainservice/contract_test.go
+++ b/lab/plainservice/contract_test.go
@@ -20,11 +20,11 @@
 	body   bytes.Buffer
 }
 
-func (r *recorder) Head(head msg.Head) error       { r.status = head.Status; return nil }
-func (r *recorder) Write(data []byte) (int, error) { return r.body.Write(data) }
+func (r *recorder) Head(head msg.ResponseHead) error { r.status = head.Status; return nil }
+func (r *recorder) Write(data []byte) (int, error)   { return r.body.Write(data) }
 
 // start returns a service, and a function that sends it a request and decodes the answer.
-func start(t *testing.T) (*plainservice.Service, func(p msg.Plain) (int, plainservice.Record, error)) {
+func start(t *testing.T) (*plainservice.Service, func(p msg.HTTPRequest) (int, plainservice.Record, error)) {
 	t.Helper()
 	service := plainservice.New(plainservice.Config{})
 	server := httptest.NewServer(service.Handler())
@@ -34,7 +34,7 @@
 		client.Close()
 		server.Close()
 	})
-	return service, func(p msg.Plain) (int, plainservice.Record, error) {
+	return service, func(p msg.HTTPRequest) (int, plainservice.Record, error) {
 		var out recorder
 		var record plainservice.Record
 		if err := client.Do(context.Background(), &p, &out); err != nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-func request(method, path, key, body string) msg.Plain {
-	return msg.Plain{Method: method, Path: path, Body: []byte(body), Header: []msg.Header{
+func request(method, path, key, body string) msg.HTTPRequest {
+	return msg.HTTPRequest{Method: method, Path: path, Body: []byte(body), Header: []msg.Header{
 		{Name: plainservice.HeaderKey, Value: key}, {Name: plainservice.HeaderMark, Value: "mark-" + key},
 	}}
 }
@@ -53,7 +53,7 @@
 func TestActionsRunAndEchoTheirMark(t *testing.T) {
 	service, send := start(t)
 	steps := []struct {
-		request msg.Plain
+		request msg.HTTPRequest
 		status  int
 	}{
 		{request("POST", "/reservations", "k1", `{"id":"chest-1","item":"diablada"}`), 201},
--- a/lab/slopes/size.go
+++ b/lab/slopes/size.go
@@ -15,7 +15,7 @@
 func report(n int) msg.Report {
 	r := msg.Report{
 		Endpoint: "endpoint-0001", Incarnation: "inc_0123456789abcdef0123456789abcdef", Seq: 123456, Healthy: true,
-		Queued: 12, Running: 24, QueuedTokens: 14000, RunningTokens: 36000, Slots: 32, StepTime: 33000, EngineLag: 250000,
+		Queued: 12, Running: 24, QueuedTokens: 14000, RunningTokens: 36000, Slots: 32, StepTimeMicros: 33000, EngineLagMicros: 250000,
 	}
 	for i := range n {
 		r.CacheEvents = append(r.CacheEvents, msg.CacheEvent{Seq: uint64(900000 + i), Block: 0x9e3779b97f4a7c15 * uint64(i+1)})
--- a/lab/slopes/wire.go
+++ b/lab/slopes/wire.go
@@ -34,7 +34,7 @@
 	case o.Peer != nil:
 		s.Reply(&msg.Reply{ID: o.ID, Peer: &msg.Peer{Payload: o.Peer.Payload}})
 	case o.Reports != nil:
-		go sendReports(s, o.ID, time.Duration(o.Reports.Interval)*time.Microsecond)
+		go sendReports(s, o.ID, time.Duration(o.Reports.IntervalMicros)*time.Microsecond)
 	}
 }
 
@@ -198,7 +198,7 @@
 
 func wireReports(ctx context.Context, b *wireBench, window time.Duration) (int, error) {
 	var received counter
-	call, err := b.conn.Send(&msg.Order{Reports: &msg.ReportsOrder{Interval: wireGap.Microseconds()}}, &received)
+	call, err := b.conn.Send(&msg.Order{Reports: &msg.ReportsOrder{IntervalMicros: wireGap.Microseconds()}}, &received)
 	if err != nil {
 		return 0, err
 	}
--- a/wire/link/server.go
+++ b/wire/link/server.go
@@ -47,7 +47,7 @@
 // Reply queues a reply. It does not wait for the peer. Replies on an ended
 // session are dropped, and a session whose peer takes nothing is closed.
 func (s *Session) Reply(r *msg.Reply) {
-	if r.Causal() {
+	if r.CarriesStamp() {
 		r.Stamp = s.config.stamp()
 	}
 	_, err := s.out.put(r)
--- a/wire/link/stamp_test.go
+++ b/wire/link/stamp_test.go
@@ -42,8 +42,8 @@
 }
 
 func TestFramesInTheMiddleCarryNoStamp(t *testing.T) {
-	assert.Assert(t, !(&msg.Reply{Frame: &msg.Frame{Data: []byte("x")}}).Causal())
-	assert.Assert(t, !(&msg.Reply{Report: &msg.Report{}}).Causal())
-	assert.Assert(t, (&msg.Reply{Frame: &msg.Frame{End: &msg.End{}}}).Causal())
-	assert.Assert(t, (&msg.Reply{Peer: &msg.Peer{}}).Causal())
+	assert.Assert(t, !(&msg.Reply{Frame: &msg.Frame{Data: []byte("x")}}).CarriesStamp())
+	assert.Assert(t, !(&msg.Reply{Report: &msg.Report{}}).CarriesStamp())
+	assert.Assert(t, (&msg.Reply{Frame: &msg.Frame{End: &msg.End{}}}).CarriesStamp())
+	assert.Assert(t, (&msg.Reply{Peer: &msg.Peer{}}).CarriesStamp())
 }
--- a/wire/msg/msg.go
+++ b/wire/msg/msg.go
@@ -36,14 +36,14 @@
 // pointer fields is set.
 type Reply struct {
 	// ID is that of the order.
-	ID      uint64   `cbor:"1,keyasint"`
-	Frame   *Frame   `cbor:"2,keyasint,omitempty"`
-	Verdict *Verdict `cbor:"3,keyasint,omitempty"`
-	Ticket  *Ticket  `cbor:"4,keyasint,omitempty"`
-	Report  *Report  `cbor:"5,keyasint,omitempty"`
-	Probe   *Probe   `cbor:"6,keyasint,omitempty"`
-	Peer    *Peer    `cbor:"7,keyasint,omitempty"`
-	Events  *Events  `cbor:"8,keyasint,omitempty"`
+	ID     uint64         `cbor:"1,keyasint"`
+	Frame  *Frame         `cbor:"2,keyasint,omitempty"`
+	Status *AttemptStatus `cbor:"3,keyasint,omitempty"`
+	Ticket *Ticket        `cbor:"4,keyasint,omitempty"`
+	Report *Report        `cbor:"5,keyasint,omitempty"`
+	Probe  *Probe         `cbor:"6,keyasint,omitempty"`
+	Peer   *Peer          `cbor:"7,keyasint,omitempty"`
+	Events *Events        `cbor:"8,keyasint,omitempty"`
 	// Group is sent to each session that sent an order with Group, under the ID
 	// of the first one.
 	Group *Group `cbor:"16,keyasint,omitempty"`
@@ -51,9 +51,9 @@
 	Stamp *timeline.Stamp `cbor:"9,keyasint,omitempty"`
 }
 
-// Causal reports whether the reply carries a stamp. Frames in the middle of an
+// CarriesStamp reports whether the reply carries a stamp. Frames in the middle of an
 // answer, reports, states of groups and probes do not, since there are many of them.
-func (r *Reply) Causal() bool {
+func (r *Reply) CarriesStamp() bool {
 	if r.Frame != nil {
 		return r.Frame.End != nil || r.Frame.Refused != nil || r.Frame.Head != nil
 	}
@@ -99,10 +99,10 @@
 type Class uint8
 
 const (
-	// Short marks work below the agent's threshold for long work.
-	Short Class = iota
-	// Long marks work that may run many times longer than the rest.
-	Long
+	// ClassShort marks work below the agent's threshold for long work.
+	ClassShort Class = iota
+	// ClassLong marks work that may run many times longer than the rest.
+	ClassLong
 )
 
 // Dispatch asks an agent to run one attempt of a request.
@@ -118,15 +118,15 @@
 	Ticket string    `cbor:"8,keyasint,omitempty"`
 	// PayloadHash is the xxhash64 of method, path and body; equal actions must have equal payloads.
 	PayloadHash uint64 `cbor:"9,keyasint,omitempty"`
-	// QueueTimeout is the time in microseconds that the attempt may wait for
+	// QueueTimeoutMicros is the time in microseconds that the attempt may wait for
 	// its start, counted from its arrival at the agent.
-	QueueTimeout int64 `cbor:"10,keyasint"`
-	// RunTimeout is the time in microseconds after which a started attempt is cancelled. Zero means none.
-	RunTimeout int64  `cbor:"11,keyasint,omitempty"`
-	Class      Class  `cbor:"12,keyasint,omitempty"`
-	Work       uint32 `cbor:"13,keyasint,omitempty"` // predicted tokens, prompt and answer
-	Chat       *Chat  `cbor:"14,keyasint,omitempty"`
-	Plain      *Plain `cbor:"15,keyasint,omitempty"`
+	QueueTimeoutMicros int64 `cbor:"10,keyasint"`
+	// RunTimeoutMicros is the time in microseconds after which a started attempt is cancelled. Zero means none.
+	RunTimeoutMicros int64        `cbor:"11,keyasint,omitempty"`
+	Class            Class        `cbor:"12,keyasint,omitempty"`
+	Work             uint32       `cbor:"13,keyasint,omitempty"` // predicted tokens, prompt and answer
+	Chat             *Chat        `cbor:"14,keyasint,omitempty"`
+	Plain            *HTTPRequest `cbor:"15,keyasint,omitempty"`
 }
 
 // Chat is the payload for a model engine.
@@ -136,8 +136,8 @@
 	MaxTokens int    `cbor:"3,keyasint"`
 }
 
-// Plain is the payload for a plain service: one HTTP request.
-type Plain struct {
+// HTTPRequest is the payload for a plain service: one HTTP request.
+type HTTPRequest struct {
 	Method string   `cbor:"1,keyasint"`
 	Path   string   `cbor:"2,keyasint"`
 	Header []Header `cbor:"3,keyasint,omitempty"`
@@ -152,18 +152,18 @@
 
 // Frame is one message of an attempt's answer, in order of Seq from zero.
 type Frame struct {
-	Attempt id.Attempt `cbor:"1,keyasint"`
-	Seq     uint32     `cbor:"2,keyasint"`
-	Data    []byte     `cbor:"3,keyasint,omitempty"` // text of tokens, or body bytes
-	Tokens  uint32     `cbor:"4,keyasint,omitempty"`
-	Head    *Head      `cbor:"5,keyasint,omitempty"`
-	End     *End       `cbor:"6,keyasint,omitempty"`
+	Attempt id.Attempt    `cbor:"1,keyasint"`
+	Seq     uint32        `cbor:"2,keyasint"`
+	Data    []byte        `cbor:"3,keyasint,omitempty"` // text of tokens, or body bytes
+	Tokens  uint32        `cbor:"4,keyasint,omitempty"`
+	Head    *ResponseHead `cbor:"5,keyasint,omitempty"`
+	End     *End          `cbor:"6,keyasint,omitempty"`
 	// Refused is set in the only frame of an attempt that was not started.
 	Refused *Refusal `cbor:"7,keyasint,omitempty"`
 }
 
-// Head starts the answer of a plain service.
-type Head struct {
+// ResponseHead starts the answer of a plain service.
+type ResponseHead struct {
 	Status int      `cbor:"1,keyasint"`
 	Header []Header `cbor:"2,keyasint,omitempty"`
 }
@@ -217,8 +217,8 @@
 type Refusal struct {
 	Code   Code   `cbor:"1,keyasint"`
 	Detail string `cbor:"2,keyasint,omitempty"`
-	// RetryAfter is in microseconds. Zero means unknown.
-	RetryAfter int64 `cbor:"3,keyasint,omitempty"`
+	// RetryAfterMicros is in microseconds. Zero means unknown.
+	RetryAfterMicros int64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Attach asks for the frames of an attempt from a sequence number on. An agent
@@ -269,8 +269,8 @@
 	StateTombstoned State = "tombstoned"
 )
 
-// Verdict answers Withdraw and Inquire.
-type Verdict struct {
+// AttemptStatus answers Withdraw and Inquire.
+type AttemptStatus struct {
 	Incarnation id.Incarnation `cbor:"1,keyasint"`
 	State       State          `cbor:"2,keyasint"`
 	// Outcome is that of the action over all its attempts, if the order named
@@ -295,8 +295,8 @@
 
 // ReportsOrder subscribes to load reports.
 type ReportsOrder struct {
-	// Interval between reports in microseconds.
-	Interval int64 `cbor:"1,keyasint"`
+	// IntervalMicros between reports in microseconds.
+	IntervalMicros int64 `cbor:"1,keyasint"`
 }
 
 // Report is the state of one endpoint. It is sent at an interval and at once when Draining changes.
@@ -317,10 +317,10 @@
 	RunningTokens uint64 `cbor:"9,keyasint,omitempty"`
 	// Slots is the number of attempts that run at the same time.
 	Slots uint32 `cbor:"10,keyasint,omitempty"`
-	// StepTime is the engine's recent step time in microseconds.
-	StepTime int64 `cbor:"11,keyasint,omitempty"`
-	// EngineLag is the age in microseconds of the engine's own load report.
-	EngineLag int64 `cbor:"12,keyasint,omitempty"`
+	// StepTimeMicros is the engine's recent step time in microseconds.
+	StepTimeMicros int64 `cbor:"11,keyasint,omitempty"`
+	// EngineLagMicros is the age in microseconds of the engine's own load report.
+	EngineLagMicros int64 `cbor:"12,keyasint,omitempty"`
 	// CacheEvents are prefix cache events since the last report, in order.
 	CacheEvents []CacheEvent `cbor:"13,keyasint,omitempty"`
 }
