--- a/core/dial/dial.go
+++ b/core/dial/dial.go
@@ -1,4 +1,4 @@
-// Package dial opens TCP connections that notice a silent peer.
+// Package dial creates dialers for TCP connections with keep-alive probes.
 package dial
 
 import (
@@ -7,20 +7,19 @@
 	"time"
 )
 
-// Config describes how connections are opened. Zero values leave the choice to
-// the operating system.
+// Config configures a dialer. Zero values select the defaults of package net.
 type Config struct {
-	// Source is the address of this host from which connections are opened.
+	// Source is the local address of connections.
 	Source netip.Addr
-	// Timeout bounds the time to connect.
+	// Timeout bounds connecting.
 	Timeout time.Duration
-	// KeepAliveInterval is the time without traffic after which a connection is
-	// probed, and between probes. ProbeCount probes without an answer end it.
+	// KeepAliveInterval is the idle time before the first keep-alive probe and the time
+	// between probes. KeepAliveProbes unanswered probes end a connection.
 	KeepAliveInterval time.Duration
 	KeepAliveProbes   int
 }
 
-// Dialer returns a dialer for such connections.
+// Dialer returns a dialer configured by c.
 func (c Config) Dialer() *net.Dialer {
 	d := &net.Dialer{Timeout: c.Timeout}
 	if c.Source.IsValid() {
--- a/core/dial/dial_test.go
+++ b/core/dial/dial_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSourceIsTheHostsOwnAddress(t *testing.T) {
+func TestDialerBindsSourceAddress(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
