--- a/core/finding/finding.go
+++ b/core/finding/finding.go
@@ -1,4 +1,4 @@
-// Package finding collects validation errors with their place, so that all of
+// Package finding collects validation errors with their location, so that all of
 // them are reported together.
 package finding
 
@@ -9,9 +9,9 @@
 
 // Finding is one validation error.
 type Finding struct {
-	// Place names where the error is, for example a flag, a field path or "line 3, column 7".
+	// Place locates the error, for example a flag, a field path or "line 3, column 7".
 	Place string `json:"place"`
-	// Message states what is wrong and names the thing.
+	// Message describes the error and names the invalid value.
 	Message string `json:"message"`
 }
 
@@ -23,7 +23,7 @@
 	return f.Place + ": " + f.Message
 }
 
-// List is a collection of findings. It is an error when it is not empty.
+// List is a list of findings. It is an error if it is not empty; see Err.
 // The zero value is ready to use.
 type List []Finding
 
