--- a/core/id/id.go
+++ b/core/id/id.go
@@ -1,4 +1,4 @@
-// Package id defines the identifiers that the processes exchange and creates new ones.
+// Package id defines the types of identifiers shared by all processes and generates random ones.
 package id
 
 import (
@@ -6,11 +6,11 @@
 	"encoding/hex"
 )
 
-// randomLen is the length of a random identifier in bytes before encoding.
-const randomLen = 16
+// randomBytes is the number of random bytes in an identifier.
+const randomBytes = 16
 
 type (
-	// Request identifies one call of a caller. It appears in answers, logs and the time line.
+	// Request identifies one request of a caller. It appears in responses, logs and the timeline.
 	Request string
 	// Attempt identifies one dispatch of a request to one endpoint. It is never reused.
 	Attempt string
@@ -19,19 +19,19 @@
 	Action string
 	// Incarnation identifies one run of an agent process. It changes at each start.
 	Incarnation string
-	// Host names a machine that runs a process of the system.
+	// Host names a machine that runs processes of the system.
 	Host string
 	// Zone names an availability zone.
 	Zone string
 	// Region names a group of availability zones.
 	Region string
-	// Endpoint names a back end as the operators configured it.
+	// Endpoint names a configured back end.
 	Endpoint string
-	// Service names a service as callers and operators use it.
+	// Service names a service that callers address.
 	Service string
 	// Team names a customer.
 	Team string
-	// Group names a group of ranks that run in lock-step.
+	// Group names a group of model engine ranks that run in lockstep.
 	Group string
 )
 
@@ -41,11 +41,11 @@
 // NewAttempt returns a random attempt ID.
 func NewAttempt() Attempt { return Attempt("att_" + random()) }
 
-// NewIncarnation returns a random incarnation.
+// NewIncarnation returns a random incarnation ID.
 func NewIncarnation() Incarnation { return Incarnation("inc_" + random()) }
 
 func random() string {
-	var b [randomLen]byte
+	var b [randomBytes]byte
 	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error.
 	return hex.EncodeToString(b[:])
 }
