--- a/core/ops/ops.go
+++ b/core/ops/ops.go
@@ -1,4 +1,4 @@
-// Package ops serves the operators' address of a process: health, readiness,
+// Package ops provides the HTTP endpoints for operating a process: health, readiness,
 // metrics and profiles.
 package ops
 
@@ -11,8 +11,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// AddRoutes adds the common routes to r. Ready returns an error text while the
-// process does not accept work, and the empty text otherwise.
+// AddRoutes adds the endpoints to r. Ready returns why the process is not ready, or ""
+// if it is.
 func AddRoutes(r chi.Router, set *metrics.Set, ready func() string) {
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	r.Get("/readyz", func(w http.ResponseWriter, _ *http.Request) {
