--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package outcome defines what is reported about the execution of a request.
+// Package outcome defines how the execution of a request is reported.
 package outcome
 
 // Outcome states whether a request was executed at its endpoint.
