--- a/core/prefixhash/prefixhash.go
+++ b/core/prefixhash/prefixhash.go
@@ -1,5 +1,5 @@
 // Package prefixhash computes the chained block hashes by which model engines
-// and the prefix index name the blocks of a prompt.
+// and the prefix index identify the blocks of a prompt.
 package prefixhash
 
 import (
@@ -14,7 +14,7 @@
 
 // Blocks returns one hash for each full block of blockWords words of the
 // prompt. Each hash covers the prompt up to and including its block, so that
-// equal hashes mean equal prefixes. A blockWords below one yields none.
+// equal hashes mean equal prefixes. It returns none if blockWords is below one.
 func Blocks(prompt string, blockWords int) []uint64 {
 	if blockWords < 1 {
 		return nil
@@ -40,7 +40,7 @@
 	return hashes
 }
 
-// Words returns the number of words of the prompt, which stands for its tokens.
+// Words returns the number of words of the prompt, an approximation of its tokens.
 func Words(prompt string) int {
 	n := 0
 	for range strings.FieldsSeq(prompt) {
--- a/core/prefixhash/prefixhash_test.go
+++ b/core/prefixhash/prefixhash_test.go
@@ -9,7 +9,7 @@
 	"github.com/siskinford/siskinford/core/prefixhash"
 )
 
-func TestBlocks(t *testing.T) {
+func TestBlockHashesCoverThePrefix(t *testing.T) {
 	long := prefixhash.Blocks("a b c d e", 2)
 	assert.Equal(t, len(long), 2)
 	assert.DeepEqual(t, prefixhash.Blocks("a  b\nc d", 2), long)
