--- a/core/timer/timer.go
+++ b/core/timer/timer.go
@@ -1,4 +1,4 @@
-// Package timer waits for a time that a context can cut short.
+// Package timer provides a sleep that ends with a context.
 package timer
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep blocks for d or until ctx ends, in which case it returns the error of ctx.
+// Sleep blocks for d. If ctx ends first, it returns the error of ctx.
 func Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
