--- a/core/process/log.go
+++ b/core/process/log.go
@@ -12,122 +12,120 @@
 )
 
 const (
-	// logQueue is the number of lines that wait for the output. At 400 bytes a
-	// line it holds 800 KB.
-	logQueue = 2048
-	// logPoll is the longest time for which a line waits while the output keeps up.
-	logPoll = 20 * time.Millisecond
-	// closeWait bounds the time for which Close waits for the output. It is many times
-	// logPoll, and short against the time that a process has to stop.
-	closeWait = time.Second
-	// dropNotice is the least time between two lines about dropped lines.
-	dropNotice = time.Second
+	// logQueueLines is the capacity of the queue to the output, 800 KB at 400 bytes a line.
+	logQueueLines = 2048
+	// logPollInterval is the longest delay of a line while the output keeps up.
+	logPollInterval = 20 * time.Millisecond
+	// closeTimeout bounds how long Close waits for the output. It is many times
+	// logPollInterval, and short against the shutdown timeout of a process.
+	closeTimeout = time.Second
+	// dropReportInterval is the minimum time between two reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
-// Times with fractions of a second order the lines of several processes.
+// Fractions of a second allow lines of several processes to be sorted by time.
 func init() { zerolog.TimeFieldFormat = time.RFC3339Nano }
 
-// LogConfig sets up a log that never blocks.
+// LogConfig configures a BoundedLog.
 type LogConfig struct {
 	Program, Host string
-	// Level is the least level that is written.
+	// Level is the lowest level that is written.
 	Level zerolog.Level
-	// LinesPerSecond bounds the lines below level warn. Zero means no bound.
+	// LinesPerSecond limits the rate of lines below level warn. Zero means no limit.
 	LinesPerSecond int
 }
 
-// BoundedLog is a log of JSON lines that never blocks: lines that the output does
-// not take in time, and lines beyond a rate, are dropped and counted.
+// BoundedLog is a logger of JSON lines that never blocks: lines that overflow the queue
+// or exceed the rate limit are dropped and counted.
 type BoundedLog struct {
 	zerolog.Logger
 	out     diode.Writer
 	cfg     LogConfig
 	dropped *metrics.Counter
-	// queued and left count the lines that were given to out, and those that have
-	// left it, written or dropped.
-	queued, left atomic.Int64
-
-	mu      sync.Mutex // leaf lock
-	second  time.Time
-	lines   int
-	missed  int
-	noticed time.Time
+	// enqueued and completed count the lines passed to out and those it wrote or dropped.
+	enqueued, completed atomic.Int64
+
+	mu              sync.Mutex // leaf lock
+	windowStart     time.Time
+	windowLines     int
+	unreportedDrops int
+	lastDropReport  time.Time
 }
 
 // NewBoundedLog returns a log that writes to w. Close must be called.
 func NewBoundedLog(w io.Writer, cfg LogConfig, set *metrics.Set) *BoundedLog {
 	l := &BoundedLog{cfg: cfg, dropped: set.GetOrCreateCounter("siskinford_log_lines_dropped_total")}
-	l.out = diode.NewWriter(counted{w, &l.left}, logQueue, logPoll, l.miss)
+	l.out = diode.NewWriter(countingWriter{w, &l.completed}, logQueueLines, logPollInterval, l.recordDrops)
 	l.Logger = zerolog.New(l).Level(cfg.Level).With().Timestamp().Str("program", cfg.Program).Str("host", cfg.Host).Logger()
 	return l
 }
 
-// counted counts the lines that are written.
-type counted struct {
+// countingWriter counts the lines written.
+type countingWriter struct {
 	io.Writer
 	lines *atomic.Int64
 }
 
 // Write implements io.Writer.
-func (c counted) Write(p []byte) (int, error) {
+func (c countingWriter) Write(p []byte) (int, error) {
 	defer c.lines.Add(1)
 	return c.Writer.Write(p)
 }
 
-// queue gives a line to the output without waiting for it.
-func (l *BoundedLog) queue(p []byte) (int, error) {
-	l.queued.Add(1)
+// enqueue passes a line to the queue without blocking.
+func (l *BoundedLog) enqueue(p []byte) (int, error) {
+	l.enqueued.Add(1)
 	return l.out.Write(p)
 }
 
-// miss counts lines that the output did not take.
-func (l *BoundedLog) miss(n int) {
+// recordDrops counts n lines that overflowed the queue.
+func (l *BoundedLog) recordDrops(n int) {
 	l.dropped.Add(n)
-	l.left.Add(int64(n))
+	l.completed.Add(int64(n))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.missed += n
+	l.unreportedDrops += n
 }
 
 // Write implements io.Writer.
-func (l *BoundedLog) Write(p []byte) (int, error) { return l.queue(p) }
+func (l *BoundedLog) Write(p []byte) (int, error) { return l.enqueue(p) }
 
 // WriteLevel implements zerolog.LevelWriter.
 func (l *BoundedLog) WriteLevel(level zerolog.Level, p []byte) (int, error) {
-	ok, notice := l.admit(level, time.Now())
-	if notice > 0 {
-		l.Logger.Warn().Str("event", "log.dropped").Int("lines", notice).Msg("lines were dropped to bound the log")
+	ok, dropped := l.allow(level, time.Now())
+	if dropped > 0 {
+		l.Logger.Warn().Str("event", "log.dropped").Int("lines", dropped).Msg("log lines were dropped by the rate limit or a full queue")
 	}
 	if !ok {
 		l.dropped.Inc()
 		return len(p), nil
 	}
-	return l.queue(p)
+	return l.enqueue(p)
 }
 
-// admit reports whether a line is within the rate, and the number of dropped
-// lines to tell about.
-func (l *BoundedLog) admit(level zerolog.Level, now time.Time) (ok bool, notice int) {
+// allow reports whether a line is within the rate limit. If a report of drops is due,
+// dropped is the number of lines dropped since the last one.
+func (l *BoundedLog) allow(level zerolog.Level, now time.Time) (ok bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.second) >= time.Second {
-		l.second, l.lines = now, 0
+	if now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.windowLines = now, 0
 	}
-	l.lines++
-	ok = level >= zerolog.WarnLevel || l.cfg.LinesPerSecond == 0 || l.lines <= l.cfg.LinesPerSecond
+	l.windowLines++
+	ok = level >= zerolog.WarnLevel || l.cfg.LinesPerSecond == 0 || l.windowLines <= l.cfg.LinesPerSecond
 	if !ok {
-		l.missed++
+		l.unreportedDrops++
 	}
-	if l.missed > 0 && now.Sub(l.noticed) >= dropNotice {
-		notice, l.missed, l.noticed = l.missed, 0, now
+	if l.unreportedDrops > 0 && now.Sub(l.lastDropReport) >= dropReportInterval {
+		dropped, l.unreportedDrops, l.lastDropReport = l.unreportedDrops, 0, now
 	}
-	return ok, notice
+	return ok, dropped
 }
 
-// Close writes what waits and ends the log. It waits for the output for a bounded time.
+// Close writes the queued lines and ends the log. It waits up to closeTimeout.
 func (l *BoundedLog) Close() error {
-	// The queue's own Close loses a line that came between its last look and the end.
-	for end := time.Now().Add(closeWait); l.left.Load() < l.queued.Load() && time.Now().Before(end); {
+	// diode.Writer.Close loses a line queued after its last poll.
+	for deadline := time.Now().Add(closeTimeout); l.completed.Load() < l.enqueued.Load() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	return l.out.Close()
--- a/core/process/log_test.go
+++ b/core/process/log_test.go
@@ -13,29 +13,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// output is a writer that may stand still.
-type output struct {
+// blockableWriter blocks while mu is held.
+type blockableWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *blockableWriter) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.buf.Write(p)
 }
 
-func (o *output) text() string {
+func (o *blockableWriter) text() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.buf.String()
 }
 
 func TestBoundedLogWritesJSONLines(t *testing.T) {
-	var out output
+	var out blockableWriter
 	l := NewBoundedLog(&out, LogConfig{Program: "p", Host: "h", Level: zerolog.InfoLevel}, metrics.NewSet())
-	l.Debug().Msg("left out")
-	l.Info().Str("event", "e").Msg("kept")
+	l.Debug().Msg("below the level")
+	l.Info().Str("event", "e").Msg("written")
 	assert.NilError(t, l.Close())
 	var line map[string]any
 	assert.NilError(t, json.Unmarshal([]byte(out.text()), &line))
@@ -43,8 +43,8 @@
 	assert.Equal(t, line["host"], "h")
 }
 
-func TestBoundedLogDropsBeyondItsRate(t *testing.T) {
-	var out output
+func TestBoundedLogDropsLinesOverRateLimit(t *testing.T) {
+	var out blockableWriter
 	set := metrics.NewSet()
 	l := NewBoundedLog(&out, LogConfig{LinesPerSecond: 10}, set)
 	for range 100 {
@@ -59,31 +59,31 @@
 }
 
 func TestBoundedLogNeverBlocks(t *testing.T) {
-	var out output
+	var out blockableWriter
 	set := metrics.NewSet()
 	l := NewBoundedLog(&out, LogConfig{}, set)
 	out.mu.Lock()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 10 * logQueue {
+		for range 10 * logQueueLines {
 			l.Info().Msg("line")
 		}
 	}()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the log waits for its output")
+		t.Fatal("logging blocks on the output")
 	}
 	out.mu.Unlock()
 	assert.NilError(t, l.Close())
 	assert.Assert(t, set.GetOrCreateCounter("siskinford_log_lines_dropped_total").Get() > 0)
 }
 
-// TestCloseLosesNoLine: the last lines before a stop are those that explain it.
-func TestCloseLosesNoLine(t *testing.T) {
+// TestCloseWritesQueuedLines: the last lines before a stop, which explain it, must not be lost.
+func TestCloseWritesQueuedLines(t *testing.T) {
 	for range 200 {
-		var out output
+		var out blockableWriter
 		l := NewBoundedLog(&out, LogConfig{Level: zerolog.InfoLevel}, metrics.NewSet())
 		l.Info().Msg("last")
 		assert.NilError(t, l.Close())
--- a/core/process/process.go
+++ b/core/process/process.go
@@ -1,4 +1,4 @@
-// Package process holds what the programs share: exit codes, signals and logs.
+// Package process implements the lifecycle of a program: exit codes, signals and logs.
 package process
 
 import (
@@ -27,29 +27,29 @@
 	ExitFailure = 1
 	// ExitUsage means that settings or arguments are invalid. No port was opened.
 	ExitUsage = 2
-	// ExitForcedShutdown means that a shutdown cut off requests in flight.
+	// ExitForcedShutdown means that a shutdown aborted requests in flight.
 	ExitForcedShutdown = 3
-	// ExitConflict means that another operator's change came first. Nothing was changed.
+	// ExitConflict means that a concurrent change took precedence. Nothing was changed.
 	ExitConflict = 4
 	// ExitUnknownOutcome means that a change may or may not have been accepted.
 	ExitUnknownOutcome = 5
-	// ExitIncomplete means that some processes did not answer.
+	// ExitIncomplete means that some processes did not respond.
 	ExitIncomplete = 6
 )
 
-// Daemon is what a program runs until it is told to stop.
+// Daemon is a server that runs until a signal stops it.
 type Daemon interface {
-	// Start begins to serve and returns.
+	// Start begins serving and returns.
 	Start() error
-	// Shutdown finishes the requests in flight. When ctx ends first, they are
-	// cut off and an error is returned.
+	// Shutdown waits for the requests in flight. If ctx ends first, it aborts them
+	// and returns an error.
 	Shutdown(ctx context.Context) error
-	// Reload reads key material again.
+	// Reload reloads key material.
 	Reload() error
 }
 
-// ParseSettings parses and validates settings and prints help or all findings.
-// Ok is false if the program must exit with the returned code.
+// ParseSettings parses and validates settings and prints the help text or all findings.
+// If ok is false, the program must exit with code.
 func ParseSettings(s *settings.Set, args []string, validate func() finding.List, stdout, stderr io.Writer) (code int, ok bool) {
 	findings, err := CheckSettings(s, args, validate, stdout)
 	if err != nil {
@@ -63,25 +63,25 @@
 }
 
 // CheckSettings parses and validates settings and returns all findings. If help
-// was asked for, it is printed and the error is flag.ErrHelp.
+// is requested, it prints the help text and returns flag.ErrHelp.
 func CheckSettings(s *settings.Set, args []string, validate func() finding.List, stdout io.Writer) (finding.List, error) {
 	findings, err := s.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		s.WriteHelp(stdout)
 		return nil, err
 	}
-	return append(findings, unreported(findings, validate())...), nil
+	return append(findings, withoutReported(findings, validate())...), nil
 }
 
-// unreported returns the later findings whose setting has none among the earlier.
-func unreported(earlier, later finding.List) finding.List {
-	known := make(map[string]bool, len(earlier))
+// withoutReported returns the findings of later for settings without one in earlier.
+func withoutReported(earlier, later finding.List) finding.List {
+	reported := make(map[string]bool, len(earlier))
 	for _, f := range earlier {
-		known[f.Place] = true
+		reported[f.Place] = true
 	}
 	var out finding.List
 	for _, f := range later {
-		if f.Place = "--" + strings.TrimPrefix(f.Place, "--"); !known[f.Place] {
+		if f.Place = "--" + strings.TrimPrefix(f.Place, "--"); !reported[f.Place] {
 			out = append(out, f)
 		}
 	}
@@ -97,9 +97,9 @@
 	return zerolog.New(w).Level(level).With().Timestamp().Str("program", program).Str("host", host).Logger()
 }
 
-// Run starts a daemon, waits for a signal and shuts down within bound. A second
-// signal ends the wait for requests in flight. SIGHUP reloads key material.
-func Run(d Daemon, log zerolog.Logger, bound time.Duration) int {
+// Run starts a daemon, waits for SIGTERM or SIGINT and shuts it down within timeout. A
+// second signal aborts the requests in flight. SIGHUP reloads key material.
+func Run(d Daemon, log zerolog.Logger, timeout time.Duration) int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -108,7 +108,7 @@
 		return ExitFailure
 	}
 	awaitStop(d, log, signals)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	go func() {
 		for sig := range signals {
@@ -118,9 +118,9 @@
 			}
 		}
 	}()
-	log.Info().Str("event", "process.stopping").Dur("bound", bound).Msg("shutting down")
+	log.Info().Str("event", "process.stopping").Dur("bound", timeout).Msg("shutting down")
 	if err := d.Shutdown(ctx); err != nil {
-		log.Error().Err(err).Str("event", "process.cut_off").Msg("shutdown cut off requests")
+		log.Error().Err(err).Str("event", "process.cut_off").Msg("shutdown aborted requests in flight")
 		return ExitForcedShutdown
 	}
 	return ExitOK
@@ -132,9 +132,9 @@
 			return
 		}
 		if err := d.Reload(); err != nil {
-			log.Error().Err(err).Str("event", "keys.reload_failed").Msg("former keys stay in use")
+			log.Error().Err(err).Str("event", "keys.reload_failed").Msg("cannot reload key material; the previous keys stay in use")
 			continue
 		}
-		log.Info().Str("event", "keys.reloaded").Msg("new connections use the new keys")
+		log.Info().Str("event", "keys.reloaded").Msg("key material reloaded; new connections use it")
 	}
 }
