--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads the settings of a program from flags and environment
-// variables. All errors are found and reported together.
+// variables and reports all errors together.
 package settings
 
 import (
@@ -18,30 +18,30 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// EnvPrefix begins the name of each environment variable.
+// EnvPrefix is the prefix of all environment variables.
 const EnvPrefix = "SISKINFORD"
 
-// Set is the set of settings of one program. Settings are registered with
-// pointers that are filled by Parse.
+// Set is the set of settings of one program. Parse stores each value through the
+// pointer with which the setting was registered.
 type Set struct {
 	program  string
 	flags    *flag.FlagSet
 	settings []*setting
 }
 
-// setting implements flag.Value. It keeps the text, so that all settings are
-// checked after all of them were read.
+// setting implements flag.Value. Set only stores the text, so that Parse reports all
+// malformed values instead of the first.
 type setting struct {
-	name     string
-	usage    string
-	unit     string
-	fallback string
-	text     string
-	given    bool
-	secret   bool
-	required bool
-	boolean  bool
-	parse    func(text string) error
+	name        string
+	usage       string
+	unit        string
+	defaultText string
+	text        string
+	given       bool
+	secret      bool
+	required    bool
+	boolean     bool
+	parse       func(text string) error
 }
 
 // String implements flag.Value.
@@ -69,17 +69,17 @@
 	return &Set{program: program, flags: flags}
 }
 
-// Option changes how a setting is treated.
+// Option modifies the handling of a setting.
 type Option func(*setting)
 
-// Required makes a setting that is not given a finding.
+// Required reports a finding if the setting is empty.
 func Required() Option { return func(s *setting) { s.required = true } }
 
-// Secret keeps the value of a setting out of the help text and of messages.
+// Secret omits the value of a setting from the help text and from findings.
 func Secret() Option { return func(s *setting) { s.secret = true } }
 
-func (s *Set) add(name, unit, fallback, usage string, parse func(string) error, options []Option) *setting {
-	setting := &setting{name: name, unit: unit, fallback: fallback, text: fallback, usage: usage, parse: parse}
+func (s *Set) register(name, unit, fallback, usage string, parse func(string) error, options []Option) *setting {
+	setting := &setting{name: name, unit: unit, defaultText: fallback, text: fallback, usage: usage, parse: parse}
 	for _, o := range options {
 		o(setting)
 	}
@@ -88,9 +88,9 @@
 	return setting
 }
 
-// String registers a text setting with the value of p as default.
+// String registers a text setting. As in all registrations, the value of p is the default.
 func (s *Set) String(p *string, name, usage string, options ...Option) {
-	s.add(name, "text", *p, usage, func(text string) error {
+	s.register(name, "text", *p, usage, func(text string) error {
 		*p = text
 		return nil
 	}, options)
@@ -98,7 +98,7 @@
 
 // Text registers a text setting of a named string type.
 func Text[T ~string](s *Set, p *T, name, usage string, options ...Option) {
-	s.add(name, "text", string(*p), usage, func(text string) error {
+	s.register(name, "text", string(*p), usage, func(text string) error {
 		*p = T(text)
 		return nil
 	}, options)
@@ -106,7 +106,7 @@
 
 // Address registers an "ip:port" setting.
 func (s *Set) Address(p *string, name, usage string, options ...Option) {
-	s.add(name, "ip:port", *p, usage, func(text string) error {
+	s.register(name, "ip:port", *p, usage, func(text string) error {
 		*p = text
 		if text == "" {
 			return nil
@@ -124,7 +124,7 @@
 
 // Duration registers a duration setting.
 func (s *Set) Duration(p *time.Duration, name, usage string, options ...Option) {
-	s.add(name, "duration", p.String(), usage, func(text string) error {
+	s.register(name, "duration", p.String(), usage, func(text string) error {
 		d, err := time.ParseDuration(text)
 		if err != nil {
 			return fmt.Errorf("%q is not a duration such as 250ms", text)
@@ -136,7 +136,7 @@
 
 // Int registers an integer setting with its unit.
 func (s *Set) Int(p *int, name, unit, usage string, options ...Option) {
-	s.add(name, unit, strconv.Itoa(*p), usage, func(text string) error {
+	s.register(name, unit, strconv.Itoa(*p), usage, func(text string) error {
 		n, err := strconv.Atoi(text)
 		if err != nil {
 			return fmt.Errorf("%q is not an integer", text)
@@ -148,7 +148,7 @@
 
 // Bool registers a boolean setting.
 func (s *Set) Bool(p *bool, name, usage string, options ...Option) {
-	setting := s.add(name, "true|false", strconv.FormatBool(*p), usage, func(text string) error {
+	setting := s.register(name, "true|false", strconv.FormatBool(*p), usage, func(text string) error {
 		b, err := strconv.ParseBool(text)
 		if err != nil {
 			return fmt.Errorf("%q is neither true nor false", text)
@@ -159,12 +159,12 @@
 	setting.boolean = true
 }
 
-// Parse reads the arguments and the environment. Flags take precedence. It
-// returns every unknown flag, malformed value and missing setting. The error is
-// flag.ErrHelp if help was asked for, and nil otherwise.
+// Parse reads the arguments and the environment. Flags take precedence. The findings
+// are all unknown flags, malformed values and missing settings. The error is
+// flag.ErrHelp if help is requested, and nil otherwise.
 func (s *Set) Parse(args []string) (finding.List, error) {
 	var findings finding.List
-	known := s.knownArgs(args, &findings)
+	known := s.removeUnknownFlags(args, &findings)
 	err := ff.Parse(s.flags, known, ff.WithEnvVarPrefix(EnvPrefix))
 	if err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -176,19 +176,19 @@
 		findings.Addf("arguments", "unexpected argument %q", rest)
 	}
 	for _, setting := range s.settings {
-		s.check(setting, &findings)
+		s.validate(setting, &findings)
 	}
 	return findings, nil
 }
 
-// knownArgs removes unknown flags from args and reports them.
-func (s *Set) knownArgs(args []string, findings *finding.List) []string {
+// removeUnknownFlags returns args without unknown flags, which it reports.
+func (s *Set) removeUnknownFlags(args []string, findings *finding.List) []string {
 	var known []string
 	for i := 0; i < len(args); i++ {
 		name, isFlag := flagName(args[i])
 		if !isFlag || name == "help" || name == "h" || s.flags.Lookup(name) != nil {
 			known = append(known, args[i])
-			if isFlag && s.takesNext(name, args[i]) && i+1 < len(args) {
+			if isFlag && s.takesNextArg(name, args[i]) && i+1 < len(args) {
 				i++
 				known = append(known, args[i])
 			}
@@ -211,7 +211,7 @@
 	return name, name != ""
 }
 
-func (s *Set) takesNext(name, arg string) bool {
+func (s *Set) takesNextArg(name, arg string) bool {
 	f := s.flags.Lookup(name)
 	if f == nil || strings.Contains(arg, "=") {
 		return false
@@ -228,7 +228,7 @@
 	return ""
 }
 
-func (s *Set) check(setting *setting, findings *finding.List) {
+func (s *Set) validate(setting *setting, findings *finding.List) {
 	place := "--" + setting.name
 	if setting.required && setting.text == "" {
 		findings.Addf(place, "is not set; give the flag or %s", EnvName(setting.name))
@@ -243,28 +243,28 @@
 	}
 }
 
-// EnvName returns the environment variable of a setting.
+// EnvName returns the name of the environment variable of a setting.
 func EnvName(name string) string {
 	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-// WriteHelp prints all settings in order of name.
+// WriteHelp prints all settings, sorted by name.
 func (s *Set) WriteHelp(w io.Writer) {
 	fmt.Fprintf(w, "Usage of %s:\n\n", s.program)
 	sorted := slices.Clone(s.settings)
 	slices.SortFunc(sorted, func(a, b *setting) int { return strings.Compare(a.name, b.name) })
 	for _, setting := range sorted {
 		fmt.Fprintf(w, "  --%s (%s, %s)\n      %s.%s\n",
-			setting.name, setting.unit, EnvName(setting.name), setting.usage, defaultText(setting))
+			setting.name, setting.unit, EnvName(setting.name), setting.usage, defaultClause(setting))
 	}
 }
 
-func defaultText(s *setting) string {
+func defaultClause(s *setting) string {
 	switch {
 	case s.required:
 		return " Required."
-	case s.secret || s.fallback == "":
+	case s.secret || s.defaultText == "":
 		return ""
 	}
-	return fmt.Sprintf(" Default: %s.", s.fallback)
+	return fmt.Sprintf(" Default: %s.", s.defaultText)
 }
