--- a/core/timeline/clock.go
+++ b/core/timeline/clock.go
@@ -51,11 +51,11 @@
 	return c.last
 }
 
-// MaxClockOffset is how far a received stamp may be ahead of the wall time. Stamps
-// beyond it are ignored, so that one wrong clock does not move all others.
+// MaxClockOffset is how far a received stamp may be ahead of the local wall time. Stamps
+// beyond it are ignored, so that one wrong clock does not advance all others.
 const MaxClockOffset = time.Minute
 
-// Observe advances the clock past a stamp received from another process.
+// Observe advances the clock to a stamp received from another process.
 func (c *Clock) Observe(s Stamp) {
 	if s.Wall > c.wall().Add(MaxClockOffset).UnixNano() {
 		return
--- a/core/timeline/clock_test.go
+++ b/core/timeline/clock_test.go
@@ -8,24 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-func at(seconds int64) func() time.Time {
+func fixedClock(seconds int64) func() time.Time {
 	return func() time.Time { return time.Unix(seconds, 0) }
 }
 
-func TestStampsFollowMessages(t *testing.T) {
-	ahead, behind := NewClock(at(30)), NewClock(at(10))
+func TestStampsAfterObserveAreLater(t *testing.T) {
+	ahead, behind := NewClock(fixedClock(30)), NewClock(fixedClock(10))
 	sent := ahead.Now()
 	behind.Observe(sent)
 	assert.Assert(t, sent.Before(behind.Now()))
 }
 
-func TestWrongClockDoesNotMoveOthers(t *testing.T) {
-	c := NewClock(at(10))
+func TestStampBeyondMaxClockOffsetIsIgnored(t *testing.T) {
+	c := NewClock(fixedClock(10))
 	c.Observe(Stamp{Wall: time.Unix(10, 0).Add(MaxClockOffset + 1).UnixNano()})
 	assert.Equal(t, c.Now(), Stamp{Wall: time.Unix(10, 0).UnixNano()})
 }
 
-// TestCausalOrder passes messages between clocks that are set wrong and go back.
+// TestCausalOrder checks that stamps follow causality between clocks that are wrong and jump back.
 func TestCausalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		walls := make([]int64, 3)
--- a/core/timeline/filter.go
+++ b/core/timeline/filter.go
@@ -7,9 +7,9 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Filter selects events. Empty fields select everything.
+// Filter selects events. Zero fields match all events.
 type Filter struct {
-	// Since is the oldest wall time in nanoseconds since the Unix epoch.
+	// Since is the earliest wall time in nanoseconds since the Unix epoch.
 	Since    int64
 	Request  id.Request
 	Endpoint id.Endpoint
@@ -18,7 +18,7 @@
 	Limit int
 }
 
-// Match reports whether e is selected, apart from Limit.
+// Match reports whether e matches all fields but Limit.
 func (f Filter) Match(e Event) bool {
 	switch {
 	case e.Stamp.Wall < f.Since:
@@ -33,7 +33,7 @@
 	return true
 }
 
-// Select returns the selected events of a ring, oldest first.
+// Select returns the events of r that f selects, oldest first.
 func Select(r *Ring, f Filter) []Event {
 	events := r.Events(f.Match)
 	if f.Limit > 0 && len(events) > f.Limit {
@@ -42,7 +42,7 @@
 	return events
 }
 
-// Sort orders events of several processes by their stamps.
+// Sort orders events of several processes by stamp, then by process.
 func Sort(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int {
 		switch {
--- a/core/timeline/log.go
+++ b/core/timeline/log.go
@@ -6,9 +6,9 @@
 	"github.com/rs/zerolog"
 )
 
-// LoggingRecorder is a Recorder that also writes events to a log. Events carry the same
-// names and IDs there. Events of requests and attempts are logged at debug level,
-// unless they tell of an outcome that is unknown or of a broken answer.
+// LoggingRecorder is a Recorder that also logs events, under the same names and IDs.
+// Unknown outcomes and broken answers are logged at level warn, other events of
+// requests and attempts at level debug.
 type LoggingRecorder struct {
 	Ring *Ring
 	Log  zerolog.Logger
--- a/core/timeline/timeline.go
+++ b/core/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline records events of a process in a bounded ring, stamped by a
-// hybrid logical clock, so that events of all processes can be merged in causal order.
+// Package timeline records events of a process in a ring buffer, stamped by a hybrid
+// logical clock, so that events of all processes can be merged in causal order.
 package timeline
 
 import (
@@ -11,7 +11,7 @@
 // Kind names the type of an event, for example "request.dispatched". Logs use the same names.
 type Kind string
 
-// Event is one entry of the time line. Secrets must not be stored in any field.
+// Event is one entry of the timeline. Fields must not contain secrets.
 type Event struct {
 	Stamp       Stamp          `json:"stamp"`
 	Process     string         `json:"process"`
@@ -38,7 +38,7 @@
 
 func (discard) Record(Event) {}
 
-// Ring keeps the most recent events of one process. It is safe for concurrent use.
+// Ring is a ring buffer of the latest events of one process. It is safe for concurrent use.
 type Ring struct {
 	process string
 	clock   *Clock
@@ -49,7 +49,7 @@
 	full   bool
 }
 
-// NewRing returns a ring that keeps up to size events of the named process.
+// NewRing returns a ring that holds up to size events of the named process.
 func NewRing(process string, size int, clock *Clock) *Ring {
 	return &Ring{process: process, clock: clock, events: make([]Event, size)}
 }
