--- a/wire/codec/codec.go
+++ b/wire/codec/codec.go
@@ -12,13 +12,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxMessageBytes bounds one encoded message without its prefix.
+// MaxMessageBytes bounds the size of one encoded message without its prefix.
 const MaxMessageBytes = 2 << 20
 
-// prefixLen is the length in bytes of the big-endian length prefix.
-const prefixLen = 4
+// prefixBytes is the length in bytes of the big-endian length prefix.
+const prefixBytes = 4
 
-// decMode rejects duplicate map keys and bounds nesting and collection sizes.
+// decMode rejects duplicate map keys and limits nesting and collection sizes.
 var decMode = mustDecMode()
 
 func mustDecMode() cbor.DecMode {
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("message of %d bytes exceeds the limit of %d", e.Bytes, MaxMessageBytes)
 }
 
-// encMode writes into the caller's buffer.
+// encMode encodes directly into the caller's buffer.
 var encMode = mustEncMode()
 
 func mustEncMode() cbor.UserBufferEncMode {
@@ -52,15 +52,15 @@
 	return mode
 }
 
-// Write encodes m with its prefix at the end of buf. On an error buf is as before.
+// Write appends m with its length prefix to buf. On an error buf is unchanged.
 func Write(buf *bytes.Buffer, m any) error {
 	start := buf.Len()
-	_, _ = buf.Write(make([]byte, prefixLen))
+	_, _ = buf.Write(make([]byte, prefixBytes))
 	if err := encMode.MarshalToBuffer(m, buf); err != nil {
 		buf.Truncate(start)
 		return errors.Wrap(err, "encode message")
 	}
-	size := buf.Len() - start - prefixLen
+	size := buf.Len() - start - prefixBytes
 	if size > MaxMessageBytes {
 		buf.Truncate(start)
 		return &TooLargeError{Bytes: size}
@@ -81,15 +81,16 @@
 	buf []byte
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{r: bufio.NewReaderSize(r, 16<<10)}
 }
 
 // Next decodes the next message into m, which must be a pointer to a zero value.
-// It blocks until a whole message has arrived. The error is io.EOF at a clean end.
+// It blocks until a whole message has arrived. The error is io.EOF if the stream ends
+// between messages.
 func (d *Reader) Next(m any) error {
-	var prefix [prefixLen]byte
+	var prefix [prefixBytes]byte
 	if _, err := io.ReadFull(d.r, prefix[:]); err != nil {
 		return err
 	}
--- a/wire/codec/fuzz_test.go
+++ b/wire/codec/fuzz_test.go
@@ -16,8 +16,7 @@
 	f.Add(b.Bytes())
 }
 
-// FuzzReader reads messages until the first error. What was decoded must encode
-// and decode to the same again.
+// FuzzReader checks that each message decoded from arbitrary bytes survives a round trip.
 func FuzzReader(f *testing.F) {
 	seed(f, &msg.Order{ID: 1, Dispatch: &msg.Dispatch{Request: "req_1", Chat: &msg.Chat{Model: "m"}}})
 	seed(f, &msg.Order{ID: 2, Events: &msg.EventsOrder{Since: 5}})
