--- a/wire/keys/authority.go
+++ b/wire/keys/authority.go
@@ -16,10 +16,10 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// clockSkew is how far in the past new certificates begin to be valid.
+// clockSkew backdates new certificates for peers whose clock is behind.
 const clockSkew = 5 * time.Minute
 
-// Authority signs certificates for development and tests.
+// Authority is a certificate authority for development and tests.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -47,13 +47,13 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "parse authority certificate")
 	}
-	return &Authority{cert: cert, key: key, pem: encode("CERTIFICATE", der)}, nil
+	return &Authority{cert: cert, key: key, pem: encodePEM("CERTIFICATE", der)}, nil
 }
 
-// PEM returns the authority's certificate.
+// PEM returns the authority's certificate as PEM text.
 func (a *Authority) PEM() string { return a.pem }
 
-// Issue creates the key material of a process.
+// Issue creates a key and a signed certificate for a process.
 func (a *Authority) Issue(role Role, host id.Host, valid time.Duration) (Config, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -76,8 +76,8 @@
 		return Config{}, errors.Wrap(err, "encode key")
 	}
 	return Config{
-		Certificate: encode("CERTIFICATE", der),
-		Key:         encode("PRIVATE KEY", keyDER),
+		Certificate: encodePEM("CERTIFICATE", der),
+		Key:         encodePEM("PRIVATE KEY", keyDER),
 		Authority:   a.pem,
 	}, nil
 }
@@ -96,6 +96,6 @@
 	}, nil
 }
 
-func encode(kind string, der []byte) string {
-	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
+func encodePEM(blockType string, der []byte) string {
+	return string(pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}))
 }
--- a/wire/keys/keys.go
+++ b/wire/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys provides the TLS identities of the system's processes. Each
-// certificate carries the role and host of its process in a URI name.
+// Package keys provides mutual TLS between processes. Each certificate carries the role
+// and host of its process in a URI name.
 package keys
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Role is what a process may do in the system.
+// Role is the role of a process, by which peers authorize it.
 type Role string
 
 const (
@@ -29,28 +29,29 @@
 // uriScheme is the scheme of the URI name in certificates.
 const uriScheme = "siskinford"
 
-// protocol is the ALPN identifier of connections between processes of the system.
-const protocol = "siskinford/1"
+// alpnProtocol is the ALPN identifier of connections between processes.
+const alpnProtocol = "siskinford/1"
 
-// serverName is the DNS name in every certificate. Identity is checked by role, not by name.
+// serverName is the DNS name in every certificate. Peers are verified by role, not by name.
 const serverName = "siskinford.internal"
 
-// Config names the key material. Each value is either PEM text or the path of a PEM file.
+// Config locates the key material. Each value is PEM text or the path of a PEM file.
 type Config struct {
 	// Certificate is the certificate chain of this process.
 	Certificate string
 	// Key is the private key of the certificate.
 	Key string
-	// Authority holds the certificates that sign peers. It may hold several during a rotation.
+	// Authority holds the certificates of the authorities that sign peers, several of
+	// them during a rotation.
 	Authority string
 }
 
-// Validate reports what is missing or malformed.
+// Validate reports all missing and malformed values.
 func (c Config) Validate() finding.List {
 	var l finding.List
-	certificate, certificateErr := read("certificate", c.Certificate)
-	key, keyErr := read("key", c.Key)
-	authority, authorityErr := read("authority", c.Authority)
+	certificate, certificateErr := readPEM("certificate", c.Certificate)
+	key, keyErr := readPEM("key", c.Key)
+	authority, authorityErr := readPEM("authority", c.Authority)
 	for _, f := range []struct {
 		place string
 		err   error
@@ -70,7 +71,8 @@
 	return l
 }
 
-// Credentials holds the current key material. It is safe for concurrent use.
+// Credentials holds the current certificate, key and authorities of a process. It is safe
+// for concurrent use.
 type Credentials struct {
 	config  Config
 	current atomic.Pointer[material]
@@ -81,7 +83,7 @@
 	authority   *x509.CertPool
 }
 
-// New loads the key material.
+// New returns credentials with the key material that c locates.
 func New(c Config) (*Credentials, error) {
 	r := &Credentials{config: c}
 	if err := r.Reload(); err != nil {
@@ -90,10 +92,10 @@
 	return r, nil
 }
 
-// Reload reads the key material again. New connections use it at once. On an
-// error the former material stays in use.
+// Reload reloads the key material for new connections. On an error the previous
+// material stays in use.
 func (r *Credentials) Reload() error {
-	m, err := load(r.config)
+	m, err := loadMaterial(r.config)
 	if err != nil {
 		return err
 	}
@@ -101,16 +103,16 @@
 	return nil
 }
 
-func load(c Config) (*material, error) {
-	cert, err := read("certificate", c.Certificate)
+func loadMaterial(c Config) (*material, error) {
+	cert, err := readPEM("certificate", c.Certificate)
 	if err != nil {
 		return nil, err
 	}
-	key, err := read("key", c.Key)
+	key, err := readPEM("key", c.Key)
 	if err != nil {
 		return nil, err
 	}
-	authority, err := read("authority", c.Authority)
+	authority, err := readPEM("authority", c.Authority)
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +127,7 @@
 	return &material{certificate: pair, authority: pool}, nil
 }
 
-func read(name, value string) ([]byte, error) {
+func readPEM(name, value string) ([]byte, error) {
 	if value == "" {
 		return nil, errors.Newf("%s is not set", name)
 	}
@@ -136,7 +138,8 @@
 	return data, errors.Wrapf(err, "read %s", name)
 }
 
-// ServerConfig returns the TLS configuration of a listener that accepts the given roles.
+// ServerConfig returns the TLS configuration of a listener that accepts peers of the given
+// roles. It follows Reload.
 func (r *Credentials) ServerConfig(accept ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -144,7 +147,7 @@
 			m := r.current.Load()
 			return &tls.Config{
 				MinVersion:             tls.VersionTLS13,
-				NextProtos:             []string{protocol},
+				NextProtos:             []string{alpnProtocol},
 				Certificates:           []tls.Certificate{m.certificate},
 				ClientAuth:             tls.RequireAndVerifyClientCert,
 				ClientCAs:              m.authority,
@@ -152,16 +155,17 @@
 				VerifyConnection:       verifyRole(accept),
 			}, nil
 		},
-		NextProtos: []string{protocol},
+		NextProtos: []string{alpnProtocol},
 	}
 }
 
-// ClientConfig returns the TLS configuration for dialing a process of the given roles.
+// ClientConfig returns the TLS configuration for dialing peers of the given roles, with the
+// current key material.
 func (r *Credentials) ClientConfig(accept ...Role) *tls.Config {
 	m := r.current.Load()
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
-		NextProtos:             []string{protocol},
+		NextProtos:             []string{alpnProtocol},
 		Certificates:           []tls.Certificate{m.certificate},
 		RootCAs:                m.authority,
 		ServerName:             serverName,
@@ -195,7 +199,7 @@
 			return Role(u.Host), id.Host(strings.TrimPrefix(u.Path, "/")), nil
 		}
 	}
-	return "", "", errors.New("peer certificate names no role")
+	return "", "", errors.New("peer certificate has no URI name with a role")
 }
 
 // RoleError reports a peer whose role is not accepted.
--- a/wire/keys/pinned.go
+++ b/wire/keys/pinned.go
@@ -17,22 +17,22 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// pinnedValidity exceeds the life of any process. Validity is not checked, as
-// the time of day may jump.
+// pinnedValidity exceeds the lifetime of any process. Peers do not check it, as clocks
+// may jump.
 const pinnedValidity = 10 * 365 * 24 * time.Hour
 
-// TrustFunc decides whether a peer is accepted that presents a certificate with a
-// fingerprint. The remote address is nil when dialing. It must not block.
+// TrustFunc reports whether to accept a peer whose certificate has the fingerprint.
+// Remote is nil when dialing. It must not block.
 type TrustFunc func(host id.Host, fingerprint string, remote net.Addr) bool
 
-// PinnedIdentity is the identity of a process whose key nobody signs: it is made anew at
-// each start, and peers know it by its fingerprint.
+// PinnedIdentity is a self-signed certificate, created at each start of a process, that
+// peers verify by its fingerprint.
 type PinnedIdentity struct {
 	certificate tls.Certificate
 	fingerprint string
 }
 
-// NewPinnedIdentity creates an identity.
+// NewPinnedIdentity creates a key and a self-signed certificate.
 func NewPinnedIdentity(role Role, host id.Host) (*PinnedIdentity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -63,11 +63,11 @@
 // Fingerprint returns the SHA-256 of the certificate in hexadecimal.
 func (p *PinnedIdentity) Fingerprint() string { return p.fingerprint }
 
-// ServerConfig returns the TLS configuration of a listener that accepts trusted peers of a role.
+// ServerConfig returns the TLS configuration of a listener for trusted peers of a role.
 func (p *PinnedIdentity) ServerConfig(accept Role, trust TrustFunc) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		NextProtos: []string{protocol},
+		NextProtos: []string{alpnProtocol},
 		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
 			var remote net.Addr
 			if hello.Conn != nil {
@@ -84,14 +84,14 @@
 func (p *PinnedIdentity) ClientConfig(accept Role, trust TrustFunc) *tls.Config {
 	c := p.config(accept, trust, nil)
 	c.ServerName = serverName
-	c.InsecureSkipVerify = true // VerifyConnection decides by the fingerprint.
+	c.InsecureSkipVerify = true // VerifyConnection verifies the fingerprint.
 	return c
 }
 
 func (p *PinnedIdentity) config(accept Role, trust TrustFunc, remote net.Addr) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
-		NextProtos:             []string{protocol},
+		NextProtos:             []string{alpnProtocol},
 		Certificates:           []tls.Certificate{p.certificate},
 		SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
@@ -103,7 +103,7 @@
 				return &RoleError{Role: role, Host: host, Accept: []Role{accept}}
 			}
 			if !trust(host, fingerprint(s.PeerCertificates[0].Raw), remote) {
-				return errors.Newf("host %q is not known by its certificate", string(host))
+				return errors.Newf("certificate of host %q has an untrusted fingerprint", string(host))
 			}
 			return nil
 		},
