--- a/wire/link/config.go
+++ b/wire/link/config.go
@@ -1,6 +1,6 @@
-// Package link connects processes of the system over QUIC. One side sends orders,
-// the listening side answers with replies. All messages of a connection share one
-// stream, so that messages written at the same time leave in one packet.
+// Package link connects processes over QUIC. The dialing side sends orders, the
+// listening side replies. All messages of a connection share one stream, so that
+// messages written at the same time are sent in one packet.
 package link
 
 import (
@@ -12,39 +12,38 @@
 	"github.com/siskinford/siskinford/core/timeline"
 )
 
-// Config sets the bounds of connections.
+// Config configures connections.
 type Config struct {
-	// LocalIP is the address from which connections are dialed, so that the peer
-	// sees the host's own one. Default: the system's choice.
+	// LocalIP is the local address of dialed connections, by which peers identify the
+	// host. Default: chosen by the operating system.
 	LocalIP string
-	// DialTimeout bounds the time until a new connection is usable. Default: 1 s.
+	// DialTimeout bounds the setup of a connection. Default: 1 s.
 	DialTimeout time.Duration
 	// ProbeInterval is the time without any message after which a client sends
 	// an application probe, and the time between probes. Default: 500 ms.
 	ProbeInterval time.Duration
-	// SilenceTimeout is the time without any message after which a client
-	// abandons a connection. Default: 1.5 s.
+	// SilenceTimeout is the time without any message after which a client closes a
+	// connection. Default: 1.5 s.
 	SilenceTimeout time.Duration
 	// IdleProbeInterval and IdleSilenceTimeout replace ProbeInterval and
-	// SilenceTimeout while no call but a subscription is open. Defaults: 1.75 s
-	// and 2.75 s.
+	// SilenceTimeout while only subscriptions are open. Defaults: 1.75 s and 2.75 s.
 	IdleProbeInterval  time.Duration
 	IdleSilenceTimeout time.Duration
 	// IdleTimeout is the time without any packet after which a listener closes
 	// a connection. Default: 10 s.
 	IdleTimeout time.Duration
-	// MaxQueuedBytes bounds the encoded messages that wait for being sent on
-	// one connection. A connection that exceeds it is closed. Default: 64 MiB.
+	// MaxQueuedBytes bounds the send queue of a connection. A client's sends fail beyond
+	// it, and a listener closes the connection. Default: 64 MiB.
 	MaxQueuedBytes int
-	// WriterYields is the number of times that a writer lets other goroutines
-	// add messages before it sends a batch. Default: 4.
+	// WriterYields is how often a writer yields to goroutines that queue messages before
+	// it sends a batch. Default: 4.
 	WriterYields int
-	// Clock stamps messages and observes the stamps of received ones, so that
-	// events of several processes are in causal order. Nil does neither.
+	// Clock stamps messages and observes the stamps of received ones, so that events of
+	// several processes are in causal order. Nil disables stamps.
 	Clock *timeline.Clock
 }
 
-// stamp returns the stamp for a message, or nil.
+// stamp returns the stamp for a message, or nil without a clock.
 func (c Config) stamp() *timeline.Stamp {
 	if c.Clock == nil {
 		return nil
@@ -53,7 +52,7 @@
 	return &s
 }
 
-// observe takes in the stamp of a received message, which may be nil.
+// observe advances the clock to the stamp of a received message, which may be nil.
 func (c Config) observe(s *timeline.Stamp) {
 	if c.Clock != nil && s != nil {
 		c.Clock.Observe(*s)
@@ -74,8 +73,8 @@
 	}
 }
 
-// PeerConfig returns the defaults for connections between entries. Membership
-// watches over them, so that idle ones are not probed.
+// PeerConfig returns the defaults for connections between entries. Idle ones are not
+// probed, as the membership protocol detects failed entries.
 func PeerConfig() Config {
 	c := DefaultConfig()
 	c.IdleProbeInterval = 10 * time.Minute
--- a/wire/link/conn.go
+++ b/wire/link/conn.go
@@ -16,20 +16,20 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// ReplyHandler receives what becomes of an order. Its methods are called on the
-// reader goroutine of the connection and must not block.
+// ReplyHandler receives the replies to an order. Its methods must not block, as Reply is
+// called on the reader goroutine of the connection.
 type ReplyHandler interface {
 	// Reply is called for each reply to the order.
 	Reply(r *msg.Reply)
 	// Lost is called once if the connection ends before the call is released.
-	// Sent is false only if no byte of the order can have left this process.
+	// Sent is false only if no byte of the order can have been sent.
 	Lost(sent bool, cause error)
 }
 
-// ErrClosed is the cause of messages sent on a connection that was closed locally.
+// ErrClosed reports a connection that was closed locally.
 var ErrClosed = errors.New("connection was closed")
 
-// SilentError reports a connection on which nothing arrived although it was probed.
+// SilentError reports a connection on which probes were not answered.
 type SilentError struct {
 	Address string
 	Silence time.Duration
@@ -50,29 +50,29 @@
 	started      time.Time
 	done         chan struct{}
 
-	// mu is taken before outbox.mu. No Waiter is called while it is held.
+	// mu is locked before outbox.mu. No ReplyHandler is called while it is held.
 	mu     sync.Mutex
 	nextID uint64
 	calls  map[uint64]*Call
-	// open counts the calls that are no subscriptions; openSince is when the
-	// first of them was sent.
-	open      int
+	// openCalls counts the calls but subscriptions; openSince is when the first of them
+	// was sent.
+	openCalls int
 	openSince time.Time
 	cause     error
 }
 
-// Call is an order that waits for replies.
+// Call is an order whose replies are delivered until Release.
 type Call struct {
 	conn     *Conn
 	id       uint64
 	position uint64
-	waiter   ReplyHandler
-	// subscription is true for a call that stays open without being waited for.
+	handler  ReplyHandler
+	// subscription is true for a call that stays open without a reply being due.
 	subscription bool
 }
 
-// dial connects to address from a new local port, so that a path on which an
-// older connection went silent is not used again.
+// dial connects to address from a new local port, to avoid the network path of an
+// earlier connection that went silent.
 func dial(ctx context.Context, address string, t *tls.Config, c Config) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.DialTimeout)
 	defer cancel()
@@ -85,7 +85,7 @@
 		_ = transport.Close()
 		_ = socket.Close()
 	}
-	q, stream, err := open(ctx, transport, address, t, c)
+	q, stream, err := openStream(ctx, transport, address, t, c)
 	if err != nil {
 		release()
 		return nil, err
@@ -102,12 +102,12 @@
 	}
 	go func() { conn.end(conn.out.run(stream)) }()
 	go func() { conn.end(conn.read(stream)) }()
-	go conn.probe()
+	go conn.probeWhileSilent()
 	return conn, nil
 }
 
-// open connects and opens the stream that carries all messages.
-func open(ctx context.Context, transport *quic.Transport, address string, t *tls.Config, c Config) (*quic.Conn, *quic.Stream, error) {
+// openStream connects and opens the stream that carries all messages.
+func openStream(ctx context.Context, transport *quic.Transport, address string, t *tls.Config, c Config) (*quic.Conn, *quic.Stream, error) {
 	remote, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, nil, errors.Wrapf(err, "address %s", address)
@@ -127,13 +127,13 @@
 // Address returns the address that was dialed.
 func (c *Conn) Address() string { return c.address }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection ends.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Send queues an order and sets its ID. It does not wait for the peer. An error
-// means that no byte of the order left; the waiter is then not called.
-func (c *Conn) Send(o *msg.Order, w ReplyHandler) (*Call, error) {
-	call := &Call{conn: c, waiter: w, subscription: o.Reports != nil}
+// Send queues an order and sets its ID. It does not wait for the peer. After an error
+// no byte of the order was sent and h is not called.
+func (c *Conn) Send(o *msg.Order, h ReplyHandler) (*Call, error) {
+	call := &Call{conn: c, handler: h, subscription: o.Reports != nil}
 	o.Stamp = c.config.stamp()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,28 +143,28 @@
 	c.nextID++
 	o.ID = c.nextID
 	call.id = o.ID
-	position, err := c.out.put(o)
+	position, err := c.out.enqueue(o)
 	if err != nil {
 		return nil, err
 	}
 	call.position = position
-	c.add(call)
+	c.registerCall(call)
 	return call, nil
 }
 
-// add registers a call. The caller holds c.mu.
-func (c *Conn) add(call *Call) {
+// registerCall requires c.mu.
+func (c *Conn) registerCall(call *Call) {
 	c.calls[call.id] = call
 	if call.subscription {
 		return
 	}
-	if c.open == 0 {
+	if c.openCalls == 0 {
 		c.openSince = time.Now()
 	}
-	c.open++
+	c.openCalls++
 }
 
-// Release stops the delivery of replies. It may be called several times.
+// Release ends the delivery of replies. It is idempotent.
 func (c *Call) Release() {
 	c.conn.mu.Lock()
 	defer c.conn.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 	delete(c.conn.calls, c.id)
 	if !c.subscription {
-		c.conn.open--
+		c.conn.openCalls--
 	}
 }
 
@@ -193,10 +193,10 @@
 	}
 }
 
-// Close ends the connection. Calls in progress are lost.
+// Close ends the connection. Handlers of open calls receive Lost.
 func (c *Conn) Close() { c.end(ErrClosed) }
 
-// end closes the connection once and tells the waiters.
+// end closes the connection once and notifies the handlers of open calls.
 func (c *Conn) end(cause error) {
 	if cause == nil {
 		cause = ErrClosed
@@ -215,7 +215,7 @@
 	_ = c.quic.CloseWithError(0, "")
 	close(c.done)
 	for _, call := range calls {
-		call.waiter.Lost(c.out.sent(call.position), cause)
+		call.handler.Lost(c.out.maybeSent(call.position), cause)
 	}
 }
 
@@ -228,23 +228,23 @@
 		}
 		c.lastReceived.Store(int64(time.Since(c.started)))
 		c.config.observe(reply.Stamp)
-		if w := c.waiter(reply.ID); w != nil {
-			w.Reply(reply)
+		if h := c.handlerOf(reply.ID); h != nil {
+			h.Reply(reply)
 		}
 	}
 }
 
-func (c *Conn) waiter(id uint64) ReplyHandler {
+func (c *Conn) handlerOf(id uint64) ReplyHandler {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call, ok := c.calls[id]; ok {
-		return call.waiter
+		return call.handler
 	}
 	return nil
 }
 
-// probe verifies that messages still arrive and abandons the connection otherwise.
-func (c *Conn) probe() {
+// probeWhileSilent probes a silent connection and closes it if the silence lasts.
+func (c *Conn) probeWhileSilent() {
 	ticker := time.NewTicker(c.config.ProbeInterval)
 	defer ticker.Stop()
 	var lastProbe time.Time
@@ -262,24 +262,24 @@
 		}
 		if silence > interval && now.Sub(lastProbe) >= interval {
 			lastProbe = now
-			_, _ = c.out.put(&msg.Order{Probe: &msg.Probe{}})
+			_, _ = c.out.enqueue(&msg.Order{Probe: &msg.Probe{}})
 		}
 	}
 }
 
-// liveness returns the bounds in force and the time without any message. While
-// calls are open the silence counts from the first of them at the earliest.
+// liveness returns the applicable bounds and the time without any message, which
+// while calls are open does not count from before the first of them.
 func (c *Conn) liveness(now time.Time) (interval, timeout, silence time.Duration) {
 	silence = now.Sub(c.started) - time.Duration(c.lastReceived.Load())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == 0 {
+	if c.openCalls == 0 {
 		return c.config.IdleProbeInterval, c.config.IdleSilenceTimeout, silence
 	}
 	return c.config.ProbeInterval, c.config.SilenceTimeout, min(silence, now.Sub(c.openSince))
 }
 
-// singleReply is a Waiter for one reply.
+// singleReply is a ReplyHandler that keeps the first reply.
 type singleReply struct {
 	once  sync.Once
 	done  chan struct{}
@@ -287,11 +287,11 @@
 	err   error
 }
 
-func (w *singleReply) Reply(r *msg.Reply) { w.finish(r, nil) }
+func (w *singleReply) Reply(r *msg.Reply) { w.resolve(r, nil) }
 
-func (w *singleReply) Lost(_ bool, cause error) { w.finish(nil, cause) }
+func (w *singleReply) Lost(_ bool, cause error) { w.resolve(nil, cause) }
 
-func (w *singleReply) finish(r *msg.Reply, err error) {
+func (w *singleReply) resolve(r *msg.Reply, err error) {
 	w.once.Do(func() {
 		w.reply, w.err = r, err
 		close(w.done)
--- a/wire/link/link_test.go
+++ b/wire/link/link_test.go
@@ -18,7 +18,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// echo answers each ticket order with the team's name.
+// echo replies to each ticket order with the name of the team.
 type echo struct{}
 
 func (echo) Order(s *Session, o *msg.Order) {
@@ -43,8 +43,8 @@
 	t.Helper()
 	authority, err := keys.NewAuthority(time.Hour)
 	assert.NilError(t, err)
-	agent := ring(t, authority, keys.RoleAgent)
-	dialer := ring(t, authority, dialerRole)
+	agent := issueCredentials(t, authority, keys.RoleAgent)
+	dialer := issueCredentials(t, authority, dialerRole)
 	server, err := Listen("127.0.0.1:0", agent.ServerConfig(keys.RoleEntry), DefaultConfig(), echo{})
 	assert.NilError(t, err)
 	f := &fixture{server: server, keys: agent, tls: func() *tls.Config { return dialer.ClientConfig(keys.RoleAgent) }}
@@ -56,7 +56,7 @@
 	return f
 }
 
-func ring(t *testing.T, a *keys.Authority, role keys.Role) *keys.Credentials {
+func issueCredentials(t *testing.T, a *keys.Authority, role keys.Role) *keys.Credentials {
 	t.Helper()
 	material, err := a.Issue(role, "host", time.Hour)
 	assert.NilError(t, err)
@@ -71,7 +71,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestRepliesBelongToTheirOrder(t *testing.T) {
+func TestRepliesMatchTheirOrder(t *testing.T) {
 	f := newFixture(t, keys.RoleEntry)
 	conn, err := f.pool.Conn(context.Background(), f.server.Address())
 	assert.NilError(t, err)
@@ -96,7 +96,7 @@
 	if err == nil {
 		_, err = conn.Call(context.Background(), ticketOrder("a"))
 	}
-	assert.Assert(t, err != nil, "a host with the role of an agent must not give orders to an agent")
+	assert.Assert(t, err != nil, "a peer with the role of an agent must not send orders to an agent")
 }
 
 func TestPoolKeepsOneConnectionPerAddress(t *testing.T) {
@@ -114,7 +114,7 @@
 	assert.NilError(t, err)
 }
 
-// lossRecorder keeps what a Waiter was told.
+// lossRecorder records the calls of Lost.
 type lossRecorder struct {
 	lost chan bool
 }
@@ -130,10 +130,10 @@
 	w := &lossRecorder{lost: make(chan bool, 2)}
 	_, err = conn.Send(&msg.Order{Inquire: &msg.Inquire{}}, w)
 	assert.NilError(t, err)
-	_, err = conn.Call(context.Background(), ticketOrder("a")) // the first order has left
+	_, err = conn.Call(context.Background(), ticketOrder("a")) // the first order was sent
 	assert.NilError(t, err)
 	conn.Close()
-	assert.Assert(t, <-w.lost, "a byte of the order has left")
+	assert.Assert(t, <-w.lost, "a sent order must be reported as sent")
 	assert.Equal(t, len(w.lost), 0)
 	_, err = conn.Send(ticketOrder("a"), w)
 	assert.ErrorIs(t, err, ErrClosed)
@@ -141,23 +141,23 @@
 
 func TestOutboxKnowsWhatLeft(t *testing.T) {
 	o := newOutbox(DefaultConfig())
-	first, err := o.put(ticketOrder("a"))
+	first, err := o.enqueue(ticketOrder("a"))
 	assert.NilError(t, err)
-	_, err = o.take()
+	_, err = o.nextBatch()
 	assert.NilError(t, err)
-	second, err := o.put(ticketOrder("b"))
+	second, err := o.enqueue(ticketOrder("b"))
 	assert.NilError(t, err)
-	assert.Assert(t, o.sent(first))
-	assert.Assert(t, !o.sent(second))
+	assert.Assert(t, o.maybeSent(first))
+	assert.Assert(t, !o.maybeSent(second))
 }
 
 func TestOutboxIsBounded(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxQueuedBytes = 1
 	o := newOutbox(c)
-	_, err := o.put(ticketOrder("a"))
+	_, err := o.enqueue(ticketOrder("a"))
 	assert.NilError(t, err)
-	_, err = o.put(ticketOrder("b"))
+	_, err = o.enqueue(ticketOrder("b"))
 	var full *QueueFullError
 	assert.Assert(t, errors.As(err, &full))
 }
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestAddressIsFreeAfterClose(t *testing.T) {
+func TestAddressIsReusableAfterClose(t *testing.T) {
 	f := newFixture(t, keys.RoleEntry)
 	address := f.server.Address()
 	for range 5 {
@@ -187,14 +187,14 @@
 		assert.NilError(t, err)
 		f.server.Close()
 		server, err := Listen(address, f.keys.ServerConfig(keys.RoleEntry), DefaultConfig(), echo{})
-		assert.NilError(t, err, "a restarted agent listens at its former address")
+		assert.NilError(t, err, "a restarted agent must be able to reuse its address")
 		f.server = server
 		f.pool.Close()
 		f.pool = NewPool(DefaultConfig(), f.tls)
 	}
 }
 
-// burst answers each order with many large replies.
+// burst sends many large replies to each order.
 type burst struct {
 	echo
 	queued chan struct{}
@@ -210,25 +210,25 @@
 	}
 }
 
-// slowReader counts replies and takes its time.
-type slowReader struct {
+// slowReplyHandler counts replies, each after a delay.
+type slowReplyHandler struct {
 	got  atomic.Int64
 	lost chan struct{}
 }
 
-func (r *slowReader) Reply(*msg.Reply) {
+func (r *slowReplyHandler) Reply(*msg.Reply) {
 	time.Sleep(time.Millisecond)
 	r.got.Add(1)
 }
 
-func (r *slowReader) Lost(bool, error) { close(r.lost) }
+func (r *slowReplyHandler) Lost(bool, error) { close(r.lost) }
 
-// TestCloseDeliversWhatIsQueued names the pattern "an agent stops when its last
-// answer has ended": the end of the answer is on its way to a busy entry.
+// TestCloseDeliversWhatIsQueued guards against the loss of queued replies when an agent
+// stops after its last response, while the entry is slow to read.
 func TestCloseDeliversWhatIsQueued(t *testing.T) {
 	authority, err := keys.NewAuthority(time.Hour)
 	assert.NilError(t, err)
-	agent, dialer := ring(t, authority, keys.RoleAgent), ring(t, authority, keys.RoleEntry)
+	agent, dialer := issueCredentials(t, authority, keys.RoleAgent), issueCredentials(t, authority, keys.RoleEntry)
 	b := burst{queued: make(chan struct{})}
 	server, err := Listen("127.0.0.1:0", agent.ServerConfig(keys.RoleEntry), DefaultConfig(), b)
 	assert.NilError(t, err)
@@ -236,7 +236,7 @@
 	defer pool.Close()
 	conn, err := pool.Conn(context.Background(), server.Address())
 	assert.NilError(t, err)
-	r := &slowReader{lost: make(chan struct{})}
+	r := &slowReplyHandler{lost: make(chan struct{})}
 	_, err = conn.Send(ticketOrder("a"), r)
 	assert.NilError(t, err)
 	<-b.queued
--- a/wire/link/outbox.go
+++ b/wire/link/outbox.go
@@ -10,21 +10,21 @@
 	"github.com/siskinford/siskinford/wire/codec"
 )
 
-// maxKeptBuffer is the capacity in bytes up to which a sent buffer is used again.
-const maxKeptBuffer = 1 << 20
+// maxReusedBufferBytes is the capacity up to which a written buffer is reused.
+const maxReusedBufferBytes = 1 << 20
 
-// outbox collects encoded messages and writes them in batches.
+// outbox is the send queue of a connection. It encodes messages and writes them in batches.
 type outbox struct {
 	maxBytes int
 	yields   int
 
-	mu     sync.Mutex
-	cond   *sync.Cond
-	buf    *bytes.Buffer
-	spare  *bytes.Buffer
-	queued uint64 // bytes ever put into buf
-	taken  uint64 // bytes ever handed to the writer
-	closed error
+	mu            sync.Mutex
+	cond          *sync.Cond
+	buf           *bytes.Buffer
+	spare         *bytes.Buffer
+	enqueuedBytes uint64 // total
+	dequeuedBytes uint64 // total, passed to the writer
+	closeCause    error
 }
 
 func newOutbox(c Config) *outbox {
@@ -33,19 +33,20 @@
 	return o
 }
 
-// QueueFullError reports a connection whose peer does not take its messages.
+// QueueFullError reports a full send queue, whose peer does not read.
 type QueueFullError struct{ Bytes int }
 
 func (e *QueueFullError) Error() string {
-	return fmt.Sprintf("%d bytes wait for being sent", e.Bytes)
+	return fmt.Sprintf("send queue is full: %d bytes queued", e.Bytes)
 }
 
-// put encodes m for sending and returns its position. It does not block on the peer.
-func (o *outbox) put(m any) (position uint64, err error) {
+// enqueue encodes m and returns its position in bytes since the start of the connection.
+// It does not wait for the peer.
+func (o *outbox) enqueue(m any) (position uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed != nil {
-		return 0, o.closed
+	if o.closeCause != nil {
+		return 0, o.closeCause
 	}
 	before := o.buf.Len()
 	if before > o.maxBytes {
@@ -54,25 +55,25 @@
 	if err := codec.Write(o.buf, m); err != nil {
 		return 0, err
 	}
-	position = o.queued
-	o.queued += uint64(o.buf.Len() - before)
+	position = o.enqueuedBytes
+	o.enqueuedBytes += uint64(o.buf.Len() - before)
 	if before == 0 {
 		o.cond.Signal()
 	}
 	return position, nil
 }
 
-// sent reports whether a byte of the message at position may have left.
-func (o *outbox) sent(position uint64) bool {
+// maybeSent reports whether a byte of the message at position may have been sent.
+func (o *outbox) maybeSent(position uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return position < o.taken
+	return position < o.dequeuedBytes
 }
 
 // run writes batches to w until the outbox is closed or a write fails.
 func (o *outbox) run(w io.Writer) error {
 	for {
-		batch, err := o.take()
+		batch, err := o.nextBatch()
 		if err != nil {
 			return err
 		}
@@ -83,13 +84,13 @@
 	}
 }
 
-// take waits for messages. After close it still returns those queued before.
-func (o *outbox) take() (*bytes.Buffer, error) {
+// nextBatch waits for messages. After close it first returns the remaining ones.
+func (o *outbox) nextBatch() (*bytes.Buffer, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for o.buf.Len() == 0 {
-		if o.closed != nil {
-			return nil, o.closed
+		if o.closeCause != nil {
+			return nil, o.closeCause
 		}
 		o.cond.Wait()
 	}
@@ -99,12 +100,12 @@
 	batch := o.buf
 	o.buf = o.spare
 	o.spare = nil
-	o.taken = o.queued
+	o.dequeuedBytes = o.enqueuedBytes
 	return batch, nil
 }
 
-// yield lets goroutines that are ready to run put their messages into the batch.
-// It does not sleep: the runtime's timers are too coarse for that.
+// yield lets runnable goroutines add their messages to the batch. It does not sleep, as
+// the runtime's timers are too coarse.
 func yield(times int) {
 	for range times {
 		runtime.Gosched()
@@ -112,7 +113,7 @@
 }
 
 func (o *outbox) recycle(batch *bytes.Buffer) {
-	if batch.Cap() > maxKeptBuffer {
+	if batch.Cap() > maxReusedBufferBytes {
 		batch = new(bytes.Buffer)
 	}
 	batch.Reset()
@@ -121,12 +122,12 @@
 	o.mu.Unlock()
 }
 
-// close makes further puts fail with cause. Messages queued before are still written.
+// close makes enqueue fail with cause. Queued messages are still written.
 func (o *outbox) close(cause error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed == nil {
-		o.closed = cause
+	if o.closeCause == nil {
+		o.closeCause = cause
 	}
 	o.cond.Broadcast()
 }
--- a/wire/link/pool.go
+++ b/wire/link/pool.go
@@ -13,18 +13,18 @@
 	config Config
 	tls    func() *tls.Config
 	dials  singleflight.Group
-	// ctx ends dials in progress when the pool is closed.
+	// ctx cancels dials in progress when the pool is closed.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	// mu is a leaf lock.
-	mu     sync.Mutex
-	conns  map[string]*Conn
-	ended  Traffic // of connections that have ended
-	closed bool
+	mu           sync.Mutex
+	conns        map[string]*Conn
+	endedTraffic Traffic
+	closed       bool
 }
 
-// NewPool returns a pool that dials with the TLS configuration that tls returns.
+// NewPool returns a pool. Each dial uses the configuration that tls returns.
 func NewPool(c Config, tls func() *tls.Config) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{config: c, tls: tls, ctx: ctx, cancel: cancel, conns: make(map[string]*Conn)}
@@ -37,8 +37,8 @@
 	return p.conns[address]
 }
 
-// Conn returns a live connection to address and dials if there is none. It
-// blocks up to the dial timeout.
+// Conn returns the live connection to address, or dials one. It blocks up to the dial
+// timeout.
 func (p *Pool) Conn(ctx context.Context, address string) (*Conn, error) {
 	if c := p.Existing(address); c != nil {
 		return c, nil
@@ -70,22 +70,22 @@
 		return nil, ErrClosed
 	}
 	p.conns[address] = c
-	go p.forget(c)
+	go p.removeWhenDone(c)
 	return c, nil
 }
 
-func (p *Pool) forget(c *Conn) {
+func (p *Pool) removeWhenDone(c *Conn) {
 	<-c.Done()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended.add(c.traffic())
+	p.endedTraffic.add(c.traffic())
 	if p.conns[c.address] == c {
 		delete(p.conns, c.address)
 	}
 }
 
-// Abandon closes the connection to address, if any, so that the next call of
-// Conn dials again. It does not block.
+// Abandon closes the connection to address, if any, so that the next Conn dials. It
+// does not block.
 func (p *Pool) Abandon(address string) {
 	p.mu.Lock()
 	c := p.conns[address]
@@ -96,7 +96,7 @@
 	}
 }
 
-// Close ends all connections and dials.
+// Close closes all connections and cancels dials.
 func (p *Pool) Close() {
 	p.cancel()
 	p.mu.Lock()
--- a/wire/link/replay_test.go
+++ b/wire/link/replay_test.go
@@ -14,8 +14,8 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// TestNoEarlyData checks that a client that resumes its session and tries to
-// send early data, which the network could replay, cannot.
+// TestNoEarlyData checks that a client cannot send early data on a resumed session, as
+// the network could replay it.
 func TestNoEarlyData(t *testing.T) {
 	assert.Assert(t, !DefaultConfig().quic().Allow0RTT)
 	f := newFixture(t, keys.RoleEntry)
@@ -36,5 +36,5 @@
 		assert.Assert(t, !c.ConnectionState().Used0RTT, "early data was accepted")
 		_ = c.CloseWithError(0, "")
 	}
-	assert.Assert(t, f.tls().ClientSessionCache == nil, "the product's client keeps no sessions to resume")
+	assert.Assert(t, f.tls().ClientSessionCache == nil, "the client must not cache sessions")
 }
--- a/wire/link/server.go
+++ b/wire/link/server.go
@@ -16,18 +16,18 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// lingerTime is how long a closing session may take to send what is queued, and
-// its peer to read it. Peers on busy hosts take several tenths of a second.
-const lingerTime = 2 * time.Second
+// lingerTimeout bounds how long a closing session waits for sending its queue, and for
+// the peer to read it. Peers on busy hosts take several tenths of a second.
+const lingerTimeout = 2 * time.Second
 
-// Handler answers orders. Its methods are called on the reader goroutine of a
-// session and must not block.
+// Handler handles orders. Its methods are called on the reader goroutine of a session
+// and must not block.
 type Handler interface {
-	// Order is called for each order but probes.
+	// Order is called for each order except probes.
 	Order(s *Session, o *msg.Order)
-	// Closed is called once when the session has ended.
+	// Closed is called once, when the session has ended.
 	Closed(s *Session)
-	// Incarnation is put into replies to probes.
+	// Incarnation returns the incarnation for replies to probes.
 	Incarnation() id.Incarnation
 }
 
@@ -44,20 +44,20 @@
 	once   sync.Once
 }
 
-// Reply queues a reply. It does not wait for the peer. Replies on an ended
-// session are dropped, and a session whose peer takes nothing is closed.
+// Reply queues a reply. It does not wait for the peer. Replies on an ended session
+// are dropped, and a session with a full send queue is closed.
 func (s *Session) Reply(r *msg.Reply) {
 	if r.CarriesStamp() {
 		r.Stamp = s.config.stamp()
 	}
-	_, err := s.out.put(r)
+	_, err := s.out.enqueue(r)
 	var full *QueueFullError
 	if errors.As(err, &full) {
 		go s.end(err)
 	}
 }
 
-// Done is closed when the session has ended.
+// Done returns a channel that is closed when the session ends.
 func (s *Session) Done() <-chan struct{} { return s.done }
 
 func (s *Session) end(cause error) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// Server accepts connections. It is safe for concurrent use.
+// Server accepts connections and serves their sessions. It is safe for concurrent use.
 type Server struct {
 	socket    *net.UDPConn
 	transport *quic.Transport
@@ -86,7 +86,7 @@
 	sessions map[*Session]struct{}
 }
 
-// Listen accepts connections on a UDP address until Close.
+// Listen starts a server on a UDP address.
 func Listen(address string, t *tls.Config, c Config, h Handler) (*Server, error) {
 	socket, err := listenUDP(address)
 	if err != nil {
@@ -123,27 +123,27 @@
 // Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops accepting, sends what is queued, ends all sessions and closes the
-// socket, so that the address can be used again.
+// Close stops accepting, sends queued replies, ends all sessions and closes the socket,
+// so that the address can be reused.
 func (s *Server) Close() {
 	s.cancel()
-	for _, session := range s.list() {
+	for _, session := range s.activeSessions() {
 		session.out.close(ErrClosed)
 	}
-	for _, session := range s.list() {
+	for _, session := range s.activeSessions() {
 		select {
 		case <-session.done:
-		case <-time.After(lingerTime):
+		case <-time.After(lingerTimeout):
 			session.end(ErrClosed)
 		}
 	}
 	_ = s.listener.Close()
-	_ = s.transport.Close() // ends sessions that were accepted meanwhile
+	_ = s.transport.Close() // ends sessions accepted since
 	_ = s.socket.Close()
 	s.wg.Wait()
 }
 
-func (s *Server) list() []*Session {
+func (s *Server) activeSessions() []*Session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]*Session, 0, len(s.sessions))
@@ -183,21 +183,20 @@
 	s.wg.Go(func() {
 		err := session.out.run(stream)
 		if errors.Is(err, ErrClosed) {
-			flush(stream, q)
+			awaitPeerClose(stream, q)
 		}
 		session.end(err)
 	})
 	session.end(s.read(session, stream))
 }
 
-// flush ends the stream and leaves the peer time to receive it. A peer closes the
-// connection when it has read the stream to its end; closing it before would drop
-// what it has not received yet.
-func flush(stream *quic.Stream, q *quic.Conn) {
+// awaitPeerClose ends the stream and waits for the peer to close the connection, which it
+// does at the end of the stream. Closing it earlier would drop data in flight.
+func awaitPeerClose(stream *quic.Stream, q *quic.Conn) {
 	_ = stream.Close()
 	select {
 	case <-q.Context().Done():
-	case <-time.After(lingerTime):
+	case <-time.After(lingerTimeout):
 	}
 }
 
--- a/wire/link/stamp_test.go
+++ b/wire/link/stamp_test.go
@@ -13,19 +13,19 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// skewed returns a configuration whose clock stands at the given second.
-func skewed(second int64) Config {
+// configAt returns a configuration whose clock is fixed at the given second.
+func configAt(second int64) Config {
 	c := DefaultConfig()
 	c.Clock = timeline.NewClock(func() time.Time { return time.Unix(second, 0) })
 	return c
 }
 
-func TestStampsTravelWithOrdersAndReplies(t *testing.T) {
+func TestOrdersAndRepliesCarryStamps(t *testing.T) {
 	authority, err := keys.NewAuthority(time.Hour)
 	assert.NilError(t, err)
-	agent, dialer := ring(t, authority, keys.RoleAgent), ring(t, authority, keys.RoleEntry)
+	agent, dialer := issueCredentials(t, authority, keys.RoleAgent), issueCredentials(t, authority, keys.RoleEntry)
 	for _, wall := range []struct{ server, client int64 }{{130, 100}, {100, 130}} {
-		server, client := skewed(wall.server), skewed(wall.client)
+		server, client := configAt(wall.server), configAt(wall.client)
 		s, err := Listen("127.0.0.1:0", agent.ServerConfig(keys.RoleEntry), server, echo{})
 		assert.NilError(t, err)
 		pool := NewPool(client, func() *tls.Config { return dialer.ClientConfig(keys.RoleAgent) })
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestFramesInTheMiddleCarryNoStamp(t *testing.T) {
+func TestBulkRepliesCarryNoStamp(t *testing.T) {
 	assert.Assert(t, !(&msg.Reply{Frame: &msg.Frame{Data: []byte("x")}}).CarriesStamp())
 	assert.Assert(t, !(&msg.Reply{Report: &msg.Report{}}).CarriesStamp())
 	assert.Assert(t, (&msg.Reply{Frame: &msg.Frame{End: &msg.End{}}}).CarriesStamp())
--- a/wire/link/traffic.go
+++ b/wire/link/traffic.go
@@ -1,7 +1,7 @@
 package link
 
-// Traffic counts what connections sent and received, with QUIC headers and
-// retransmissions but without those of UDP and IP. Units: bytes and packets.
+// Traffic counts sent and received bytes and packets, including QUIC headers and
+// retransmissions, excluding UDP and IP headers.
 type Traffic struct {
 	SentBytes, ReceivedBytes     uint64
 	SentPackets, ReceivedPackets uint64
@@ -26,7 +26,7 @@
 func (p *Pool) Traffic() Traffic {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	total := p.ended
+	total := p.endedTraffic
 	for _, c := range p.conns {
 		total.add(c.traffic())
 	}
