--- a/wire/relay/map.go
+++ b/wire/relay/map.go
@@ -6,13 +6,12 @@
 	"errors"
 )
 
-// ExpertMap tells the experts of each rank, by set, rank and place. Its text is short, as
-// each rank of a group gets the whole map: varints in base64, namely the number of
-// sets, then for each set the number of ranks, then for each rank the number of its
-// experts and the experts.
+// ExpertMap lists the experts by set, rank and slot. Its text is compact, as each rank of
+// a group receives the whole map: base64 of varints, namely the number of sets, for each
+// set the number of ranks, and for each rank the number of experts and the experts.
 type ExpertMap [][][]int
 
-var errBadMap = errors.New("the expert map cannot be read")
+var errMalformedMap = errors.New("malformed expert map")
 
 // MarshalText implements encoding.TextMarshaler.
 func (m ExpertMap) MarshalText() ([]byte, error) {
@@ -46,35 +45,35 @@
 			}
 		}
 	}
-	if r.bad || len(r.rest) > 0 {
-		return errBadMap
+	if r.malformed || len(r.rest) > 0 {
+		return errMalformedMap
 	}
 	*m = out
 	return nil
 }
 
-// mapReader reads the numbers of a map. After the first one that cannot be read all
-// others are zero.
+// mapReader decodes the varints of a map. After a malformed one it returns zeros.
 type mapReader struct {
-	rest []byte
-	bad  bool
+	rest      []byte
+	malformed bool
 }
 
 func (r *mapReader) number() int {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > 1<<31 {
-		r.bad, r.rest = true, nil
+		r.malformed, r.rest = true, nil
 		return 0
 	}
 	r.rest = r.rest[size:]
 	return int(n)
 }
 
-// length reads the length of a list, each of whose elements takes a byte at least.
+// length reads the length of a list. An element takes at least one byte, so that a length
+// above the remaining bytes is malformed.
 func (r *mapReader) length() int {
 	n := r.number()
 	if n > len(r.rest) {
-		r.bad, r.rest = true, nil
+		r.malformed, r.rest = true, nil
 		return 0
 	}
 	return n
--- a/wire/relay/map_test.go
+++ b/wire/relay/map_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMapKeepsItsContent(t *testing.T) {
+func TestMapSurvivesJSON(t *testing.T) {
 	for name, m := range map[string]ExpertMap{
-		"none":             nil,
-		"no ranks":         {{}, {}},
-		"a rank without":   {{{0, 2}, {}}, {{1}, {300, 70000}}},
-		"ranks and places": {{{0, 2}, {1, 0}}, {{1, 3}, {2, 0}}},
+		"none":            nil,
+		"no ranks":        {{}, {}},
+		"an empty rank":   {{{0, 2}, {}}, {{1}, {300, 70000}}},
+		"ranks and slots": {{{0, 2}, {1, 0}}, {{1, 3}, {2, 0}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := json.Marshal(Order{Op: Prepare, Experts: m})
@@ -25,15 +25,15 @@
 	}
 }
 
-// TestMapOfALargeGroupIsSmall names the pattern "a change at many ranks": each of them
-// gets the whole map.
-func TestMapOfALargeGroupIsSmall(t *testing.T) {
-	const sets, ranks, places, experts = 12, 72, 3, 144
+// TestEncodedMapOfLargeGroupIsCompact bounds the traffic of a change of the map, in which
+// each rank receives the whole map.
+func TestEncodedMapOfLargeGroupIsCompact(t *testing.T) {
+	const sets, ranks, slots, experts = 12, 72, 3, 144
 	m := make(ExpertMap, sets)
 	for s := range m {
 		m[s] = make([][]int, ranks)
 		for r := range m[s] {
-			for range places {
+			for range slots {
 				m[s][r] = append(m[s][r], rand.IntN(experts))
 			}
 		}
@@ -43,13 +43,13 @@
 	assert.Assert(t, len(b) < 8*1024, "%d bytes", len(b))
 }
 
-func TestMapsThatCannotBeRead(t *testing.T) {
+func TestMalformedMapsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"not base64":           "?",
-		"cut off":              "AQ",
+		"truncated":            "AQ",
 		"more ranks than text": "AQH_____Dw",
-		"bytes left over":      "AAAA",
-		"no end of a number":   "_____________w",
+		"trailing bytes":       "AAAA",
+		"unterminated varint":  "_____________w",
 	} {
 		t.Run(name, func(t *testing.T) {
 			var m ExpertMap
--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -1,7 +1,6 @@
-// Package relay defines the messages between entries and the relay that runs
-// beside an endpoint whose engine is a rank of a group. They are JSON lines over
-// TCP. The relay keeps nothing that must last: it samples the rank and passes
-// orders on.
+// Package relay defines the messages between entries and the relay, a stateless process
+// on the host of each rank of a group that samples the rank and forwards orders to it.
+// They are JSON lines over TCP.
 //
 // The package has no dependency outside the standard library and core, so that
 // the relay stays a small process.
@@ -11,39 +10,37 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// ToRelay is a message of an entry. One field is set.
+// ToRelay is a message from an entry. Exactly one field is set.
 type ToRelay struct {
 	Watch *Watch `json:"watch,omitempty"`
 	Order *Order `json:"order,omitempty"`
 }
 
-// Watch asks to be told of the rank. It replaces an earlier one of the connection.
+// Watch subscribes to the rank. It replaces an earlier subscription of the connection.
 type Watch struct {
-	// StateMillis is the interval at which the state is looked at. A state is
-	// sent if it differs from the last one sent, and with each third look or each
-	// second in any case.
+	// StateMillis is the poll interval of the state. A state is sent if it differs from
+	// the last one sent, and otherwise after three intervals, at least every second.
 	StateMillis int `json:"state_ms"`
-	// ChangeMillis takes the place of StateMillis for a while after each order of
-	// the connection. Zero changes nothing.
+	// ChangeMillis replaces StateMillis for 500 ms after each order of the connection.
+	// Zero keeps StateMillis.
 	ChangeMillis int `json:"change_ms,omitempty"`
-	// SampleMillis is the least interval between samples of the experts' use.
-	// Zero asks for none.
+	// SampleMillis is the minimum interval between samples. Zero disables them.
 	SampleMillis int `json:"sample_ms,omitempty"`
 }
 
-// FromRelay is a message of a relay: what a look showed (State, Layout and
-// Sample, as far as they are due), or one of the other fields.
+// FromRelay is a message from a relay: the result of a poll (any of State, Layout and
+// Sample), or one of the other fields.
 type FromRelay struct {
 	State *State `json:"state,omitempty"`
-	// Layout is sent with the first state with another map.
+	// Layout is sent when the map in use has changed.
 	Layout *Layout `json:"layout,omitempty"`
 	Sample *Sample `json:"sample,omitempty"`
 	Result *Result `json:"result,omitempty"`
-	// Unreachable tells why the rank could not be asked.
+	// Unreachable is the error of a failed poll.
 	Unreachable string `json:"unreachable,omitempty"`
 }
 
-// Layout tells which experts a rank holds under the map in use.
+// Layout lists the experts on a rank under the map in use.
 type Layout struct {
 	Epoch   uint64 `json:"epoch"`
 	Version uint64 `json:"version"`
@@ -51,95 +48,95 @@
 	Experts [][]int `json:"experts"`
 }
 
-// State is what a rank reports of itself.
+// State is a snapshot of a rank.
 type State struct {
-	// StartMillis is the start of the rank in milliseconds since the Unix epoch.
+	// StartMillis is the start time of the rank in milliseconds since the Unix epoch.
 	StartMillis int64    `json:"born"`
 	Group       id.Group `json:"group"`
-	// Epoch grows each time that the group forms.
+	// Epoch increases each time the group forms.
 	Epoch uint64 `json:"epoch"`
 	Rank  int    `json:"rank"`
 	// Size is the number of ranks of the group.
 	Size int `json:"size"`
-	// Open is false while the group lacks a rank.
+	// Open is false while a rank of the group is missing.
 	Open bool `json:"open"`
-	// Step is the last pass that was begun.
+	// Step is the last step that began.
 	Step uint64 `json:"step"`
 	// MapVersion is the version of the expert map in use, zero for the initial one.
 	MapVersion uint64 `json:"map"`
-	// Prepared is the version that the rank holds ready, zero for none.
+	// Prepared is the map version whose weights are loaded, zero for none.
 	Prepared uint64 `json:"prepared,omitempty"`
-	// Armed is the version that the rank takes into use at its armed step, zero for none.
+	// Armed is the map version to which the rank switches at its armed step, zero for none.
 	Armed uint64 `json:"armed,omitempty"`
-	// Held is the pass that the group does not begin, zero for none.
+	// Held is the step that the group must not begin, zero for none.
 	Held uint64 `json:"held,omitempty"`
 	// Waiting and Running count requests.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Pace is above one while the rank is slow.
+	// Pace is the slowdown of the rank, one at full speed.
 	Pace float64 `json:"pace"`
 }
 
-// Sample counts the experts' tokens at a rank between two passes.
+// Sample counts the tokens routed to the experts of a rank between two steps.
 type Sample struct {
 	StartMillis int64  `json:"born"`
 	Epoch       uint64 `json:"epoch"`
-	// From and To are the last passes counted before and with the sample.
+	// The sample counts the steps after From up to and including To.
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
-	// Levels holds the tokens of each expert, set by set, as Level encodes them.
+	// Levels has the tokens of each expert, set by set, encoded by EncodeLevel.
 	Levels []byte `json:"levels"`
 }
 
-// Op names what an order asks of a rank.
+// Op is the operation of an order.
 type Op string
 
 const (
 	// Prepare copies the weights that a map needs.
 	Prepare Op = "prepare"
-	// Arm lets the rank take a prepared map into use at a step.
+	// Arm switches the rank to a prepared map at a step.
 	Arm Op = "arm"
-	// Disarm withdraws an Arm.
+	// Disarm cancels Arm.
 	Disarm Op = "disarm"
-	// Hold keeps the group from beginning a step.
+	// Hold prevents the group from beginning a step.
 	Hold Op = "hold"
-	// Release ends a Hold.
+	// Release cancels Hold.
 	Release Op = "release"
-	// Ping is answered by the relay itself and does not reach the rank.
+	// Ping is answered by the relay and not forwarded to the rank.
 	Ping Op = "ping"
 )
 
-// Order asks a rank for a change. Each order is answered by a Result with its ID,
-// but for those that are lost with the connection.
+// Order requests an operation of a rank. Each is answered by a Result with its ID, unless
+// the connection is lost.
 type Order struct {
 	ID uint64 `json:"id"`
-	// Endpoint is the only one that may carry the order out.
+	// Endpoint is the endpoint of the rank that may execute the order.
 	Endpoint id.Endpoint `json:"endpoint"`
-	// Address is the "ip:port" of the endpoint if it is not the one beside the relay.
+	// Address is the "ip:port" of a rank on another host, empty for the relay's own host.
 	Address string `json:"address,omitempty"`
 	Op      Op     `json:"op"`
 	Epoch   uint64 `json:"epoch"`
-	// Version is the map that Prepare, Arm and Disarm name.
+	// Version is the map version for Prepare, Arm and Disarm.
 	Version uint64 `json:"version,omitempty"`
-	// Step is the pass that Arm, Hold and Release name.
+	// Step is the step for Arm, Hold and Release.
 	Step uint64 `json:"step,omitempty"`
-	// Experts is the map that Prepare brings, by set, rank and place.
+	// Experts is the map for Prepare.
 	Experts ExpertMap `json:"experts,omitempty"`
-	// FencingToken is the fencing number of the sender.
+	// FencingToken is the fencing token of the sender.
 	FencingToken uint64 `json:"fence,omitempty"`
 }
 
-// Outcome tells how a rank answered an order.
+// Outcome is the result of an order at a rank.
 type Outcome string
 
 const (
-	// Done means that the order is carried out, or begun.
+	// Done means that the order was executed or started.
 	Done Outcome = "done"
-	// Conflict means that the order does not fit the state of the rank and was not carried out.
+	// Conflict means that the order does not fit the state of the rank and was not executed.
 	Conflict Outcome = "conflict"
-	// Refused means that the rank does not take the order at all.
+	// Refused means that the order was rejected for another reason or not sent.
 	Refused Outcome = "refused"
-	// Unknown means that the order may be carried out now or later.
+	// Unknown means that the order may or may not be executed, now or later.
 	Unknown Outcome = "unknown"
 )
 
@@ -147,6 +144,6 @@
 type Result struct {
 	ID      uint64  `json:"id"`
 	Outcome Outcome `json:"outcome"`
-	// Detail tells what the rank or the connection reported.
+	// Detail is the message of the rank or the error of the connection.
 	Detail string `json:"detail,omitempty"`
 }
