--- a/wire/ticket/ticket.go
+++ b/wire/ticket/ticket.go
@@ -16,39 +16,40 @@
 	"github.com/siskinford/siskinford/wire/codec"
 )
 
-// Prefix distinguishes tickets from idempotency keys made by callers.
+// Prefix distinguishes tickets from idempotency keys chosen by callers.
 const Prefix = "skt1."
 
 const (
-	keyLen   = 32
-	nonceLen = 16
-	macLen   = sha256.Size
+	keyBytes   = 32
+	nonceBytes = 16
+	macBytes   = sha256.Size
 )
 
-// MaxLen bounds the text of a ticket in bytes.
+// MaxLen bounds the length of a ticket in bytes.
 const MaxLen = 1024
 
-// Claims is what a ticket states.
+// Claims are the contents of a ticket.
 type Claims struct {
 	Endpoint    id.Endpoint    `cbor:"1,keyasint"`
 	Incarnation id.Incarnation `cbor:"2,keyasint"`
 	Service     id.Service     `cbor:"3,keyasint"`
 	Team        id.Team        `cbor:"4,keyasint"`
 	Action      id.Action      `cbor:"5,keyasint"`
-	// ExpiresUnixMS is in milliseconds since the Unix epoch.
+	// ExpiresUnixMS is the expiry time in milliseconds since the Unix epoch.
 	ExpiresUnixMS int64 `cbor:"6,keyasint"`
 }
 
-// Expires returns the time after which the ticket is refused.
+// Expires returns the expiry time of the ticket.
 func (c Claims) Expires() time.Time { return time.UnixMilli(c.ExpiresUnixMS) }
 
-// Issuer issues the tickets of one incarnation. Its key never leaves the process.
+// Issuer issues and verifies the tickets of one incarnation. Its key never leaves the
+// process.
 type Issuer struct {
 	endpoint    id.Endpoint
 	incarnation id.Incarnation
 	lifetime    time.Duration
 	now         func() time.Time
-	key         [keyLen]byte
+	key         [keyBytes]byte
 }
 
 // NewIssuer returns an issuer with a random key.
@@ -60,7 +61,7 @@
 
 // Issue returns a new ticket and its claims.
 func (i *Issuer) Issue(team id.Team, service id.Service) (string, Claims, error) {
-	var nonce [nonceLen]byte
+	var nonce [nonceBytes]byte
 	_, _ = rand.Read(nonce[:])
 	claims := Claims{
 		Endpoint:      i.endpoint,
@@ -77,22 +78,23 @@
 	return Prefix + base64.RawURLEncoding.EncodeToString(append(i.mac(body), body...)), claims, nil
 }
 
-// InvalidError reports a ticket that is refused.
+// InvalidError reports a ticket that cannot be accepted.
 type InvalidError struct {
 	Reason string
-	// Expired is true if the ticket was valid once.
+	// Expired is true if the ticket was valid before its expiry.
 	Expired bool
 }
 
 func (e *InvalidError) Error() string { return fmt.Sprintf("ticket is invalid: %s", e.Reason) }
 
-// Verify checks a ticket that a team presented to this incarnation.
+// Verify returns the claims of a ticket if it was issued by i for the team and service and
+// has not expired.
 func (i *Issuer) Verify(text string, team id.Team, service id.Service) (Claims, error) {
 	raw, claims, err := decode(text)
 	if err != nil {
 		return Claims{}, err
 	}
-	if !hmac.Equal(raw[:macLen], i.mac(raw[macLen:])) {
+	if !hmac.Equal(raw[:macBytes], i.mac(raw[macBytes:])) {
 		return Claims{}, &InvalidError{Reason: "it was not issued by this incarnation"}
 	}
 	switch {
@@ -106,7 +108,8 @@
 	return claims, nil
 }
 
-// ParseUnverified returns the claims of a ticket without verifying them. They only tell where to send it.
+// ParseUnverified returns the claims of a ticket without verifying them. Use them only to
+// route the ticket to its endpoint.
 func ParseUnverified(text string) (Claims, error) {
 	_, claims, err := decode(text)
 	return claims, err
@@ -122,10 +125,10 @@
 		return nil, claims, &InvalidError{Reason: fmt.Sprintf("it does not begin with %q", Prefix)}
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(encoded)
-	if err != nil || len(raw) <= macLen {
+	if err != nil || len(raw) <= macBytes {
 		return nil, claims, &InvalidError{Reason: "it is malformed"}
 	}
-	if err := codec.Unmarshal(raw[macLen:], &claims); err != nil {
+	if err := codec.Unmarshal(raw[macBytes:], &claims); err != nil {
 		return nil, claims, &InvalidError{Reason: "it is malformed"}
 	}
 	return raw, claims, nil
