--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -78,8 +78,8 @@
 // Secret omits the value of a setting from the help text and from findings.
 func Secret() Option { return func(s *setting) { s.secret = true } }
 
-func (s *Set) register(name, unit, fallback, usage string, parse func(string) error, options []Option) *setting {
-	setting := &setting{name: name, unit: unit, defaultText: fallback, text: fallback, usage: usage, parse: parse}
+func (s *Set) register(name, unit, defaultText, usage string, parse func(string) error, options []Option) *setting {
+	setting := &setting{name: name, unit: unit, defaultText: defaultText, text: defaultText, usage: usage, parse: parse}
 	for _, o := range options {
 		o(setting)
 	}
@@ -172,8 +172,8 @@
 		}
 		findings.Addf("arguments", "%v", err)
 	}
-	for _, rest := range s.flags.Args() {
-		findings.Addf("arguments", "unexpected argument %q", rest)
+	for _, arg := range s.flags.Args() {
+		findings.Addf("arguments", "unexpected argument %q", arg)
 	}
 	for _, setting := range s.settings {
 		s.validate(setting, &findings)
--- a/wire/link/server.go
+++ b/wire/link/server.go
@@ -177,8 +177,8 @@
 		return
 	}
 	session := &Session{Role: role, Host: host, config: s.config, quic: q, out: newOutbox(s.config), done: make(chan struct{})}
-	s.track(session, true)
-	defer s.track(session, false)
+	s.setActive(session, true)
+	defer s.setActive(session, false)
 	defer s.handler.Closed(session)
 	s.wg.Go(func() {
 		err := session.out.run(stream)
@@ -200,10 +200,10 @@
 	}
 }
 
-func (s *Server) track(session *Session, add bool) {
+func (s *Server) setActive(session *Session, active bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if add {
+	if active {
 		s.sessions[session] = struct{}{}
 		return
 	}
--- a/wire/msg/msg.go
+++ b/wire/msg/msg.go
@@ -75,8 +75,7 @@
 // DrainOrder sets the drain state of an agent.
 type DrainOrder struct {
 	Drain bool `cbor:"1,keyasint"`
-	// Version is the version of the endpoints configuration. An agent ignores versions
-	// that do not exceed the last one.
+	// Version is the version of the endpoints configuration. Only greater ones have an effect.
 	Version uint64 `cbor:"2,keyasint"`
 }
 
--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -110,7 +110,7 @@
 // the connection is lost.
 type Order struct {
 	ID uint64 `json:"id"`
-	// Endpoint is the endpoint of the rank that may execute the order.
+	// Endpoint is the only endpoint that may execute the order.
 	Endpoint id.Endpoint `json:"endpoint"`
 	// Address is the "ip:port" of a rank on another host, empty for the relay's own host.
 	Address string `json:"address,omitempty"`
--- a/wire/ticket/ticket.go
+++ b/wire/ticket/ticket.go
@@ -1,5 +1,5 @@
-// Package ticket issues and verifies tickets for non-idempotent actions. A
-// ticket is bound to one endpoint, one incarnation of its agent and one team.
+// Package ticket issues and verifies tickets for non-idempotent actions. A ticket is bound
+// to an endpoint, an incarnation of its agent, a service and a team.
 package ticket
 
 import (
@@ -81,7 +81,7 @@
 // InvalidError reports a ticket that cannot be accepted.
 type InvalidError struct {
 	Reason string
-	// Expired is true if the ticket was valid before its expiry.
+	// Expired is true if the ticket is valid except for its expiry.
 	Expired bool
 }
 
