--- a/entry/actions/actions.go
+++ b/entry/actions/actions.go
@@ -92,7 +92,7 @@
 
 // BindTicket implements caller.Actions. Only the agent verifies the ticket.
 func (a *Actions) BindTicket(c *dispatch.Call, text string) *problem.Problem {
-	claims, err := ticket.Read(text)
+	claims, err := ticket.ParseUnverified(text)
 	if err != nil {
 		return problem.Newf(problem.TicketInvalid, "%v", err)
 	}
@@ -134,14 +134,14 @@
 	reply, err := a.callAgent(ctx, bound.Endpoint, &msg.Order{Inquire: &msg.Inquire{
 		Action: action, Incarnation: bound.Incarnation, Team: team,
 	}})
-	if err != nil || reply.Verdict == nil {
+	if err != nil || reply.Status == nil {
 		return caller.ActionStatus{State: msg.StateUnknown, Outcome: outcome.Unknown}, nil
 	}
-	return caller.ActionStatus{State: reply.Verdict.State, Outcome: reply.Verdict.Outcome}, nil
+	return caller.ActionStatus{State: reply.Status.State, Outcome: reply.Status.Outcome}, nil
 }
 
 func (a *Actions) resolveBinding(ctx context.Context, team id.Team, service id.Service, key string) (id.Action, dispatch.Binding, *problem.Problem) {
-	claims, err := ticket.Read(key)
+	claims, err := ticket.ParseUnverified(key)
 	if err == nil {
 		if claims.Team != team || claims.Service != service {
 			return "", dispatch.Binding{}, problem.Newf(problem.TicketInvalid, "the ticket is for another team or service")
--- a/entry/edge/control.go
+++ b/entry/edge/control.go
@@ -17,7 +17,7 @@
 // startControl starts the server for operators and metrics collectors.
 func (e *Edge) startControl() error {
 	r := chi.NewRouter()
-	ops.Routes(r, e.set, e.notReady)
+	ops.AddRoutes(r, e.set, e.notReady)
 	e.controlServer = &http.Server{Handler: r, ReadHeaderTimeout: controlHeaderTimeout}
 	e.registerGauges()
 	for _, address := range []string{e.cfg.ControlListen, e.cfg.MetricsListen} {
--- a/itest/histories/world_test.go
+++ b/itest/histories/world_test.go
@@ -84,7 +84,7 @@
 
 var errBroken = errors.New("the back end broke")
 
-func header(p *msg.Plain, name string) string {
+func header(p *msg.HTTPRequest, name string) string {
 	for _, h := range p.Header {
 		if h.Name == name {
 			return h.Value
@@ -95,7 +95,7 @@
 
 // answerTo returns the text that a back end answers to a request: a mark of the
 // action or the request, and the payload.
-func answerTo(p *msg.Plain) string {
+func answerTo(p *msg.HTTPRequest) string {
 	mark := header(p, headKey)
 	if mark == "" {
 		mark = header(p, headRequest)
@@ -104,12 +104,12 @@
 }
 
 // Do implements gate.PlainBackend.
-func (b *backend) Do(ctx context.Context, p *msg.Plain, w plain.Writer) error {
+func (b *backend) Do(ctx context.Context, p *msg.HTTPRequest, w plain.Writer) error {
 	if ctx.Err() != nil || b.chance.percent(4) {
 		return &plain.NotStartedError{Cause: errBroken}
 	}
 	b.witness.run(header(p, headKey), header(p, headRequest))
-	if err := w.Head(msg.Head{Status: 201}); err != nil {
+	if err := w.Head(msg.ResponseHead{Status: 201}); err != nil {
 		return err
 	}
 	text := answerTo(p)
@@ -181,7 +181,7 @@
 }
 
 // keyRings are the keys of all processes.
-type keyRings struct{ agent, entry *keys.Ring }
+type keyRings struct{ agent, entry *keys.Credentials }
 
 func newKeyRings() (*keyRings, error) {
 	authority, err := keys.NewAuthority(24 * time.Hour)
@@ -189,7 +189,7 @@
 		return nil, err
 	}
 	var rings keyRings
-	for role, ring := range map[keys.Role]**keys.Ring{keys.RoleAgent: &rings.agent, keys.RoleEntry: &rings.entry} {
+	for role, ring := range map[keys.Role]**keys.Credentials{keys.RoleAgent: &rings.agent, keys.RoleEntry: &rings.entry} {
 		material, err := authority.Issue(role, "host", 24*time.Hour)
 		if err != nil {
 			return nil, err
@@ -287,7 +287,7 @@
 }
 
 func (w *world) addEntry() error {
-	e := &entry{pool: link.NewPool(linkConfig(), func() *tls.Config { return w.keys.entry.Client(keys.RoleAgent) })}
+	e := &entry{pool: link.NewPool(linkConfig(), func() *tls.Config { return w.keys.entry.ClientConfig(keys.RoleAgent) })}
 	var err error
 	e.claims, err = claim.New(claim.Config{Store: w.store, Retention: 30 * time.Minute, Timeout: 100 * time.Millisecond, FlushTimeout: 200 * time.Millisecond})
 	if err != nil {
--- a/lab/slopes/wire.go
+++ b/lab/slopes/wire.go
@@ -34,7 +34,7 @@
 	case o.Peer != nil:
 		s.Reply(&msg.Reply{ID: o.ID, Peer: &msg.Peer{Payload: o.Peer.Payload}})
 	case o.Reports != nil:
-		go sendReports(s, o.ID, time.Duration(o.Reports.Interval)*time.Microsecond)
+		go sendReports(s, o.ID, time.Duration(o.Reports.IntervalMicros)*time.Microsecond)
 	}
 }
 
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	b := &wireBench{}
-	b.server, err = link.Listen("127.0.0.1:0", ring.Server(keys.RoleEntry), l, &echo{})
+	b.server, err = link.Listen("127.0.0.1:0", ring.ServerConfig(keys.RoleEntry), l, &echo{})
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		b.server.Close()
 		return nil, err
 	}
-	b.pool = link.NewPool(l, func() *tls.Config { return ring.Client(keys.RoleEntry) })
+	b.pool = link.NewPool(l, func() *tls.Config { return ring.ClientConfig(keys.RoleEntry) })
 	b.conn, err = b.pool.Conn(ctx, b.proxy.Addr())
 	if err != nil {
 		b.close()
@@ -190,15 +190,15 @@
 // counter counts the replies to an order.
 type counter struct{ replies atomic.Int64 }
 
-// Reply implements link.Waiter.
+// Reply implements link.ReplyHandler.
 func (c *counter) Reply(*msg.Reply) { c.replies.Add(1) }
 
-// Lost implements link.Waiter.
+// Lost implements link.ReplyHandler.
 func (*counter) Lost(bool, error) {}
 
 func wireReports(ctx context.Context, b *wireBench, window time.Duration) (int, error) {
 	var received counter
-	call, err := b.conn.Send(&msg.Order{Reports: &msg.ReportsOrder{Interval: wireGap.Microseconds()}}, &received)
+	call, err := b.conn.Send(&msg.Order{Reports: &msg.ReportsOrder{IntervalMicros: wireGap.Microseconds()}}, &received)
 	if err != nil {
 		return 0, err
 	}
