--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -36,7 +36,7 @@
 // Deps are the dependencies of an entry.
 type Deps struct {
 	Store objectapi.Store
-	Keys  *keys.Ring
+	Keys  *keys.Credentials
 	Ring  *timeline.Ring
 	Log   zerolog.Logger
 }
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
 	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
-	s.events = s.requests.Recorder(timeline.Logged{Ring: d.Ring, Log: d.Log})
+	s.events = s.requests.Recorder(timeline.LoggingRecorder{Ring: d.Ring, Log: d.Log})
 	s.holder = configsync.NewSnapshotApplier(s.applySnapshot)
 	if err := s.initComponents(); err != nil {
 		cancel()
@@ -115,7 +115,7 @@
 // newEndpoints creates the connections to agents and the routing table that
 // their reports update.
 func (s *Server) newEndpoints() {
-	s.pool = link.NewPool(s.config.Link, func() *tls.Config { return s.deps.Keys.Client(keys.RoleAgent) })
+	s.pool = link.NewPool(s.config.Link, func() *tls.Config { return s.deps.Keys.ClientConfig(keys.RoleAgent) })
 	s.registerTrafficMetrics("agents", s.pool)
 	prefixes := prefix.NewIndex(prefix.Config{})
 	s.table = route.NewTable(route.Config{Prefixes: prefixes})
--- a/fleet/configsync/configsync_test.go
+++ b/fleet/configsync/configsync_test.go
@@ -152,7 +152,7 @@
 	runSimulation(t, 1, 6, 0, func(sim *simulation) {
 		version := sim.publish(config.KindServices, "second")
 		sim.await(config.KindServices, version, convergenceBound, sim.all)
-		sim.injectFault(func(s *faultstore.Store) { s.SetBack(1) })
+		sim.injectFault(func(s *faultstore.Store) { s.SetReadLag(1) })
 		sleep(2 * time.Minute)
 		recorded := 0
 		for _, p := range sim.all {
@@ -167,7 +167,7 @@
 	runSimulation(t, 1, 6, 0, func(sim *simulation) {
 		version := sim.publish(config.KindTeams, "teams")
 		sim.await(config.KindTeams, version, convergenceBound, sim.all)
-		sim.injectFault(func(s *faultstore.Store) { s.LoseAnswers(3) })
+		sim.injectFault(func(s *faultstore.Store) { s.LoseResponses(3) })
 		sleep(6 * time.Second) // The pending watch ends and its answer is lost.
 		sim.await(config.KindTeams, sim.publish(config.KindTeams, "later"), 4*time.Second, sim.all)
 	})
--- a/fleet/mesh/mesh.go
+++ b/fleet/mesh/mesh.go
@@ -304,7 +304,7 @@
 	return time.Since(p.lastSeen), true
 }
 
-// Trust implements keys.Trust: a peer is trusted if its certificate is registered,
+// Trust implements keys.TrustFunc: a peer is trusted if its certificate is registered,
 // or if its IP address is that of a known host or a seed. A host that could not
 // register yet is thus identified by its address in the platform's network.
 func (m *Mesh) Trust(host id.Host, fingerprint string, remote net.Addr) bool {
