--- a/fleet/configsync/configsync_test.go
+++ b/fleet/configsync/configsync_test.go
@@ -228,7 +228,7 @@
 	})
 }
 
-func TestVersionThatNobodyHasIsGivenUp(t *testing.T) {
+func TestUnavailableVersionIsAbandoned(t *testing.T) {
 	runSimulation(t, 1, 4, 0, func(sim *simulation) {
 		p := sim.all[0]
 		encoded, err := encode(Digest{Ready: true, Versions: map[config.Kind]uint64{config.KindTeams: 9}})
--- a/fleet/configsync/snapshot_test.go
+++ b/fleet/configsync/snapshot_test.go
@@ -8,7 +8,7 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-func TestHolderTakesOnlyGreaterVersions(t *testing.T) {
+func TestSnapshotApplierIgnoresOlderVersions(t *testing.T) {
 	seen := 0
 	h := NewSnapshotApplier(func(*config.Snapshot) { seen++ })
 	value := []byte(`{"value":{"services":[]}}`)
--- a/fleet/member/member_test.go
+++ b/fleet/member/member_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestPauseOfTwoSecondsIsNotDeath(t *testing.T) {
+func TestPauseOfTwoSecondsIsNotDeclaredDead(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
 		sim := newSimulation(t, seed)
@@ -97,7 +97,7 @@
 	assert.Equal(t, deaths, 0)
 }
 
-func TestReplacements(t *testing.T) {
+func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(t, 3)
 	sim.startZones(1, zoneSize)
@@ -215,7 +215,7 @@
 	assert.Equal(t, sim.countObservers(fresh, Alive), zoneSize-1, "a list that lags does not mark the restarted host again")
 }
 
-func TestBytesOfHostDoNotGrowWithZones(t *testing.T) {
+func TestTrafficDoesNotGrowWithZones(t *testing.T) {
 	t.Parallel()
 	const hostsPerZone = 12
 	for _, zones := range []int{1, 10} {
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestDelegatesAreFew(t *testing.T) {
+func TestDelegateCount(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(t, 10)
 	n := 0
@@ -250,7 +250,7 @@
 	assert.Equal(t, n, Default().Cross.Delegates)
 }
 
-func TestBrokenPathBetweenTwoHostsIsNotDeath(t *testing.T) {
+func TestBrokenLinkIsNotSuspected(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(t, 11)
 	all := sim.startZones(1, zoneSize)
--- a/fleet/mesh/cells_test.go
+++ b/fleet/mesh/cells_test.go
@@ -22,9 +22,9 @@
 
 func answersAll(id.Host) bool { return true }
 
-// TestCellsGrowWithTheRoot checks that the exchanges of a member grow only with the
-// square root of the fleet.
-func TestCellsGrowWithTheRoot(t *testing.T) {
+// TestExchangesGrowWithSquareRoot checks that the exchanges of a member grow only
+// with the square root of the fleet.
+func TestExchangesGrowWithSquareRoot(t *testing.T) {
 	for _, c := range []struct{ members, zones int }{{2, 1}, {4, 3}, {18, 4}, {20, 3}, {21, 3}, {50, 3}, {125, 3}, {360, 10}} {
 		all := members(c.members, c.zones)
 		l := newLayout(all)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestCellsLast checks that adding a member doesn't move others to other cells.
-func TestCellsLast(t *testing.T) {
+// TestCellsAreStable checks that adding a member doesn't move others to other cells.
+func TestCellsAreStable(t *testing.T) {
 	before, after := newLayout(members(125, 3)), newLayout(members(126, 3))
 	moved := 0
 	for host, cell := range before.cellByHost {
--- a/fleet/mesh/exchange.go
+++ b/fleet/mesh/exchange.go
@@ -23,13 +23,13 @@
 	Versions    map[Topic]uint64 `cbor:"3,keyasint"`
 	// State is the sender's state, for members of its cell.
 	State []byte `cbor:"4,keyasint,omitempty"`
-	// Member is set while the sender may be unknown to others through the platform.
+	// Member is set while the sender is unregistered or knows no other member.
 	Member *Member `cbor:"5,keyasint,omitempty"`
 	// Summary is the aggregate of the states in Cell, the sender's, for other cells.
 	Summary []byte `cbor:"6,keyasint,omitempty"`
 	Cell    string `cbor:"7,keyasint,omitempty"`
-	// Reads is true if the sender's watches of the platform work.
-	Reads bool `cbor:"8,keyasint,omitempty"`
+	// WatchesHealthy is true if the sender's watches of the platform work.
+	WatchesHealthy bool `cbor:"8,keyasint,omitempty"`
 }
 
 // fetchRequest requests the value of a topic.
@@ -243,11 +243,11 @@
 func (m *Mesh) newHello(inner bool) *hello {
 	h := &hello{
 		Host: m.opt.Self.Host, Incarnation: m.opt.Self.Incarnation, Versions: m.versions(),
-		Reads: m.opt.WatchesHealthy == nil || m.opt.WatchesHealthy(),
+		WatchesHealthy: m.opt.WatchesHealthy == nil || m.opt.WatchesHealthy(),
 	}
 	m.mu.Lock()
 	l := m.currentLayout()
-	h.Reads = h.Reads && m.watching
+	h.WatchesHealthy = h.WatchesHealthy && m.watching
 	if !m.isRegistered || len(m.peers) == 0 {
 		h.Member = &m.opt.Self
 	}
@@ -298,7 +298,7 @@
 		p.alive = true
 		m.opt.Log.Info().Str("event", "member.alive").Str("member", string(h.Host)).Msg("member responds")
 	}
-	p.lastSeen, p.versions, p.watchesHealthy = now, h.Versions, h.Reads
+	p.lastSeen, p.versions, p.watchesHealthy = now, h.Versions, h.WatchesHealthy
 	member := p.member
 	m.mu.Unlock()
 	if h.Cell != "" {
--- a/fleet/mesh/mesh_test.go
+++ b/fleet/mesh/mesh_test.go
@@ -226,7 +226,7 @@
 	})
 }
 
-func TestSilentMemberIsForgotten(t *testing.T) {
+func TestSilentMemberIsUnregistered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		a := f.start("a", "1")
@@ -258,7 +258,7 @@
 	})
 }
 
-func TestUnreadableRegistrationIsLeftOut(t *testing.T) {
+func TestInvalidRegistrationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		for name, value := range map[string]string{"x": "no JSON", "y": `{"host":"y","address":"nowhere"}`, "z": `{"host":"other","address":"10.0.0.9:1"}`} {
@@ -287,7 +287,7 @@
 	assert.Assert(t, !m.Trust("b", "other", from("10.9.9.9")), "an unknown address with a registered name")
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestOptionsAreValidated(t *testing.T) {
 	_, err := New(Options{Self: Member{Address: "nowhere"}})
 	assert.ErrorContains(t, err, "self")
 	assert.ErrorContains(t, err, "nowhere")
--- a/fleet/mesh/register.go
+++ b/fleet/mesh/register.go
@@ -28,7 +28,7 @@
 		// Non-readers list at ListInterval too, in case no reader replicated a change.
 		if err == nil && (m.IsReader() || time.Since(listed) > m.cfg.ListInterval) {
 			listed = time.Now()
-			err = m.follow(ctx)
+			err = m.watchRegistrations(ctx)
 		} else if err == nil {
 			m.removeSilent(ctx)
 			sleep(ctx, retryInterval)
@@ -47,8 +47,8 @@
 	m.watching = on
 }
 
-// follow lists the registrations and, while a reader, watches them for ListInterval.
-func (m *Mesh) follow(ctx context.Context) error {
+// watchRegistrations lists registrations and, while a reader, watches for ListInterval.
+func (m *Mesh) watchRegistrations(ctx context.Context) error {
 	objects, revision, err := m.opt.Store.List(ctx, Kind)
 	if err != nil {
 		return err
