--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -186,10 +186,10 @@
 		return nil, err
 	}
 	e.handler = direct.NewHandler(direct.Options{
-		Codec: a.Codec, Entries: e.mesh.Known, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.RetryBudget,
+		Codec: a.Codec, Entries: e.mesh.MemberCount, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.RetryBudget,
 	})
 	e.loads = direct.NewLoadExchange(e.handler)
-	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.Changed}
+	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.NotifyChange}
 	e.watchers = e.newWatchers()
 	e.groups = groupManager{edge: e, services: make(map[id.Service]*groupedService)}
 	e.clients = newClientServer(e.handler, log)
@@ -223,10 +223,10 @@
 	var err error
 	e.mesh, err = mesh.New(mesh.Options{
 		Self: e.self, Store: e.store.WithPollWait(memberWatchWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
-		Versions: e.versions, Get: e.encodeValue, Put: e.applyValue,
-		Watched: map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
-		State:   e.encodeState, OnState: e.applyState, Summary: e.encodeSummary, OnSummary: e.applySummary,
-		Reading: e.watchesHealthy, Log: e.log,
+		Versions: e.versions, ValueSince: e.encodeValue, ApplyValue: e.applyValue,
+		Watched:    map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
+		LocalState: e.encodeState, OnState: e.applyState, CellSummary: e.encodeSummary, OnSummary: e.applySummary,
+		WatchesHealthy: e.watchesHealthy, Log: e.log,
 	})
 	e.claims.interval = e.mesh.Interval
 	if err != nil {
--- a/entry/edge/watch.go
+++ b/entry/edge/watch.go
@@ -44,7 +44,7 @@
 func (w *objectWatcher) run(ctx context.Context) {
 	var listed time.Time
 	for ctx.Err() == nil {
-		if !listed.IsZero() && time.Since(listed) < nonReaderListInterval && !w.edge.mesh.Reader() {
+		if !listed.IsZero() && time.Since(listed) < nonReaderListInterval && !w.edge.mesh.IsReader() {
 			pause(ctx, readerCheckInterval)
 			continue
 		}
@@ -81,7 +81,7 @@
 // watch applies events until the history is gone or the entry is no longer a reader.
 func (w *objectWatcher) watch(ctx context.Context, revision uint64) {
 	limiter := rate.NewLimiter(watchRate, watchBurst)
-	for limiter.Wait(ctx) == nil && w.edge.mesh.Reader() {
+	for limiter.Wait(ctx) == nil && w.edge.mesh.IsReader() {
 		changed, at, err := w.edge.store.WithPollWait(w.edge.watchWait()).Watch(ctx, w.kind, revision)
 		var gone *objectapi.HistoryGoneError
 		if errors.As(err, &gone) {
--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -22,8 +22,8 @@
 type Members interface {
 	Self() member.Peer
 	Live() []member.Peer
-	Zones() []member.Zone
-	Elsewhere() []member.Peer
+	Zones() []member.ZoneStatus
+	RemotePeers() []member.Peer
 }
 
 // Deps are the dependencies of a Limiter.
@@ -134,7 +134,7 @@
 func (l *Limiter) stepLease(ctx context.Context, lease *duty.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, l.config.CallTimeout)
 	defer cancel()
-	_ = lease.Step(ctx)
+	_ = lease.AcquireOrRenew(ctx)
 }
 
 // exchange requests grants for this entry from the zone leaders, then grants for the
@@ -231,7 +231,7 @@
 	if address := s.leaseAddress(); address != "" {
 		addresses = append(addresses, address)
 	}
-	for _, p := range l.deps.Members.Elsewhere() {
+	for _, p := range l.deps.Members.RemotePeers() {
 		addresses = append(addresses, p.Address)
 	}
 	if len(addresses) == 0 {
--- a/fleet/mesh/mesh_test.go
+++ b/fleet/mesh/mesh_test.go
@@ -23,7 +23,7 @@
 
 const topic Topic = "t"
 
-// fleet is a number of entries in one process.
+// fleet is a set of entries that share an in-memory network and store.
 type fleet struct {
 	t     *testing.T
 	net   *memnet.Network
@@ -31,7 +31,7 @@
 	cfg   Config
 }
 
-// node is one start of an entry.
+// node is one incarnation of an entry.
 type node struct {
 	mesh   *Mesh
 	store  *faultstore.Store
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("10.%d.%d.%d:7000", host[0], n/250, n%250)
 }
 
-// start starts an entry. Its store is its own way to the shared one.
+// start starts an entry with its own fault-injecting access to the shared store.
 func (f *fleet) start(host, incarnation string, seeds ...string) *node {
 	f.t.Helper()
 	return f.startIn("z", host, incarnation, seeds...)
@@ -74,12 +74,12 @@
 			Fingerprint: host + incarnation, Started: time.Now().UnixMilli(),
 		},
 		Store: n.store, Caller: n.net, Seeds: seeds, Log: zerolog.Nop(),
-		Versions: func() map[Topic]uint64 { return map[Topic]uint64{topic: n.get().Version} },
-		Watched:  map[Topic]bool{topic: true},
-		Get:      func(Topic, uint64) Value { return n.get() },
-		Put:      func(_ Topic, v Value) { n.set(v) },
-		State:    func() []byte { return []byte("state of " + host) },
-		Summary: func(of func(id.Host) bool) []byte {
+		Versions:   func() map[Topic]uint64 { return map[Topic]uint64{topic: n.get().Version} },
+		Watched:    map[Topic]bool{topic: true},
+		ValueSince: func(Topic, uint64) Value { return n.get() },
+		ApplyValue: func(_ Topic, v Value) { n.set(v) },
+		LocalState: func() []byte { return []byte("state of " + host) },
+		CellSummary: func(of func(id.Host) bool) []byte {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			sum := 1
@@ -157,14 +157,14 @@
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, a.alive(), []id.Host{"b", "c"})
 		assert.DeepEqual(t, c.alive(), []id.Host{"a", "b"})
-		assert.Equal(t, b.mesh.Known(), 3)
+		assert.Equal(t, b.mesh.MemberCount(), 3)
 		b.mu.Lock()
 		assert.DeepEqual(t, b.states, map[id.Host]string{"a": "state of a", "c": "state of c"})
 		b.mu.Unlock()
 		c.stop()
 		time.Sleep(3 * time.Second)
 		assert.DeepEqual(t, a.alive(), []id.Host{"b"})
-		assert.Equal(t, a.mesh.Known(), 2)
+		assert.Equal(t, a.mesh.MemberCount(), 2)
 		a.stop()
 		b.stop()
 		assert.Equal(t, len(f.registered()), 0)
@@ -176,21 +176,21 @@
 		f := newFleet(t)
 		a, b := f.start("a", "1"), f.start("b", "1")
 		time.Sleep(time.Second)
-		b.cancel() // Killed: the registration may stay, or be taken over.
+		b.cancel() // The registration may remain or be replaced.
 		<-b.done
 		time.Sleep(time.Millisecond)
 		b2 := f.start("b", "2")
 		time.Sleep(time.Second)
-		assert.Equal(t, a.mesh.Current("b"), id.Incarnation("2"))
+		assert.Equal(t, a.mesh.Incarnation("b"), id.Incarnation("2"))
 		assert.DeepEqual(t, a.alive(), []id.Host{"b"})
-		assert.Equal(t, a.mesh.Known(), 2)
+		assert.Equal(t, a.mesh.MemberCount(), 2)
 		a.stop()
 		b2.stop()
 	})
 }
 
-// TestTurnedAwayEntryGetsValues names the pattern "the platform serves some and
-// turns others away".
+// TestTurnedAwayEntryGetsValues checks that an entry whose platform requests fail
+// gets new versions from other entries.
 func TestTurnedAwayEntryGetsValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -206,7 +206,8 @@
 	})
 }
 
-// TestStartWhileThePlatformIsDown names the pattern "an entry is killed during an outage".
+// TestStartWhileThePlatformIsDown checks that an entry restarted during a platform
+// outage gets its values from a seed and registers after the outage.
 func TestStartWhileThePlatformIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -225,7 +226,7 @@
 	})
 }
 
-func TestSilentMemberIsForgotten(t *testing.T) {
+func TestSilentMemberIsUnregistered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		a := f.start("a", "1")
@@ -234,10 +235,10 @@
 		})
 		assert.NilError(t, err)
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, a.mesh.Known(), 2, "a silent member may still be at work")
+		assert.Equal(t, a.mesh.MemberCount(), 2, "a silent member may still serve requests")
 		time.Sleep(60 * time.Second)
 		assert.Assert(t, !f.registered()["g"])
-		assert.Equal(t, a.mesh.Known(), 1)
+		assert.Equal(t, a.mesh.MemberCount(), 1)
 		_ = gone
 		a.stop()
 	})
@@ -257,7 +258,7 @@
 	})
 }
 
-func TestUnreadableRegistrationIsLeftOut(t *testing.T) {
+func TestInvalidRegistrationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		for name, value := range map[string]string{"x": "no JSON", "y": `{"host":"y","address":"nowhere"}`, "z": `{"host":"other","address":"10.0.0.9:1"}`} {
@@ -266,7 +267,7 @@
 		}
 		a := f.start("a", "1")
 		time.Sleep(time.Second)
-		assert.Equal(t, a.mesh.Known(), 1)
+		assert.Equal(t, a.mesh.MemberCount(), 1)
 		a.stop()
 	})
 }
@@ -277,16 +278,16 @@
 		Caller: memnet.New(memnet.Config{}).Join("a"), Seeds: []string{"10.0.0.3:7000"}, Log: zerolog.Nop(),
 	})
 	assert.NilError(t, err)
-	m.note(Member{Host: "b", Incarnation: "1", Address: "10.0.0.2:7000", Fingerprint: "fb"}, 5, time.Now())
+	m.updatePeer(Member{Host: "b", Incarnation: "1", Address: "10.0.0.2:7000", Fingerprint: "fb"}, 5, time.Now())
 	from := func(ip string) net.Addr { return net.UDPAddrFromAddrPort(netip.MustParseAddrPort(ip + ":999")) }
 	assert.Assert(t, m.Trust("b", "fb", from("10.9.9.9")), "the registered certificate")
-	assert.Assert(t, m.Trust("b", "other", from("10.0.0.2")), "a start that could not register yet")
+	assert.Assert(t, m.Trust("b", "other", from("10.0.0.2")), "a new incarnation that is not registered yet")
 	assert.Assert(t, m.Trust("c", "fc", from("10.0.0.3")), "a seed")
-	assert.Assert(t, !m.Trust("c", "fc", from("10.9.9.9")), "a stranger")
-	assert.Assert(t, !m.Trust("b", "other", from("10.9.9.9")), "a stranger under a known name")
+	assert.Assert(t, !m.Trust("c", "fc", from("10.9.9.9")), "an unknown host")
+	assert.Assert(t, !m.Trust("b", "other", from("10.9.9.9")), "an unknown address with a registered name")
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestOptionsAreValidated(t *testing.T) {
 	_, err := New(Options{Self: Member{Address: "nowhere"}})
 	assert.ErrorContains(t, err, "self")
 	assert.ErrorContains(t, err, "nowhere")
