--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -29,14 +29,14 @@
 	// Do forwards p and blocks until the answer has ended. It never repeats a
 	// request. The error is a *plain.NotStartedError only if no byte of the
 	// request can have reached the service.
-	Do(ctx context.Context, p *msg.Plain, w plain.Writer) error
+	Do(ctx context.Context, p *msg.HTTPRequest, w plain.Writer) error
 }
 
 // Deps are the parts that an agent works with. Exactly one of Engine and Plain is set.
 type Deps struct {
 	Engine engine.Engine
 	Plain  PlainBackend
-	Keys   *keys.Ring
+	Keys   *keys.Credentials
 	Ring   *timeline.Ring
 	Log    zerolog.Logger
 	// Incarnation is that of the process. Default: a new one.
@@ -148,7 +148,7 @@
 
 // Start listens for entries and begins to serve.
 func (a *Agent) Start() error {
-	server, err := link.Listen(a.config.Listen, a.deps.Keys.Server(keys.RoleEntry), a.config.Link, (*handler)(a))
+	server, err := link.Listen(a.config.Listen, a.deps.Keys.ServerConfig(keys.RoleEntry), a.config.Link, (*handler)(a))
 	if err != nil {
 		return err
 	}
@@ -266,5 +266,5 @@
 func (a *Agent) record(e timeline.Event) {
 	e.Endpoint = a.config.Endpoint
 	e.Incarnation = a.incarnation
-	timeline.Logged{Ring: a.deps.Ring, Log: a.deps.Log}.Record(e)
+	timeline.LoggingRecorder{Ring: a.deps.Ring, Log: a.deps.Log}.Record(e)
 }
--- a/entry/edge/control.go
+++ b/entry/edge/control.go
@@ -17,7 +17,7 @@
 // startControl starts the server for operators and metrics collectors.
 func (e *Edge) startControl() error {
 	r := chi.NewRouter()
-	ops.Routes(r, e.set, e.notReady)
+	ops.AddRoutes(r, e.set, e.notReady)
 	e.controlServer = &http.Server{Handler: r, ReadHeaderTimeout: controlHeaderTimeout}
 	e.registerGauges()
 	for _, address := range []string{e.cfg.ControlListen, e.cfg.MetricsListen} {
@@ -47,7 +47,7 @@
 // registerGauges registers the gauges that are computed at collection.
 func (e *Edge) registerGauges() {
 	e.set.NewGauge("siskinford_entries_in_touch", func() float64 { return float64(len(e.mesh.Alive())) })
-	e.set.NewGauge("siskinford_entries_registered", func() float64 { return float64(e.mesh.Known()) })
+	e.set.NewGauge("siskinford_entries_registered", func() float64 { return float64(e.mesh.MemberCount()) })
 	e.set.NewGauge("siskinford_configuration_version", func() float64 { return float64(e.values.versions()[topicConfig]) })
 	e.set.NewGauge("siskinford_endpoints_revision", func() float64 { return float64(e.values.versions()[topicEndpoints]) })
 	e.set.NewGauge("siskinford_platform_available", func() float64 {
--- a/entry/edge/edge.go
+++ b/entry/edge/edge.go
@@ -120,7 +120,7 @@
 	groups  groupManager
 	// watchers track the platform's objects while the entry is a reader.
 	watchers      []*objectWatcher
-	pinned        *keys.Pinned
+	pinned        *keys.PinnedIdentity
 	pool          *link.Pool
 	mux           *transport.Mux
 	peers         *link.Server
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.pinned, err = keys.NewPinned(keys.RoleEntry, cfg.Host); err != nil {
+	if e.pinned, err = keys.NewPinnedIdentity(keys.RoleEntry, cfg.Host); err != nil {
 		return nil, err
 	}
 	e.self = mesh.Member{
@@ -186,10 +186,10 @@
 		return nil, err
 	}
 	e.handler = direct.NewHandler(direct.Options{
-		Codec: a.Codec, Entries: e.mesh.Known, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.RetryBudget,
+		Codec: a.Codec, Entries: e.mesh.MemberCount, Source: cfg.Source, Log: log, Metrics: e.set, Retries: cfg.RetryBudget,
 	})
 	e.loads = direct.NewLoadExchange(e.handler)
-	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.Changed}
+	e.values = values{adapter: a, log: log, onConfig: e.onConfig, onEndpoints: e.handler.SetEndpoints, onChange: e.mesh.NotifyChange}
 	e.watchers = e.newWatchers()
 	e.groups = groupManager{edge: e, services: make(map[id.Service]*groupedService)}
 	e.clients = newClientServer(e.handler, log)
@@ -218,15 +218,15 @@
 }
 
 func (e *Edge) newMesh() error {
-	e.pool = link.NewPool(e.peerConfig(), func() *tls.Config { return e.pinned.Client(keys.RoleEntry, e.mesh.Trust) })
+	e.pool = link.NewPool(e.peerConfig(), func() *tls.Config { return e.pinned.ClientConfig(keys.RoleEntry, e.mesh.Trust) })
 	mux := transport.NewMux(peer.NewCaller(e.pool), e.set)
 	var err error
 	e.mesh, err = mesh.New(mesh.Options{
 		Self: e.self, Store: e.store.WithPollWait(memberWatchWait), Caller: mux.Caller(transport.Membership), Seeds: e.cfg.Seeds,
-		Versions: e.versions, Get: e.encodeValue, Put: e.applyValue,
-		Watched: map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
-		State:   e.encodeState, OnState: e.applyState, Summary: e.encodeSummary, OnSummary: e.applySummary,
-		Reading: e.watchesHealthy, Log: e.log,
+		Versions: e.versions, ValueSince: e.encodeValue, ApplyValue: e.applyValue,
+		Watched:    map[mesh.Topic]bool{topicConfig: true, topicEndpoints: true},
+		LocalState: e.encodeState, OnState: e.applyState, CellSummary: e.encodeSummary, OnSummary: e.applySummary,
+		WatchesHealthy: e.watchesHealthy, Log: e.log,
 	})
 	e.claims.interval = e.mesh.Interval
 	if err != nil {
@@ -248,7 +248,7 @@
 // listenPeers starts the server for calls from other entries.
 func (e *Edge) listenPeers() (err error) {
 	events := func(*msg.EventsOrder) *msg.Events { return &msg.Events{Process: string(e.self.Host)} }
-	e.peers, err = link.Listen(e.cfg.PeerListen.String(), e.pinned.Server(keys.RoleEntry, e.mesh.Trust), e.peerConfig(),
+	e.peers, err = link.Listen(e.cfg.PeerListen.String(), e.pinned.ServerConfig(keys.RoleEntry, e.mesh.Trust), e.peerConfig(),
 		peer.NewServer(e.mux.Handle, events))
 	return err
 }
--- a/entry/edge/groups.go
+++ b/entry/edge/groups.go
@@ -89,7 +89,7 @@
 // startService starts the work for a service. The caller holds mu.
 func (m *groupManager) startService(name id.Service, engine *routes.Engine) {
 	e := m.edge
-	s := &groupedService{name: name, engine: *engine, roster: roster.New(e.mesh.Changed), groups: make(map[id.Group]*groupCoordinator)}
+	s := &groupedService{name: name, engine: *engine, roster: roster.New(e.mesh.NotifyChange), groups: make(map[id.Group]*groupCoordinator)}
 	s.ctx, s.cancel = context.WithCancel(e.ctx)
 	m.services[name] = s
 	if state := e.handler.Service(name); state != nil {
@@ -111,7 +111,7 @@
 			return
 		case <-t.C:
 		}
-		hosts, zones := m.edge.mesh.Hosts(), m.edge.mesh.Zones()
+		hosts, zones := m.edge.mesh.Hosts(), m.edge.mesh.HostZones()
 		m.mu.Lock()
 		for _, s := range m.services {
 			m.assign(s, hosts, zones)
@@ -328,7 +328,7 @@
 // incarnation or has been silent for too long.
 func (h leaseHolders) Gone(holder string) bool {
 	host, incarnation, _ := strings.Cut(holder, "/")
-	current := h.edge.mesh.Current(id.Host(host))
+	current := h.edge.mesh.Incarnation(id.Host(host))
 	if current != "" && string(current) != incarnation {
 		return true
 	}
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -17,7 +17,7 @@
 
 // shard is an entry's state as lease holder and client of one shard.
 type shard struct {
-	// lease is the right to divide the shard's limits between the zones. Step and
+	// lease is the right to divide the shard's limits between the zones. AcquireOrRenew and
 	// Release are called by one goroutine.
 	lease *duty.Lease
 
@@ -112,7 +112,7 @@
 		return &answer{Redirect: l.redirectAddress(int(r.Shard))}
 	}
 	teams := l.teams.Load()
-	until := s.lease.Until()
+	until := s.lease.ValidUntil()
 	a := &answer{}
 	for i, k := range r.Teams {
 		t := teams.lookup(k, r.Shard)
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -27,8 +27,8 @@
 	"github.com/siskinford/siskinford/entry/operator"
 	"github.com/siskinford/siskinford/fleet/claim"
 	"github.com/siskinford/siskinford/fleet/config"
+	"github.com/siskinford/siskinford/fleet/configsync"
 	"github.com/siskinford/siskinford/fleet/objectapi"
-	"github.com/siskinford/siskinford/fleet/spread"
 	"github.com/siskinford/siskinford/wire/keys"
 	"github.com/siskinford/siskinford/wire/link"
 )
@@ -36,7 +36,7 @@
 // Deps are the dependencies of an entry.
 type Deps struct {
 	Store objectapi.Store
-	Keys  *keys.Ring
+	Keys  *keys.Credentials
 	Ring  *timeline.Ring
 	Log   zerolog.Logger
 }
@@ -48,7 +48,7 @@
 	metrics *metrics.Set
 
 	events    timeline.Recorder
-	holder    *spread.Holder
+	holder    *configsync.SnapshotApplier
 	node      node
 	pool      *link.Pool
 	table     *route.Table
@@ -81,8 +81,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
 	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
-	s.events = s.requests.Recorder(timeline.Logged{Ring: d.Ring, Log: d.Log})
-	s.holder = spread.NewHolder(s.applySnapshot)
+	s.events = s.requests.Recorder(timeline.LoggingRecorder{Ring: d.Ring, Log: d.Log})
+	s.holder = configsync.NewSnapshotApplier(s.applySnapshot)
 	if err := s.initComponents(); err != nil {
 		cancel()
 		return nil, err
@@ -115,7 +115,7 @@
 // newEndpoints creates the connections to agents and the routing table that
 // their reports update.
 func (s *Server) newEndpoints() {
-	s.pool = link.NewPool(s.config.Link, func() *tls.Config { return s.deps.Keys.Client(keys.RoleAgent) })
+	s.pool = link.NewPool(s.config.Link, func() *tls.Config { return s.deps.Keys.ClientConfig(keys.RoleAgent) })
 	s.registerTrafficMetrics("agents", s.pool)
 	prefixes := prefix.NewIndex(prefix.Config{})
 	s.table = route.NewTable(route.Config{Prefixes: prefixes})
--- a/fleet/spread/holder_test.go
+++ b/fleet/configsync/snapshot_test.go
@@ -1,4 +1,4 @@
-package spread
+package configsync
 
 import (
 	"testing"
@@ -8,9 +8,9 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-func TestHolderTakesOnlyGreaterVersions(t *testing.T) {
+func TestSnapshotApplierIgnoresOlderVersions(t *testing.T) {
 	seen := 0
-	h := NewHolder(func(*config.Snapshot) { seen++ })
+	h := NewSnapshotApplier(func(*config.Snapshot) { seen++ })
 	value := []byte(`{"value":{"services":[]}}`)
 	assert.NilError(t, h.Apply(config.KindServices, 3, value))
 	assert.NilError(t, h.Apply(config.KindServices, 3, value))
