--- a/entry/operator/answer.go
+++ b/entry/operator/answer.go
@@ -20,7 +20,7 @@
 
 // Answer runs a script of queries, or applies a script of commands on behalf of an
 // operator. It blocks on other processes and on the platform.
-func (s *Service) Answer(ctx context.Context, q answer.Question, operator string) *answer.Reply {
+func (s *Service) Answer(ctx context.Context, q answer.Request, operator string) *answer.Reply {
 	statements, findings := lang.Parse(q.Script)
 	findings = append(findings, checkScript(statements, findings)...)
 	if len(findings) > 0 {
--- a/entry/operator/apply.go
+++ b/entry/operator/apply.go
@@ -31,7 +31,7 @@
 
 // apply plans commands against the version that the operator saw and commits
 // them by one conditional update.
-func (s *Service) apply(ctx context.Context, q answer.Question, statements []*lang.Statement, operator string) *answer.Reply {
+func (s *Service) apply(ctx context.Context, q answer.Request, statements []*lang.Statement, operator string) *answer.Reply {
 	kind, findings := change.KindOf(statements)
 	if len(findings) > 0 {
 		return &answer.Reply{Findings: findings}
@@ -40,14 +40,14 @@
 	if err != nil {
 		return &answer.Reply{Error: err.Error()}
 	}
-	if q.Seen != 0 && q.Seen != b.version {
-		return s.lostRaceReply(ctx, kind, q.Seen)
+	if q.SeenVersion != 0 && q.SeenVersion != b.version {
+		return s.lostRaceReply(ctx, kind, q.SeenVersion)
 	}
 	plan, findings, err := change.Make(kind, b.value, statements)
 	if err != nil {
 		return &answer.Reply{Error: err.Error()}
 	}
-	reply := &answer.Reply{Findings: findings, Plan: &answer.Plan{Kind: kind, Seen: b.version, Changes: plan.Changes}}
+	reply := &answer.Reply{Findings: findings, Plan: &answer.Plan{Kind: kind, SeenVersion: b.version, Changes: plan.Changes}}
 	switch {
 	case len(findings) > 0:
 		reply.Plan.State = answer.NotAccepted
@@ -93,7 +93,7 @@
 func (s *Service) commit(ctx context.Context, p *change.Plan, operator string, reply *answer.Reply) {
 	reply.Plan.State = answer.NotAccepted
 	accepted, err := config.Accept(ctx, s.deps.Store, config.Change{
-		Kind: p.Kind, Value: p.Value, SeenVersion: reply.Plan.Seen, Writer: operator, Now: time.Now(),
+		Kind: p.Kind, Value: p.Value, SeenVersion: reply.Plan.SeenVersion, Writer: operator, Now: time.Now(),
 	})
 	var findings finding.List
 	var race *config.LostRaceError
@@ -105,7 +105,7 @@
 	case errors.As(err, &findings):
 		reply.Findings = p.Locate(findings)
 	case errors.As(err, &race):
-		*reply = *s.lostRaceReply(ctx, p.Kind, reply.Plan.Seen)
+		*reply = *s.lostRaceReply(ctx, p.Kind, reply.Plan.SeenVersion)
 	case errors.As(err, &unknown):
 		reply.Plan.State = answer.OutcomeUnknown
 		reply.Error = err.Error()
@@ -139,9 +139,9 @@
 	race := &answer.Race{Version: o.Version}
 	if envelope, err := config.DecodeEnvelope(o.Value); err == nil {
 		race.Writer, race.WrittenAt = envelope.Writer, envelope.WrittenAt
-		race.Changes, race.Known = s.changesSince(kind, seen, envelope.Value)
+		race.Changes, race.ChangesKnown = s.changesSince(kind, seen, envelope.Value)
 	}
-	return &answer.Reply{Plan: &answer.Plan{Kind: kind, Seen: seen, State: answer.LostRace, Race: race}}
+	return &answer.Reply{Plan: &answer.Plan{Kind: kind, SeenVersion: seen, State: answer.LostRace, Race: race}}
 }
 
 func (s *Service) changesSince(kind config.Kind, seen uint64, current []byte) ([]change.Change, bool) {
--- a/entry/operator/http.go
+++ b/entry/operator/http.go
@@ -120,7 +120,7 @@
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(requestTimeout))
 	r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
-	var q answer.Question
+	var q answer.Request
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&q); err != nil {
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -38,21 +38,21 @@
 	t.Helper()
 	store := memstore.New(memstore.Config{})
 	s := New(Deps{Host: "entry-0", Store: store, Recorder: timeline.Discard, Snapshot: config.NewSnapshot})
-	reply := s.Answer(t.Context(), answer.Question{Script: "create service s type plain\ncreate service r type plain"}, "ana")
+	reply := s.Answer(t.Context(), answer.Request{Script: "create service s type plain\ncreate service r type plain"}, "ana")
 	assert.Equal(t, reply.Plan.State, answer.Accepted, "%+v", reply)
 	return s, store
 }
 
 func TestChangesApplyToTheSeenVersion(t *testing.T) {
 	s, _ := newService(t)
-	reply := s.Answer(t.Context(), answer.Question{Script: "change service s deadline_ms 5", Seen: 1}, "ana")
+	reply := s.Answer(t.Context(), answer.Request{Script: "change service s deadline_ms 5", SeenVersion: 1}, "ana")
 	assert.Equal(t, reply.Plan.Version, uint64(2))
-	reply = s.Answer(t.Context(), answer.Question{Script: "delete service s", Seen: 1}, "luis")
+	reply = s.Answer(t.Context(), answer.Request{Script: "delete service s", SeenVersion: 1}, "luis")
 	assert.Equal(t, reply.Plan.State, answer.LostRace)
 	assert.Equal(t, reply.Plan.Race.Writer, "ana")
-	assert.Assert(t, reply.Plan.Race.Known)
+	assert.Assert(t, reply.Plan.Race.ChangesKnown)
 	assert.Equal(t, fmt.Sprint(reply.Plan.Race.Changes), `[change service "s" deadline_ms: 0 -> 5]`)
-	reply = s.Answer(t.Context(), answer.Question{Script: "change service s deadline_ms 5"}, "luis")
+	reply = s.Answer(t.Context(), answer.Request{Script: "change service s deadline_ms 5"}, "luis")
 	assert.Equal(t, reply.Plan.State, answer.Unchanged)
 }
 
@@ -60,16 +60,16 @@
 func TestUnknownOutcomeIsNotReportedAsAccepted(t *testing.T) {
 	s, store := newService(t)
 	s.deps.Store = lostReplyStore{store}
-	reply := s.Answer(t.Context(), answer.Question{Script: "delete service r"}, "ana")
+	reply := s.Answer(t.Context(), answer.Request{Script: "delete service r"}, "ana")
 	assert.Equal(t, reply.Plan.State, answer.OutcomeUnknown)
 	assert.Equal(t, status(reply), http.StatusBadGateway)
 }
 
 func TestQueriesAndCommandsDoNotMix(t *testing.T) {
 	s, _ := newService(t)
-	reply := s.Answer(t.Context(), answer.Question{Script: "services\ndelete service r"}, "ana")
+	reply := s.Answer(t.Context(), answer.Request{Script: "services\ndelete service r"}, "ana")
 	assert.Equal(t, reply.Findings[0].Place, "line 2, column 1")
-	assert.Assert(t, len(s.Answer(t.Context(), answer.Question{Script: "# no"}, "ana").Findings) == 1)
+	assert.Assert(t, len(s.Answer(t.Context(), answer.Request{Script: "# no"}, "ana").Findings) == 1)
 }
 
 // TestFreshestReportWins checks that rows with an older or no report are dropped.
--- a/operate/answer/answer.go
+++ b/operate/answer/answer.go
@@ -13,15 +13,15 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// Question is the body of POST /v1/query.
-type Question struct {
+// Request is the body of POST /v1/query.
+type Request struct {
 	// Script holds queries, or commands that change one kind of configuration.
 	Script string `json:"script"`
 	// DryRun shows what commands would change.
 	DryRun bool `json:"dry_run,omitempty"`
-	// Seen is the version of the configuration that the operator saw. Zero
+	// SeenVersion is the version of the configuration that the operator saw. Zero
 	// means the version that the entry reads.
-	Seen uint64 `json:"seen,omitempty"`
+	SeenVersion uint64 `json:"seen,omitempty"`
 }
 
 // Reply is the answer to a Question.
@@ -82,9 +82,9 @@
 type Plan struct {
 	Kind  config.Kind `json:"kind"`
 	State State       `json:"state"`
-	// Seen is the version that the change was made to.
-	Seen    uint64          `json:"seen"`
-	Changes []change.Change `json:"changes"`
+	// SeenVersion is the version that the change was made to.
+	SeenVersion uint64          `json:"seen"`
+	Changes     []change.Change `json:"changes"`
 	// Version is that of the accepted change.
 	Version uint64 `json:"version,omitempty"`
 	Race    *Race  `json:"race,omitempty"`
@@ -97,8 +97,8 @@
 	WrittenAt time.Time `json:"written_at"`
 	// Changes are those since the seen version. Known is false if the entry
 	// does not hold the seen version any more.
-	Changes []change.Change `json:"changes"`
-	Known   bool            `json:"known"`
+	Changes      []change.Change `json:"changes"`
+	ChangesKnown bool            `json:"known"`
 }
 
 // WriteJSONLines writes the rows and changes, then one line on their origin.
@@ -138,13 +138,13 @@
 	}
 	switch p.State {
 	case DryRun:
-		fmt.Fprintf(w, "-- dry run: %s has version %d, nothing was changed\n", p.Kind, p.Seen)
+		fmt.Fprintf(w, "-- dry run: %s has version %d, nothing was changed\n", p.Kind, p.SeenVersion)
 	case Unchanged:
-		fmt.Fprintf(w, "-- %s has this state already in version %d, nothing was changed\n", p.Kind, p.Seen)
+		fmt.Fprintf(w, "-- %s has this state already in version %d, nothing was changed\n", p.Kind, p.SeenVersion)
 	case Accepted:
 		fmt.Fprintf(w, "-- accepted: %s has version %d\n", p.Kind, p.Version)
 	case OutcomeUnknown:
-		fmt.Fprintf(w, "-- unknown: the change of %s to version %d may or may not have been accepted; ask for configurations\n", p.Kind, p.Seen)
+		fmt.Fprintf(w, "-- unknown: the change of %s to version %d may or may not have been accepted; ask for configurations\n", p.Kind, p.SeenVersion)
 	case NotAccepted:
 		fmt.Fprintln(w, "-- not accepted: nothing was changed")
 	case LostRace:
@@ -155,9 +155,9 @@
 
 func (p *Plan) writeRace(w io.Writer) {
 	fmt.Fprintf(w, "-- not accepted: %s was changed by %q at %s to version %d, your change was made to version %d\n",
-		p.Kind, p.Race.Writer, p.Race.WrittenAt.UTC().Format(time.RFC3339), p.Race.Version, p.Seen)
-	if !p.Race.Known {
-		fmt.Fprintf(w, "-- this entry does not hold version %d any more, so the changes since are not known\n", p.Seen)
+		p.Kind, p.Race.Writer, p.Race.WrittenAt.UTC().Format(time.RFC3339), p.Race.Version, p.SeenVersion)
+	if !p.Race.ChangesKnown {
+		fmt.Fprintf(w, "-- this entry does not hold version %d any more, so the changes since are not known\n", p.SeenVersion)
 	}
 	for _, c := range p.Race.Changes {
 		fmt.Fprintf(w, "-- since then: %s\n", c)
--- a/operate/cli/cli.go
+++ b/operate/cli/cli.go
@@ -96,7 +96,7 @@
 }
 
 // ask asks one question and writes the answer.
-func (a *asker) ask(ctx context.Context, q answer.Question) subcommands.ExitStatus {
+func (a *asker) ask(ctx context.Context, q answer.Request) subcommands.ExitStatus {
 	reply, err := client.New(a.client).Ask(ctx, q)
 	if err != nil {
 		return a.failed(err, !q.DryRun)
--- a/operate/cli/query.go
+++ b/operate/cli/query.go
@@ -83,7 +83,7 @@
 // run asks for a dry run first. Commands are then applied to the version that
 // the dry run showed.
 func (c *Query) run(ctx context.Context, script string) subcommands.ExitStatus {
-	q := answer.Question{Script: script, DryRun: true, Seen: c.seen}
+	q := answer.Request{Script: script, DryRun: true, SeenVersion: c.seen}
 	reply, err := client.New(c.client).Ask(ctx, q)
 	if err != nil {
 		return c.failed(err, false)
@@ -95,7 +95,7 @@
 		return c.status(reply)
 	}
 	c.show(reply.Plan)
-	return c.apply(ctx, answer.Question{Script: script, Seen: reply.Plan.Seen})
+	return c.apply(ctx, answer.Request{Script: script, SeenVersion: reply.Plan.SeenVersion})
 }
 
 // show prints what is about to change.
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *Query) apply(ctx context.Context, q answer.Question) subcommands.ExitStatus {
+func (c *Query) apply(ctx context.Context, q answer.Request) subcommands.ExitStatus {
 	reply, err := client.New(c.client).Ask(ctx, q)
 	if err != nil {
 		return c.failed(err, true)
--- a/operate/cli/timeline.go
+++ b/operate/cli/timeline.go
@@ -58,7 +58,7 @@
 	if c.limit > 0 {
 		statement += fmt.Sprintf(" limit %d", c.limit)
 	}
-	return c.ask(ctx, answer.Question{Script: statement, DryRun: true})
+	return c.ask(ctx, answer.Request{Script: statement, DryRun: true})
 }
 
 // Explain is the subcommand that tells why a request or endpoint is treated as it is.
@@ -101,5 +101,5 @@
 		fmt.Fprint(c.streams.Err, c.Usage())
 		return process.ExitUsage
 	}
-	return c.ask(ctx, answer.Question{Script: fmt.Sprintf("explain %s %s", f.Arg(0), quoteName(f.Arg(1))), DryRun: true})
+	return c.ask(ctx, answer.Request{Script: fmt.Sprintf("explain %s %s", f.Arg(0), quoteName(f.Arg(1))), DryRun: true})
 }
--- a/operate/client/client.go
+++ b/operate/client/client.go
@@ -60,7 +60,7 @@
 // Ask asks the first entry that can be reached. It blocks until the answer
 // arrives or ctx ends. After an error it is not known whether a command was
 // accepted, unless the error is an *UnreachableError.
-func (c *Client) Ask(ctx context.Context, q answer.Question) (*answer.Reply, error) {
+func (c *Client) Ask(ctx context.Context, q answer.Request) (*answer.Reply, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, err
