--- a/operate/logs/explain.go
+++ b/operate/logs/explain.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// Ending tells how a request ended, as far as the logs say.
-type Ending string
+// Outcome tells how a request ended, as far as the logs say.
+type Outcome string
 
 const (
 	// Answered means that the client got a whole answer.
-	Answered Ending = "answered"
+	Answered Outcome = "answered"
 	// NotRun means that the request was refused and has not run.
-	NotRun Ending = "refused"
-	// Unknown means that the request may have run.
-	Unknown Ending = "outcome unknown"
-	// Broken means that a stream ended before its last event.
-	Broken Ending = "stream broken off"
+	NotRun Outcome = "refused"
+	// OutcomeUnknown means that the request may have run.
+	OutcomeUnknown Outcome = "outcome unknown"
+	// StreamBroken means that a stream ended before its last event.
+	StreamBroken Outcome = "stream broken off"
 	// Abandoned means that the client went away.
-	Abandoned Ending = "abandoned by the client"
-	// Missing means that the logs do not tell the end.
-	Missing Ending = "the end is not in the logs"
+	Abandoned Outcome = "abandoned by the client"
+	// NotLogged means that the logs do not tell the end.
+	NotLogged Outcome = "the end is not in the logs"
 )
 
 // Report explains one request.
 type Report struct {
 	Request string
-	Ending  Ending
+	Outcome Outcome
 	// Cause tells in a sentence why it ended so.
 	Cause string
 	// Lines are those of the request.
 	Lines []Line
-	// Beliefs are the changes of what the entry believed and of what happened to
+	// RelatedLines are the changes of what the entry believed and of what happened to
 	// the service's groups shortly before and during the request.
-	Beliefs []Line
+	RelatedLines []Line
 }
 
 // before is the time before a request whose events may explain it. Silence of a
@@ -47,7 +47,7 @@
 
 // Explain looks up a request in sorted lines. It returns false if none names it.
 func Explain(lines []Line, request string) (Report, bool) {
-	r := Report{Request: request, Ending: Missing}
+	r := Report{Request: request, Outcome: NotLogged}
 	for _, l := range lines {
 		if l.Request == request {
 			r.Lines = append(r.Lines, l)
@@ -56,8 +56,8 @@
 	if len(r.Lines) == 0 {
 		return r, false
 	}
-	r.Ending, r.Cause = conclude(r.Lines)
-	r.Beliefs = r.beliefs(lines)
+	r.Outcome, r.Cause = conclude(r.Lines)
+	r.RelatedLines = r.beliefs(lines)
 	return r, true
 }
 
@@ -81,7 +81,7 @@
 	return out
 }
 
-func conclude(lines []Line) (Ending, string) {
+func conclude(lines []Line) (Outcome, string) {
 	last := lines[len(lines)-1]
 	switch last.Event {
 	case "request.answered":
@@ -90,18 +90,18 @@
 		return NotRun, fmt.Sprintf("answered %.0f before any service was chosen: %s (configuration %.0f)", last.number("status"), last.Message, last.number("config"))
 	case "request.refused":
 		if last.number("status") == badGateway {
-			return Unknown, "an earlier try may have run; then: " + refusal(lines)
+			return OutcomeUnknown, "an earlier try may have run; then: " + refusal(lines)
 		}
 		return NotRun, refusal(lines)
 	case "request.failed":
-		return Unknown, fmt.Sprintf("sent to %s; then: %s", strings.Join(tried(lines), ", "), last.text("error"))
+		return OutcomeUnknown, fmt.Sprintf("sent to %s; then: %s", strings.Join(tried(lines), ", "), last.text("error"))
 	case "stream.broken":
-		return Broken, fmt.Sprintf("%.0f events were passed on, the last from %s; then: %s; it was not continued: %s",
+		return StreamBroken, fmt.Sprintf("%.0f events were passed on, the last from %s; then: %s; it was not continued: %s",
 			last.number("events"), strings.Join(tried(lines), ", "), last.text("error"), orElse(last.Message, "no try was left"))
 	case "request.abandoned":
 		return Abandoned, fmt.Sprintf("the client closed the connection after %v; tries: %.0f", last.duration("after"), last.number("sent"))
 	}
-	return Missing, fmt.Sprintf("the last line is %s at %s", last.Event, last.Host)
+	return NotLogged, fmt.Sprintf("the last line is %s at %s", last.Event, last.Host)
 }
 
 // badGateway is the status of a refusal after a try that may have run.
@@ -146,14 +146,14 @@
 // Write prints the report.
 func (r *Report) Write(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "request %s: %s\n  %s\n", r.Request, r.Ending, r.Cause)
+	fmt.Fprintf(&b, "request %s: %s\n  %s\n", r.Request, r.Outcome, r.Cause)
 	fmt.Fprintln(&b, "lines of the request:")
 	writeLines(&b, r.Lines)
 	fmt.Fprintln(&b, "what its entry and its service went through:")
-	if len(r.Beliefs) == 0 {
+	if len(r.RelatedLines) == 0 {
 		fmt.Fprintln(&b, "  nothing changed")
 	}
-	writeLines(&b, r.Beliefs)
+	writeLines(&b, r.RelatedLines)
 	_, err := io.WriteString(w, b.String())
 	return err
 }
--- a/operate/logs/explain_test.go
+++ b/operate/logs/explain_test.go
@@ -30,24 +30,24 @@
 	Sort(lines)
 	for _, c := range []struct {
 		request string
-		ending  Ending
+		ending  Outcome
 		cause   string
 		beliefs string
 	}{
 		{"r1", NotRun, "the group is down; when it was queued 8 of 9 places were taken; it waited 100µs, then 7 of 9 places were taken and 2 requests waited; its group had been down for 200ms; it was asked back after 4.9s", "group.changed"},
-		{"r2", Unknown, "sent to p-1; then: connection reset", "group.changed"},
-		{"r3", Broken, "12 events were passed on, the last from e-4; then: unexpected EOF; it was not continued: the group is down", "group.changed member.silent"},
+		{"r2", OutcomeUnknown, "sent to p-1; then: connection reset", "group.changed"},
+		{"r3", StreamBroken, "12 events were passed on, the last from e-4; then: unexpected EOF; it was not continued: the group is down", "group.changed member.silent"},
 		{"r4", Answered, "endpoint e-5 answered 200 after 90ms; tries: 2", "group.changed member.silent"},
 		{"r5", Abandoned, "the client closed the connection after 2s; tries: 1", "group.changed member.silent"},
 		{"r6", NotRun, "answered 401 before any service was chosen: the key is not known (configuration 7)", "member.silent"},
-		{"r7", Missing, "the last line is request.chosen at entry-2", "group.changed member.silent"},
+		{"r7", NotLogged, "the last line is request.chosen at entry-2", "group.changed member.silent"},
 	} {
 		r, ok := Explain(lines, c.request)
 		assert.Assert(t, ok, c.request)
-		assert.Equal(t, r.Ending, c.ending)
+		assert.Equal(t, r.Outcome, c.ending)
 		assert.Equal(t, r.Cause, c.cause)
 		var events []string
-		for _, l := range r.Beliefs {
+		for _, l := range r.RelatedLines {
 			events = append(events, l.Event)
 		}
 		assert.Equal(t, strings.Join(events, " "), c.beliefs, c.request)
