--- a/entry/operator/explain.go
+++ b/entry/operator/explain.go
@@ -45,7 +45,7 @@
 		return fmt.Sprintf("no entry that answered remembers request %q, but processes recorded events of it", request)
 	}
 	row := summary.Rows[0]
-	cell := func(name string) string { return row[summary.Column(name)].String() }
+	cell := func(name string) string { return row[summary.ColumnIndex(name)].String() }
 	detail := cell("detail")
 	switch state := cell("state"); state {
 	case "answered":
@@ -82,7 +82,7 @@
 	reply := s.gatherFleet(ctx, peerQuery{Kind: k})
 	addSources(a, reply)
 	out := &table.Table{Columns: reply.Rows.Columns}
-	i := reply.Rows.Column(column)
+	i := reply.Rows.ColumnIndex(column)
 	for _, r := range reply.Rows.Rows {
 		if r[i].Text == string(e) {
 			out.Rows = append(out.Rows, r)
@@ -100,7 +100,7 @@
 	}
 	var uses, rest []string
 	for _, r := range views.Rows {
-		entry, state := r[views.Column("entry")].Text, r[views.Column("state")].Text
+		entry, state := r[views.ColumnIndex("entry")].Text, r[views.ColumnIndex("state")].Text
 		if state == string(route.ReasonReady) {
 			uses = append(uses, entry)
 			continue
--- a/entry/operator/gather.go
+++ b/entry/operator/gather.go
@@ -283,18 +283,18 @@
 func supersedes(k lang.Kind, t *table.Table, a, b table.Row) bool {
 	switch k {
 	case lang.Endpoints:
-		age := t.Column("report_age_ms")
+		age := t.ColumnIndex("report_age_ms")
 		if a[age].Type == table.NullType || b[age].Type == table.NullType {
 			return b[age].Type == table.NullType && a[age].Type != table.NullType
 		}
 		return a[age].Number < b[age].Number
 	case lang.Hosts:
-		name, by, state := 0, t.Column("seen_by"), t.Column("state")
+		name, by, state := 0, t.ColumnIndex("seen_by"), t.ColumnIndex("state")
 		if self := a[by] == a[name]; self != (b[by] == b[name]) {
 			return self
 		}
 		return b[state].Type == table.NullType && a[state].Type != table.NullType
 	}
-	version := t.Column("version")
+	version := t.ColumnIndex("version")
 	return version >= 0 && a[version].Number > b[version].Number
 }
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -75,7 +75,7 @@
 // TestFreshestReportWins checks that rows with an older or no report are dropped.
 func TestFreshestReportWins(t *testing.T) {
 	tab := lang.NewTable(lang.Endpoints)
-	age := tab.Column("report_age_ms")
+	age := tab.ColumnIndex("report_age_ms")
 	for _, v := range []table.Value{{}, table.Number(40), table.Number(3), table.Number(7)} {
 		row := make(table.Row, len(tab.Columns))
 		row[0], row[age] = table.Text("a"), v
--- a/operate/lang/eval.go
+++ b/operate/lang/eval.go
@@ -27,7 +27,7 @@
 func (q *Query) sort(t *table.Table) {
 	slices.SortStableFunc(t.Rows, func(a, b table.Row) int {
 		for _, o := range q.Order {
-			i := t.Column(o.Field.Text)
+			i := t.ColumnIndex(o.Field.Text)
 			c := table.Compare(a[i], b[i])
 			if o.Desc {
 				c = -c
@@ -47,7 +47,7 @@
 	out := &table.Table{}
 	positions := make([]int, len(q.Show))
 	for i, n := range q.Show {
-		positions[i] = t.Column(n.Text)
+		positions[i] = t.ColumnIndex(n.Text)
 		out.Columns = append(out.Columns, n.Text)
 	}
 	for _, r := range t.Rows {
@@ -75,7 +75,7 @@
 	case x.Group != nil:
 		return x.Group.holds(t, r)
 	}
-	return x.Compare.holds(r[t.Column(x.Compare.Field.Text)])
+	return x.Compare.holds(r[t.ColumnIndex(x.Compare.Field.Text)])
 }
 
 // holds compares a value. A value that is not known differs from every literal
--- a/operate/table/table.go
+++ b/operate/table/table.go
@@ -18,8 +18,8 @@
 	Rows    []Row    `json:"rows" cbor:"2,keyasint"`
 }
 
-// Column returns the position of a column, or -1.
-func (t *Table) Column(name string) int {
+// ColumnIndex returns the position of a column, or -1.
+func (t *Table) ColumnIndex(name string) int {
 	for i, c := range t.Columns {
 		if c == name {
 			return i
