--- a/entry/operator/apply.go
+++ b/entry/operator/apply.go
@@ -43,7 +43,7 @@
 	if q.SeenVersion != 0 && q.SeenVersion != b.version {
 		return s.lostRaceReply(ctx, kind, q.SeenVersion)
 	}
-	plan, findings, err := change.Make(kind, b.value, statements)
+	plan, findings, err := change.NewPlan(kind, b.value, statements)
 	if err != nil {
 		return &answer.Reply{Error: err.Error()}
 	}
--- a/operate/change/change_test.go
+++ b/operate/change/change_test.go
@@ -28,7 +28,7 @@
 	if kind == config.KindEndpoints {
 		value = stored
 	}
-	p, findings, err := Make(kind, []byte(value), statements)
+	p, findings, err := NewPlan(kind, []byte(value), statements)
 	assert.NilError(t, err)
 	if len(findings) == 0 {
 		_, err = config.Decode(kind, p.Value)
--- a/operate/change/plan.go
+++ b/operate/change/plan.go
@@ -76,9 +76,9 @@
 	touched map[namedField]string
 }
 
-// Make applies commands of one kind to a value and validates the result by
+// NewPlan applies commands of one kind to a value and validates the result by
 // itself. The findings carry the line and column of the command that they are about.
-func Make(kind config.Kind, value []byte, statements []*lang.Statement) (*Plan, finding.List, error) {
+func NewPlan(kind config.Kind, value []byte, statements []*lang.Statement) (*Plan, finding.List, error) {
 	before, err := decode(kind, value)
 	if err != nil {
 		return nil, nil, err
