--- a/cmd/siskinford/main.go
+++ b/cmd/siskinford/main.go
@@ -11,7 +11,7 @@
 	"github.com/siskinford/siskinford/operate/cli"
 )
 
-func main() { os.Exit(run(os.Args, cli.Standard())) }
+func main() { os.Exit(run(os.Args, cli.StandardStreams())) }
 
 func run(args []string, s cli.Streams) int {
 	top := flag.NewFlagSet(args[0], flag.ContinueOnError)
--- a/operate/cli/cli.go
+++ b/operate/cli/cli.go
@@ -26,8 +26,8 @@
 	Out, Err io.Writer
 }
 
-// Standard returns the streams of the process.
-func Standard() Streams { return Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
+// StandardStreams returns the streams of the process.
+func StandardStreams() Streams { return Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
 
 // asker holds the flags of all subcommands that ask an entry.
 type asker struct {
@@ -97,7 +97,7 @@
 
 // ask asks one question and writes the answer.
 func (a *asker) ask(ctx context.Context, q answer.Request) subcommands.ExitStatus {
-	reply, err := client.New(a.client).Ask(ctx, q)
+	reply, err := client.New(a.client).Send(ctx, q)
 	if err != nil {
 		return a.failed(err, !q.DryRun)
 	}
--- a/operate/cli/query.go
+++ b/operate/cli/query.go
@@ -84,7 +84,7 @@
 // the dry run showed.
 func (c *Query) run(ctx context.Context, script string) subcommands.ExitStatus {
 	q := answer.Request{Script: script, DryRun: true, SeenVersion: c.seen}
-	reply, err := client.New(c.client).Ask(ctx, q)
+	reply, err := client.New(c.client).Send(ctx, q)
 	if err != nil {
 		return c.failed(err, false)
 	}
@@ -109,7 +109,7 @@
 }
 
 func (c *Query) apply(ctx context.Context, q answer.Request) subcommands.ExitStatus {
-	reply, err := client.New(c.client).Ask(ctx, q)
+	reply, err := client.New(c.client).Send(ctx, q)
 	if err != nil {
 		return c.failed(err, true)
 	}
--- a/operate/client/client.go
+++ b/operate/client/client.go
@@ -57,10 +57,10 @@
 	return &Client{config: c, http: &http.Client{Timeout: c.Timeout}}
 }
 
-// Ask asks the first entry that can be reached. It blocks until the answer
+// Send asks the first entry that can be reached. It blocks until the answer
 // arrives or ctx ends. After an error it is not known whether a command was
 // accepted, unless the error is an *UnreachableError.
-func (c *Client) Ask(ctx context.Context, q answer.Request) (*answer.Reply, error) {
+func (c *Client) Send(ctx context.Context, q answer.Request) (*answer.Reply, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, err
