--- a/cmd/internal/own/own.go
+++ b/cmd/internal/platformflags/platformflags.go
@@ -1,6 +1,6 @@
-// Package own holds the settings of siskinford-platform itself. Those that the
-// platform gives to a process are not among them.
-package own
+// Package platformflags holds the settings that siskinford-platform reads from
+// flags and environment variables; the platform's settings file holds the others.
+package platformflags
 
 import (
 	"io"
@@ -15,8 +15,8 @@
 	"github.com/siskinford/siskinford/platform/run"
 )
 
-// Program is the name of the program.
-const Program = "siskinford-platform"
+// ProgramName is the name of the program.
+const ProgramName = "siskinford-platform"
 
 // RoleEntry is the role of an entry whose endpoints are reached directly.
 const RoleEntry = "entry"
@@ -45,7 +45,7 @@
 
 // Settings are the program's own settings.
 type Settings struct {
-	Own run.Own
+	Run run.Own
 	Log LogMode
 	// LogLines bounds the lines per second in mode bounded.
 	LogLines int
@@ -60,10 +60,10 @@
 
 // Set returns the settings as flags and environment variables.
 func (s *Settings) Set() *settings.Set {
-	set := settings.New(Program)
-	set.Int(&s.Own.MetricsPort, "metrics-port", "port", "Port of a further address for metrics, 0 for none")
-	set.Bool(&s.Own.BindSource, "bind-source", "Open connections from the host's own address, for hosts with several")
-	set.String(&s.Own.Advertised, "advertise", "Address (ip:port) for other entries, if they do not reach the one listened at")
+	set := settings.New(ProgramName)
+	set.Int(&s.Run.MetricsPort, "metrics-port", "port", "Port of a further address for metrics, 0 for none")
+	set.Bool(&s.Run.BindSource, "bind-source", "Open connections from the host's own address, for hosts with several")
+	set.String(&s.Run.Advertised, "advertise", "Address (ip:port) for other entries, if they do not reach the one listened at")
 	settings.Text(set, &s.Log, "log", "How much is logged: full, bounded or off")
 	set.Int(&s.LogLines, "log-lines", "lines per second", "Lines below level warn in mode bounded")
 	set.Int(&s.GCPercent, "gc-percent", "percent", "Growth of the heap at which garbage is collected")
@@ -73,11 +73,11 @@
 // Validate returns what is wrong.
 func (s *Settings) Validate() finding.List {
 	var l finding.List
-	if s.Own.MetricsPort < 0 || s.Own.MetricsPort > maxPort {
-		l.Addf("metrics-port", "%d is not a port", s.Own.MetricsPort)
+	if s.Run.MetricsPort < 0 || s.Run.MetricsPort > maxPort {
+		l.Addf("metrics-port", "%d is not a port", s.Run.MetricsPort)
 	}
-	if _, err := netip.ParseAddrPort(s.Own.Advertised); err != nil && s.Own.Advertised != "" {
-		l.Addf("advertise", "%q is not ip:port", s.Own.Advertised)
+	if _, err := netip.ParseAddrPort(s.Run.Advertised); err != nil && s.Run.Advertised != "" {
+		l.Addf("advertise", "%q is not ip:port", s.Run.Advertised)
 	}
 	switch s.Log {
 	case LogFull, LogBounded, LogOff:
@@ -95,7 +95,7 @@
 
 // NewLog returns the log that the settings ask for.
 func (s *Settings) NewLog(w io.Writer, host string, set *metrics.Set) *process.BoundedLog {
-	cfg := process.LogConfig{Program: Program, Host: host, Level: zerolog.InfoLevel}
+	cfg := process.LogConfig{Program: ProgramName, Host: host, Level: zerolog.InfoLevel}
 	switch s.Log {
 	case LogBounded:
 		cfg.LinesPerSecond = s.LogLines
--- a/cmd/internal/programs/entry.go
+++ b/cmd/internal/programs/entry.go
@@ -15,8 +15,8 @@
 // defaultShutdown is the time for requests in flight at shutdown.
 const defaultShutdown = 30 * time.Second
 
-// Program is the settings of a daemon.
-type Program interface {
+// Settings is the settings of a daemon.
+type Settings interface {
 	// Set returns the settings to be parsed.
 	Set() *settings.Set
 	// Validate reports all values that are missing or out of range.
--- a/cmd/internal/programs/programs_test.go
+++ b/cmd/internal/programs/programs_test.go
@@ -10,7 +10,7 @@
 	"github.com/siskinford/siskinford/core/process"
 )
 
-func all() map[string]Program { return map[string]Program{"entry": NewEntry(), "agent": NewAgent()} }
+func all() map[string]Settings { return map[string]Settings{"entry": NewEntry(), "agent": NewAgent()} }
 
 func TestHelpListsEachSettingWithVariableAndDefault(t *testing.T) {
 	for name, p := range all() {
--- a/cmd/siskinford-platform/main.go
+++ b/cmd/siskinford-platform/main.go
@@ -14,7 +14,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"github.com/siskinford/siskinford/cmd/internal/own"
+	"github.com/siskinford/siskinford/cmd/internal/platformflags"
 	"github.com/siskinford/siskinford/core/process"
 	"github.com/siskinford/siskinford/platform/run"
 	"github.com/siskinford/siskinford/platform/settings"
@@ -23,11 +23,11 @@
 func main() { os.Exit(mainCode(os.Args[1:])) }
 
 func mainCode(args []string) int {
-	if len(args) == 0 || args[0] != own.RoleEntry {
-		fmt.Fprintf(os.Stderr, "usage: %s %s [flags]\n", own.Program, own.RoleEntry)
+	if len(args) == 0 || args[0] != platformflags.RoleEntry {
+		fmt.Fprintf(os.Stderr, "usage: %s %s [flags]\n", platformflags.ProgramName, platformflags.RoleEntry)
 		return process.ExitUsage
 	}
-	flags := own.New()
+	flags := platformflags.New()
 	if code, ok := process.ParseSettings(flags.Set(), args[1:], flags.Validate, os.Stdout, os.Stderr); !ok {
 		return code
 	}
@@ -46,8 +46,8 @@
 	return code
 }
 
-func serve(s settings.Settings, flags *own.Settings, log *process.BoundedLog, set *metrics.Set) int {
-	e, err := run.Edge(s, flags.Own, log.Logger, set)
+func serve(s settings.Settings, flags *platformflags.Settings, log *process.BoundedLog, set *metrics.Set) int {
+	e, err := run.Edge(s, flags.Run, log.Logger, set)
 	if err != nil {
 		log.Error().Err(err).Str("event", "process.failed").Msg("start failed")
 		return process.ExitFailure
--- a/cmd/siskinford/check.go
+++ b/cmd/siskinford/check.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/subcommands"
 
-	"github.com/siskinford/siskinford/cmd/internal/own"
+	"github.com/siskinford/siskinford/cmd/internal/platformflags"
 	"github.com/siskinford/siskinford/cmd/internal/programs"
 	"github.com/siskinford/siskinford/core/finding"
 	"github.com/siskinford/siskinford/core/process"
@@ -94,8 +94,8 @@
 		}
 		return findings, err
 	}
-	p, ok := map[string]programs.Program{
-		"entry": programs.NewEntry(), "agent": programs.NewAgent(), "platform": own.New(),
+	p, ok := map[string]programs.Settings{
+		"entry": programs.NewEntry(), "agent": programs.NewAgent(), "platform": platformflags.New(),
 	}[args[0]]
 	if !ok {
 		return findings, errors.Join(err, fmt.Errorf("program %q is none of entry, agent and platform", args[0]))
