--- a/operate/table/table.go
+++ b/operate/table/table.go
@@ -18,7 +18,7 @@
 	Rows    []Row    `json:"rows" cbor:"2,keyasint"`
 }
 
-// ColumnIndex returns the position of a column, or -1.
+// ColumnIndex returns the index of a column, or -1.
 func (t *Table) ColumnIndex(name string) int {
 	for i, c := range t.Columns {
 		if c == name {
@@ -36,7 +36,7 @@
 	}
 	for _, r := range t.Rows {
 		for i, v := range r {
-			widths[i] = max(widths[i], utf8.RuneCountInString(clean(v.String())))
+			widths[i] = max(widths[i], utf8.RuneCountInString(replaceControl(v.String())))
 		}
 	}
 	var b strings.Builder
@@ -48,7 +48,7 @@
 	for _, r := range t.Rows {
 		cells := make([]string, len(r))
 		for i, v := range r {
-			cells[i] = clean(v.String())
+			cells[i] = replaceControl(v.String())
 		}
 		writeLine(&b, cells, widths)
 	}
@@ -56,8 +56,9 @@
 	return err
 }
 
-// clean replaces control characters, which could change the operator's terminal.
-func clean(text string) string {
+// replaceControl replaces control characters by spaces, so that a value cannot send
+// escape sequences to the operator's terminal.
+func replaceControl(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return ' '
@@ -75,7 +76,7 @@
 	b.WriteByte('\n')
 }
 
-// WriteJSONLines writes one object for each row, with members in order of the columns.
+// WriteJSONLines writes one JSON object for each row, its members in column order.
 func (t *Table) WriteJSONLines(w io.Writer) error {
 	var b bytes.Buffer
 	for _, r := range t.Rows {
--- a/operate/table/value.go
+++ b/operate/table/value.go
@@ -1,5 +1,5 @@
-// Package table holds the rows that answer an operator's query and renders them
-// as text and as JSON lines.
+// Package table represents query results as rows with named columns and renders
+// them as text or JSON Lines.
 package table
 
 import (
@@ -14,17 +14,17 @@
 type Type uint8
 
 const (
-	// NullType is the type of a value that is not known.
+	// NullType is the type of an unknown value.
 	NullType Type = iota
-	// TextType is the type of names and texts.
+	// TextType is the type of strings.
 	TextType
 	// NumberType is the type of numbers.
 	NumberType
-	// BoolType is the type of true and false.
+	// BoolType is the type of booleans.
 	BoolType
 )
 
-// String returns the type as it appears in messages.
+// String returns the type as findings print it.
 func (t Type) String() string {
 	switch t {
 	case TextType:
@@ -37,22 +37,23 @@
 	return "nothing"
 }
 
-// Value is one cell. The zero value is not known.
+// Value is the content of one cell. The zero Value is null. A boolean is stored in
+// Number as 0 or 1.
 type Value struct {
 	Type   Type    `cbor:"1,keyasint,omitempty"`
 	Text   string  `cbor:"2,keyasint,omitempty"`
 	Number float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Text returns a text value.
+// Text returns a string value.
 func Text[T ~string](text T) Value { return Value{Type: TextType, Text: string(text)} }
 
-// Number returns a number.
+// Number returns a number value.
 func Number[T ~int | ~int64 | ~uint32 | ~uint64 | ~float64](n T) Value {
 	return Value{Type: NumberType, Number: float64(n)}
 }
 
-// Bool returns true or false.
+// Bool returns a boolean value.
 func Bool(b bool) Value {
 	v := Value{Type: BoolType}
 	if b {
@@ -61,7 +62,7 @@
 	return v
 }
 
-// List returns the items as one text.
+// List returns the items as one string, separated by commas.
 func List[T ~string](items []T) Value {
 	texts := make([]string, len(items))
 	for i, item := range items {
@@ -70,7 +71,7 @@
 	return Text(strings.Join(texts, ","))
 }
 
-// String returns the value as it appears in a table.
+// String returns the value as a table prints it.
 func (v Value) String() string {
 	switch v.Type {
 	case TextType:
@@ -83,7 +84,7 @@
 	return "-"
 }
 
-// Compare orders values of one type. Values that are not known come first.
+// Compare orders values by type, then by value. Null comes first.
 func Compare(a, b Value) int {
 	if a.Type != b.Type {
 		return cmp.Compare(a.Type, b.Type)
@@ -123,7 +124,7 @@
 	case bool:
 		*v = Bool(x)
 	default:
-		return fmt.Errorf("value %s is neither a text, a number nor a truth value", data)
+		return fmt.Errorf("value %s is neither null, a string, a number nor a boolean", data)
 	}
 	return nil
 }
