--- a/operate/lang/ast.go
+++ b/operate/lang/ast.go
@@ -1,4 +1,5 @@
-// Package lang is the operators' query and command language.
+// Package lang parses, checks and evaluates the operators' query and command
+// language.
 //
 // A script is a sequence of statements. Each begins on its own line or after a
 // semicolon; an indented line continues the statement on the line above it. Text
@@ -14,16 +15,16 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// Statement is one query, command or question. Exactly one of the pointer fields is set.
+// Statement is one statement of a script. Exactly one of the pointer fields is set.
 type Statement struct {
 	Explain  *Explain  `parser:"( @@"`
 	Timeline *Timeline `parser:"| @@"`
 	Command  *Command  `parser:"| @@"`
 	Query    *Query    `parser:"| @@ )"`
 
-	// Text is the statement as it was written.
+	// Text is the source text.
 	Text string `parser:""`
-	// start is the place of the statement's first character.
+	// start is the position of the first character in the script.
 	start position
 }
 
@@ -43,7 +44,7 @@
 	Text string `parser:"@Word"`
 }
 
-// Sorting is one field of an order.
+// Sorting is one sort key.
 type Sorting struct {
 	Field *Name `parser:"@@"`
 	Desc  bool  `parser:"( @'desc' | 'asc' )?"`
@@ -55,12 +56,12 @@
 	Rows *Literal `parser:"@@"`
 }
 
-// Or holds if one of its parts does.
+// Or is a disjunction.
 type Or struct {
 	Parts []*And `parser:"@@ ( 'or' @@ )*"`
 }
 
-// And holds if all of its parts do.
+// And is a conjunction.
 type And struct {
 	Parts []*Term `parser:"@@ ( 'and' @@ )*"`
 }
@@ -72,15 +73,15 @@
 	Compare *Comparison `parser:"| @@ )"`
 }
 
-// Comparison compares a field with a literal. The operator ~ tests whether a
-// text contains another.
+// Comparison compares a field with a literal. The operator ~ tests whether the
+// field contains the literal as a substring.
 type Comparison struct {
 	Field *Name    `parser:"@@"`
 	Op    string   `parser:"@Op"`
 	Value *Literal `parser:"@@"`
 }
 
-// Literal is a value as it is written.
+// Literal is a quoted string, a number or a bare word.
 type Literal struct {
 	Pos    lexer.Position
 	Text   *string  `parser:"( @String"`
@@ -88,7 +89,7 @@
 	Word   *string  `parser:"| @Word )"`
 }
 
-// value returns the literal as a value of the type that it was written as.
+// value converts the literal. The words true and false are booleans.
 func (l *Literal) value() table.Value {
 	switch {
 	case l.Number != nil:
@@ -101,14 +102,14 @@
 	return table.Text(*l.Word)
 }
 
-// Object names a kind of configuration and one of its members.
+// Object refers to a member of a configuration by kind and name.
 type Object struct {
 	Pos  lexer.Position
 	Kind string   `parser:"@( 'service' | 'team' | 'endpoint' )"`
 	Name *Literal `parser:"@@"`
 }
 
-// Setting gives a field of a configuration a value or a list of values.
+// Setting assigns a value or a list of values to a field of a member.
 type Setting struct {
 	Field *Name    `parser:"@@"`
 	List  *List    `parser:"( @@"`
@@ -126,7 +127,7 @@
 	Settings []*Setting `parser:"@@*"`
 }
 
-// Move moves a part of the weight of one endpoint to another.
+// Move transfers weight from one endpoint to another.
 type Move struct {
 	Weight *Literal `parser:"'weight' @@"`
 	From   *Object  `parser:"'from' @@"`
@@ -144,31 +145,31 @@
 	Move    *Move   `parser:"| 'move' @@ )"`
 }
 
-// Explain asks why a request or an endpoint is treated as it is.
+// Explain asks for the outcome of a request or the state of an endpoint, with the cause.
 type Explain struct {
 	Pos  lexer.Position
 	Kind string   `parser:"'explain' @( 'request' | 'endpoint' )"`
 	Name *Literal `parser:"@@"`
 }
 
-// Timeline asks for the events of all processes.
+// Timeline queries the events of all processes.
 type Timeline struct {
 	Pos     lexer.Position
 	Options []*TimelineOption `parser:"'timeline' @@*"`
 }
 
-// TimelineOption restricts the events.
+// TimelineOption filters the events or limits their number.
 type TimelineOption struct {
 	Pos   lexer.Position
 	Name  string `parser:"@( 'since' | 'request' | 'endpoint' | 'kind' | 'limit' )"`
 	Value string `parser:"@( Duration | Number | Word | String )"`
 }
 
-// String returns the literal as text.
+// String returns the literal without quotes.
 func (l *Literal) String() string { return l.value().String() }
 
-// JSON returns the setting's value as JSON. If asText is true, a word or number
-// is taken as text.
+// JSON returns the setting's value as JSON. List items, and any single value if
+// asText is true, are encoded as strings.
 func (s *Setting) JSON(asText bool) []byte {
 	if s.List == nil {
 		return s.Value.json(asText)
@@ -185,6 +186,6 @@
 	if asText {
 		v = table.Text(v.String())
 	}
-	data, _ := v.MarshalJSON() // Texts, finite numbers and truth values always encode.
+	data, _ := v.MarshalJSON() // Strings, finite numbers and booleans always encode.
 	return data
 }
--- a/operate/lang/check.go
+++ b/operate/lang/check.go
@@ -12,7 +12,7 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// check reports what is wrong with a statement that can be parsed.
+// check reports the semantic errors of a parsed statement.
 func (s *Statement) check(l *finding.List) {
 	c := checker{statement: s, findings: l}
 	switch {
@@ -25,7 +25,7 @@
 	}
 }
 
-// checker reports findings of one statement.
+// checker collects the findings of one statement.
 type checker struct {
 	statement *Statement
 	findings  *finding.List
@@ -46,7 +46,7 @@
 		return
 	}
 	if q.Where != nil {
-		c.or(schema, q.Where)
+		c.disjunction(schema, q.Where)
 	}
 	for _, n := range q.Show {
 		c.field(schema, n)
@@ -70,7 +70,7 @@
 	return column, ok
 }
 
-func (c checker) or(s kindSchema, o *Or) {
+func (c checker) disjunction(s kindSchema, o *Or) {
 	for _, and := range o.Parts {
 		for _, t := range and.Parts {
 			c.term(s, t)
@@ -83,7 +83,7 @@
 	case t.Not != nil:
 		c.term(s, t.Not)
 	case t.Group != nil:
-		c.or(s, t.Group)
+		c.disjunction(s, t.Group)
 	default:
 		c.comparison(s, t.Compare)
 	}
@@ -104,11 +104,11 @@
 
 func (c checker) command(m *Command) {
 	for _, o := range []*Object{m.Drain, m.Undrain} {
-		c.isEndpoint(o)
+		c.requireEndpoint(o)
 	}
 	if m.Move != nil {
-		c.isEndpoint(m.Move.From)
-		c.isEndpoint(m.Move.To)
+		c.requireEndpoint(m.Move.From)
+		c.requireEndpoint(m.Move.To)
 		if n := m.Move.Weight.Number; n == nil || *n <= 0 {
 			c.addf(m.Move.Weight.Pos, "weight must be a number above 0")
 		}
@@ -120,15 +120,15 @@
 	}
 }
 
-func (c checker) isEndpoint(o *Object) {
+func (c checker) requireEndpoint(o *Object) {
 	if o != nil && o.Kind != "endpoint" {
-		c.addf(o.Pos, "only an endpoint has this command, not a %s", o.Kind)
+		c.addf(o.Pos, "this command applies only to an endpoint, not to a %s", o.Kind)
 	}
 }
 
 func (c checker) settings(e *Edit) {
 	if e == c.statement.Command.Change && len(e.Settings) == 0 {
-		c.addf(e.Object.Pos, "no field is given to change")
+		c.addf(e.Object.Pos, "the command changes no field")
 	}
 	seen := map[string]bool{}
 	for _, s := range e.Settings {
--- a/operate/lang/eval.go
+++ b/operate/lang/eval.go
@@ -7,8 +7,8 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// Apply returns the rows, fields and order that a query asks for. The table has
-// the columns of the query's kind. The query must be free of findings.
+// Apply filters, sorts, limits and projects a table that has the columns of the
+// query's kind. The query must have no findings.
 func (q *Query) Apply(t *table.Table) *table.Table {
 	out := &table.Table{Columns: t.Columns}
 	for _, r := range t.Rows {
@@ -23,7 +23,7 @@
 	return q.project(out)
 }
 
-// sort orders the rows as asked, and by the leading columns among equals.
+// sort sorts the rows by the sort keys, then by all columns from the left.
 func (q *Query) sort(t *table.Table) {
 	slices.SortStableFunc(t.Rows, func(a, b table.Row) int {
 		for _, o := range q.Order {
@@ -78,8 +78,8 @@
 	return x.Compare.holds(r[t.ColumnIndex(x.Compare.Field.Text)])
 }
 
-// holds compares a value. A value that is not known differs from every literal
-// and is neither less nor greater.
+// holds evaluates the comparison. Null satisfies != with every literal and no other
+// operator.
 func (m *Comparison) holds(v table.Value) bool {
 	if v.Type == table.NullType {
 		return m.Op == "!="
--- a/operate/lang/lang_test.go
+++ b/operate/lang/lang_test.go
@@ -24,7 +24,7 @@
 	return t
 }
 
-func TestQueries(t *testing.T) {
+func TestQueriesFilterSortAndLimit(t *testing.T) {
 	for script, want := range map[string]string{
 		`endpoints where zone = "lima-a" and queue > 4 order by queue desc`: "b,a",
 		`endpoints where zone = lima-b or queue = 5`:                        "a,c",
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAllFindingsHaveTheirPlace(t *testing.T) {
+func TestFindingsHaveLineAndColumn(t *testing.T) {
 	script := "endpoints where zonk = 3 and queue = x\nteams show\n" +
 		"services; hots\n\n  drain team puno # no\nset endpoint a\ntimeline since soon\nmove weight 0 from endpoint a to endpoint b\n" +
 		"endpoints limit 1.5; teams where weight ~ 1"
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestStatementsOfAllForms(t *testing.T) {
+func TestParseAllStatementForms(t *testing.T) {
 	script := `create team puno key_hashes ["ab", "cd"] weight 2
 change service asistente deadline_ms 4000
 set endpoint asistente-1 weight 0.5
@@ -78,7 +78,7 @@
 	assert.Equal(t, statements[8].Start(), "line 8, column 1")
 }
 
-func TestEveryKindCanBeAsked(t *testing.T) {
+func TestEveryKindCanBeQueried(t *testing.T) {
 	for _, k := range Kinds() {
 		_, findings := Parse(string(k))
 		assert.NilError(t, findings.Err())
--- a/operate/lang/parse.go
+++ b/operate/lang/parse.go
@@ -33,28 +33,28 @@
 	participle.UseLookahead(2),
 )
 
-// position is a line and column, both from one.
+// position is a line and column, both starting at 1.
 type position struct{ line, column int }
 
 // String returns the position as the place of a finding.
 func (p position) String() string { return fmt.Sprintf("line %d, column %d", p.line, p.column) }
 
-// at returns the place of a position inside a statement that begins at p.
-func (p position) at(inner lexer.Position) position {
+// resolve converts a position in a statement that starts at p to one in the script.
+func (p position) resolve(inner lexer.Position) position {
 	if inner.Line <= 1 {
 		return position{line: p.line, column: p.column + max(inner.Column, 1) - 1}
 	}
 	return position{line: p.line + inner.Line - 1, column: inner.Column}
 }
 
-// Place returns the place of a position inside the statement.
-func (s *Statement) Place(inner lexer.Position) string { return s.start.at(inner).String() }
+// Place converts a position in the statement to the place of a finding.
+func (s *Statement) Place(inner lexer.Position) string { return s.start.resolve(inner).String() }
 
-// Start returns the place of the statement's first character.
+// Start returns the place of the first character, for a finding.
 func (s *Statement) Start() string { return s.start.String() }
 
-// Parse returns the statements of a script and all findings with line and
-// column. The statements are complete only if there is no finding.
+// Parse returns the statements of a script, without those that have syntax errors,
+// and the findings of all statements with line and column.
 func Parse(script string) ([]*Statement, finding.List) {
 	var l finding.List
 	if len(script) > MaxScriptBytes {
@@ -65,7 +65,7 @@
 	for _, p := range split(script) {
 		s, err := parseOne(p)
 		if err != nil {
-			l.Addf(place(p, err), "%s", message(err))
+			l.Addf(errorPlace(p, err), "%s", errorMessage(err))
 			continue
 		}
 		s.check(&l)
@@ -74,7 +74,7 @@
 	return out, l
 }
 
-func parseOne(p piece) (*Statement, error) {
+func parseOne(p sourceText) (*Statement, error) {
 	if d := depth(p.text); d > maxDepth {
 		return nil, errors.Newf("the condition is nested %d deep, the limit is %d", d, maxDepth)
 	}
@@ -87,20 +87,20 @@
 	return s, nil
 }
 
-// depth returns an upper bound of the nesting of a condition.
+// depth returns an upper bound of the nesting depth of a condition.
 func depth(text string) int {
 	return strings.Count(text, "(") + strings.Count(text, "not ") + strings.Count(text, "not\n")
 }
 
-func place(p piece, err error) string {
+func errorPlace(p sourceText, err error) string {
 	var parse participle.Error
 	if errors.As(err, &parse) {
-		return p.start.at(parse.Position()).String()
+		return p.start.resolve(parse.Position()).String()
 	}
 	return p.start.String()
 }
 
-func message(err error) string {
+func errorMessage(err error) string {
 	var parse participle.Error
 	if errors.As(err, &parse) {
 		return parse.Message()
@@ -108,23 +108,23 @@
 	return err.Error()
 }
 
-// piece is the text of one statement.
-type piece struct {
+// sourceText is one unparsed statement.
+type sourceText struct {
 	text  string
 	start position
 }
 
-// splitter cuts a script into statements.
+// splitter splits a script into statements.
 type splitter struct {
-	out  []piece
+	out  []sourceText
 	text strings.Builder
-	// start is that of the statement being collected, if text is not empty.
+	// start is the position of text in the script. It is valid if text is not empty.
 	start position
 }
 
-// split cuts a script at semicolons, empty lines and lines that do not begin with a space.
-// Comments become spaces, so that columns stay right.
-func split(script string) []piece {
+// split splits a script at semicolons, empty lines and lines that are not indented.
+// Dropping comments shifts no column, since they run to the end of the line.
+func split(script string) []sourceText {
 	var s splitter
 	for i, line := range strings.Split(script, "\n") {
 		if strings.TrimSpace(line) == "" || line[0] != ' ' && line[0] != '\t' {
@@ -175,7 +175,7 @@
 
 func (s *splitter) finish() {
 	if text := strings.TrimRight(s.text.String(), " \t\r\n"); text != "" {
-		s.out = append(s.out, piece{text: text, start: s.start})
+		s.out = append(s.out, sourceText{text: text, start: s.start})
 	}
 	s.text.Reset()
 }
--- a/operate/lang/schema.go
+++ b/operate/lang/schema.go
@@ -6,10 +6,10 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// Kind is a kind of rows.
+// Kind is a kind of row.
 type Kind string
 
-// Kinds of rows that can be asked for.
+// The kinds that can be queried.
 const (
 	Services       Kind = "services"
 	Teams          Kind = "teams"
@@ -24,7 +24,7 @@
 	Duties         Kind = "duties"
 )
 
-// Column describes one field of a kind.
+// Column is one field of a kind.
 type Column struct {
 	Name string
 	Type table.Type
@@ -34,9 +34,9 @@
 
 func number(name string) Column { return Column{Name: name, Type: table.NumberType} }
 
-func truth(name string) Column { return Column{Name: name, Type: table.BoolType} }
+func boolean(name string) Column { return Column{Name: name, Type: table.BoolType} }
 
-// kindSchema is the schema of one kind.
+// kindSchema lists the columns of one kind.
 type kindSchema struct {
 	kind    Kind
 	columns []Column
@@ -44,12 +44,12 @@
 	keys int
 }
 
-// Times and ages are in milliseconds, as their names say.
+// Columns whose names end in _ms are in milliseconds.
 var schemas = []kindSchema{
-	{Services, []Column{text("name"), text("type"), text("model"), number("deadline_ms"), truth("idempotent"), text("group"), number("endpoints"), number("version")}, 1},
+	{Services, []Column{text("name"), text("type"), text("model"), number("deadline_ms"), boolean("idempotent"), text("group"), number("endpoints"), number("version")}, 1},
 	{Teams, []Column{text("name"), number("weight"), number("tokens_per_second"), text("services"), number("keys"), number("version")}, 1},
 	{Endpoints, []Column{
-		text("name"), text("service"), text("zone"), text("host"), text("address"), number("weight"), truth("drain"),
+		text("name"), text("service"), text("zone"), text("host"), text("address"), number("weight"), boolean("drain"),
 		text("state"), number("queue"), number("running"), number("slots"), number("step_ms"), number("report_age_ms"), number("version"),
 	}, 1},
 	{Replicas, []Column{
@@ -64,7 +64,7 @@
 		text("state"), text("detail"), text("started_at"), number("age_ms"),
 	}, 2},
 	{Hosts, []Column{text("name"), text("zone"), text("role"), text("address"), text("state"), text("seen_by")}, 1},
-	{Zones, []Column{text("name"), text("seen_by"), truth("reachable"), number("entries"), number("age_ms")}, 2},
+	{Zones, []Column{text("name"), text("seen_by"), boolean("reachable"), number("entries"), number("age_ms")}, 2},
 	{Duties, []Column{text("name"), text("zone"), text("holder"), text("seen_by")}, 4},
 }
 
@@ -85,7 +85,7 @@
 	return out
 }
 
-// Columns returns the columns of a kind, and how many of the first ones identify a row.
+// Columns returns the columns of a kind and the number of leading ones that identify a row.
 func Columns(k Kind) (columns []Column, keys int) {
 	s, _ := schemaOf(k)
 	return s.columns, s.keys
