--- a/operate/change/change.go
+++ b/operate/change/change.go
@@ -1,4 +1,4 @@
-// Package change applies commands to a configuration and tells what they change.
+// Package change applies operators' commands to a configuration and lists the changes.
 package change
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// Action tells what happens to a member of a configuration.
+// Action is the kind of a change.
 type Action string
 
 const (
@@ -23,7 +23,7 @@
 	Delete Action = "delete"
 )
 
-// Change is what happens to one member of a configuration.
+// Change is a change of one member of a configuration.
 type Change struct {
 	Action Action  `json:"action"`
 	Object string  `json:"object"`
@@ -31,7 +31,8 @@
 	Fields []Field `json:"fields,omitempty"`
 }
 
-// Field is one field before and after a change, as JSON.
+// Field is the JSON of one field before and after a change. Before is nil if the
+// member is created.
 type Field struct {
 	Name   string          `json:"name"`
 	Before json.RawMessage `json:"before,omitempty"`
@@ -66,17 +67,17 @@
 	return a.diff(b), nil
 }
 
-// diff returns the changes from s to t, in order of the members.
-func (s *set) diff(t *set) []Change {
+// diff returns the changes from s to t in member order, deletions last.
+func (s *memberSet) diff(t *memberSet) []Change {
 	var out []Change
 	for i := range t.len() {
 		after := t.member(i)
 		c := Change{Action: Create, Object: s.object(), Name: nameOf(after)}
-		if at := s.find(c.Name); at >= 0 {
+		if index := s.find(c.Name); index >= 0 {
 			c.Action = Update
-			c.Fields = fields(s.member(at), after)
+			c.Fields = changedFields(s.member(index), after)
 		} else {
-			c.Fields = fields(reflect.Zero(after.Type()), after)
+			c.Fields = changedFields(reflect.Zero(after.Type()), after)
 			clearBefore(c.Fields)
 		}
 		if c.Action == Create || len(c.Fields) > 0 {
@@ -97,8 +98,8 @@
 	}
 }
 
-// fields returns the fields that differ, apart from the name.
-func fields(before, after reflect.Value) []Field {
+// changedFields returns the fields that differ, without the name.
+func changedFields(before, after reflect.Value) []Field {
 	var out []Field
 	for i := range after.NumField() {
 		name := jsonName(after.Type().Field(i))
@@ -106,23 +107,23 @@
 		if name == "name" || reflect.DeepEqual(a, b) {
 			continue
 		}
-		out = append(out, Field{Name: name, Before: encode(name, a), After: encode(name, b)})
+		out = append(out, Field{Name: name, Before: encodeField(name, a), After: encodeField(name, b)})
 	}
 	return out
 }
 
-// shownHash is the number of digits of a key hash that are shown.
-const shownHash = 8
+// shownHashDigits is the number of leading digits of a key hash that are shown.
+const shownHashDigits = 8
 
-// encode returns a field as JSON. Key hashes are shortened. A weight that is not
-// set is the default.
-func encode(name string, v any) json.RawMessage {
+// encodeField returns a field as JSON. Key hashes are shortened; an unset weight is
+// shown as its default, 1.
+func encodeField(name string, v any) json.RawMessage {
 	if hashes, ok := v.([]string); ok && name == "key_hashes" {
-		short := slices.Clone(hashes)
-		for i, h := range short {
-			short[i] = h[:min(len(h), shownHash)] + "..."
+		shortened := slices.Clone(hashes)
+		for i, h := range shortened {
+			shortened[i] = h[:min(len(h), shownHashDigits)] + "..."
 		}
-		v = short
+		v = shortened
 	}
 	if weight, ok := v.(*float64); ok && weight == nil {
 		v = 1
--- a/operate/change/change_test.go
+++ b/operate/change/change_test.go
@@ -37,7 +37,7 @@
 	return p, findings
 }
 
-func TestPlansShowWhatTheyChange(t *testing.T) {
+func TestPlanListsChanges(t *testing.T) {
 	for script, want := range map[string]string{
 		"drain endpoint a":                               `change endpoint "a" drain: false -> true`,
 		"undrain endpoint a":                             "",
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestFindingsNameTheCommand(t *testing.T) {
+func TestFindingsHavePlaceOfCommand(t *testing.T) {
 	_, findings := plan(t, `set endpoint b weight 101
 drain endpoint nobody
 create endpoint a
--- a/operate/change/plan.go
+++ b/operate/change/plan.go
@@ -13,22 +13,22 @@
 	"github.com/siskinford/siskinford/operate/lang"
 )
 
-// Plan is the wanted value of one kind of configuration.
+// Plan is the result of applying commands to one kind of configuration.
 type Plan struct {
 	Kind config.Kind
 	// Value is the JSON of a ServiceSet, TeamSet or EndpointSet.
 	Value   []byte
 	Changes []Change
 
-	first string
-	// places maps members and their fields to the place of the last command that
-	// named them.
+	// firstPlace is the place of the first command.
+	firstPlace string
+	// places maps members and fields to the place of the last command that set them.
 	places map[memberField]string
 }
 
 // KindOf returns the kind that the commands change. Commands of several kinds
-// are refused: kinds are separate objects of the platform, and nothing could
-// promise that either all or none of them are accepted.
+// are refused: each kind is a separate object of the platform, so the commands could
+// not be committed atomically.
 func KindOf(statements []*lang.Statement) (config.Kind, finding.List) {
 	var l finding.List
 	var kind config.Kind
@@ -58,26 +58,26 @@
 	return config.Kind(object + "s")
 }
 
-// memberField is a field of the member at a position, or the member itself.
+// memberField is a field of the member at an index, or the member if field is empty.
 type memberField struct {
-	position int
-	field    string
+	index int
+	field string
 }
 
-// namedField is a field of a named member, or the member itself.
+// namedField is a field of a named member, or the member if field is empty.
 type namedField struct{ name, field string }
 
-// planner applies commands one after the other.
+// planner applies commands to a set in sequence.
 type planner struct {
-	set       *set
+	set       *memberSet
 	statement *lang.Statement
 	findings  finding.List
-	// touched maps members and fields to the place of the last command.
-	touched map[namedField]string
+	// places is Plan.places by name, since deletions shift indices.
+	places map[namedField]string
 }
 
-// NewPlan applies commands of one kind to a value and validates the result by
-// itself. The findings carry the line and column of the command that they are about.
+// NewPlan applies commands of one kind to a value and validates the result
+// without the other kinds. Findings have the line and column of their command.
 func NewPlan(kind config.Kind, value []byte, statements []*lang.Statement) (*Plan, finding.List, error) {
 	before, err := decode(kind, value)
 	if err != nil {
@@ -87,13 +87,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	p := &planner{set: after, touched: make(map[namedField]string)}
+	p := &planner{set: after, places: make(map[namedField]string)}
 	for _, s := range statements {
 		p.statement = s
 		p.apply(s.Command)
 	}
-	plan := &Plan{Kind: kind, Changes: before.diff(after), first: statements[0].Start(), places: make(map[memberField]string)}
-	for named, place := range p.touched {
+	plan := &Plan{Kind: kind, Changes: before.diff(after), firstPlace: statements[0].Start(), places: make(map[memberField]string)}
+	for named, place := range p.places {
 		if i := after.find(named.name); i >= 0 {
 			plan.places[memberField{i, named.field}] = place
 		}
@@ -111,12 +111,12 @@
 	case c.Create != nil:
 		p.create(c.Create)
 	case c.Change != nil:
-		if m, ok := p.member(c.Change.Object); ok {
+		if m, ok := p.lookup(c.Change.Object); ok {
 			p.assign(m, c.Change.Settings)
 		}
 	case c.Delete != nil:
-		if _, ok := p.member(c.Delete); ok {
-			p.set.remove(p.set.find(name(c.Delete)))
+		if _, ok := p.lookup(c.Delete); ok {
+			p.set.remove(p.set.find(objectName(c.Delete)))
 		}
 	case c.Drain != nil:
 		p.drain(c.Drain, true)
@@ -127,40 +127,39 @@
 	}
 }
 
-// name returns the name of an object as it is written.
-func name(o *lang.Object) string { return o.Name.String() }
+func objectName(o *lang.Object) string { return o.Name.String() }
 
-// member returns an existing member.
-func (p *planner) member(o *lang.Object) (reflect.Value, bool) {
-	i := p.set.find(name(o))
+// lookup returns the member that o refers to, or adds a finding if there is none.
+func (p *planner) lookup(o *lang.Object) (reflect.Value, bool) {
+	i := p.set.find(objectName(o))
 	if i < 0 {
-		p.addf(p.statement.Place(o.Name.Pos), "%s %q does not exist", o.Kind, name(o))
+		p.addf(p.statement.Place(o.Name.Pos), "%s %q does not exist", o.Kind, objectName(o))
 		return reflect.Value{}, false
 	}
-	p.touched[namedField{name: name(o)}] = p.statement.Start()
+	p.places[namedField{name: objectName(o)}] = p.statement.Start()
 	return p.set.member(i), true
 }
 
 func (p *planner) create(e *lang.Edit) {
-	if p.set.find(name(e.Object)) >= 0 {
-		p.addf(p.statement.Place(e.Object.Name.Pos), "%s %q exists already", e.Object.Kind, name(e.Object))
+	if p.set.find(objectName(e.Object)) >= 0 {
+		p.addf(p.statement.Place(e.Object.Name.Pos), "%s %q exists already", e.Object.Kind, objectName(e.Object))
 		return
 	}
-	p.touched[namedField{name: name(e.Object)}] = p.statement.Start()
-	p.assign(p.set.add(name(e.Object)), e.Settings)
+	p.places[namedField{name: objectName(e.Object)}] = p.statement.Start()
+	p.assign(p.set.add(objectName(e.Object)), e.Settings)
 }
 
 func (p *planner) drain(o *lang.Object, drain bool) {
-	if m, ok := p.member(o); ok {
+	if m, ok := p.lookup(o); ok {
 		m.FieldByName("Drain").SetBool(drain)
 	}
 }
 
 // move moves weight from one endpoint to another of the same service.
 func (p *planner) move(m *lang.Move) {
-	from, ok := p.member(m.From)
-	to, also := p.member(m.To)
-	if !ok || !also {
+	from, fromExists := p.lookup(m.From)
+	to, toExists := p.lookup(m.To)
+	if !fromExists || !toExists {
 		return
 	}
 	a, b := from.Addr().Interface().(*config.Endpoint), to.Addr().Interface().(*config.Endpoint)
@@ -170,25 +169,25 @@
 		p.addf(p.statement.Place(m.To.Name.Pos), "endpoint %q is both source and target", a.Name)
 	case a.Service != b.Service:
 		p.addf(p.statement.Place(m.To.Name.Pos), "endpoint %q belongs to service %q, endpoint %q to %q", b.Name, b.Service, a.Name, a.Service)
-	case weight(a) < amount:
-		p.addf(p.statement.Place(m.Weight.Pos), "endpoint %q has weight %v, less than %v", a.Name, weight(a), amount)
+	case effectiveWeight(a) < amount:
+		p.addf(p.statement.Place(m.Weight.Pos), "endpoint %q has weight %v, less than %v", a.Name, effectiveWeight(a), amount)
 	default:
-		x, y := weight(a)-amount, weight(b)+amount
+		x, y := effectiveWeight(a)-amount, effectiveWeight(b)+amount
 		a.Weight, b.Weight = &x, &y
 	}
 }
 
-func weight(e *config.Endpoint) float64 {
+func effectiveWeight(e *config.Endpoint) float64 {
 	if e.Weight == nil {
 		return 1
 	}
 	return *e.Weight
 }
 
-var memberPlace = regexp.MustCompile(`^[a-z]+\[(\d+)\]\.?`)
+var memberPlacePattern = regexp.MustCompile(`^[a-z]+\[(\d+)\]\.?`)
 
 // Locate replaces places inside the value, such as "endpoints[3].weight", by the
-// line and column of the command that last named the member.
+// line and column of the command that last set the member.
 func (p *Plan) Locate(l finding.List) finding.List {
 	out := make(finding.List, 0, len(l))
 	for _, f := range l {
@@ -198,24 +197,24 @@
 }
 
 func (p *Plan) locate(f finding.Finding) finding.Finding {
-	m := memberPlace.FindStringSubmatch(f.Place)
+	m := memberPlacePattern.FindStringSubmatch(f.Place)
 	if m == nil {
-		return finding.Finding{Place: p.first, Message: f.Message}
+		return finding.Finding{Place: p.firstPlace, Message: f.Message}
 	}
 	i, _ := strconv.Atoi(m[1])
 	field := strings.TrimPrefix(f.Place, m[0])
 	name, _, _ := strings.Cut(field, "[")
 	place, ok := p.places[memberField{i, name}]
 	if !ok {
-		place, ok = p.places[memberField{position: i}]
+		place, ok = p.places[memberField{index: i}]
 	}
 	if !ok {
-		return finding.Finding{Place: p.first, Message: fmt.Sprintf("%s: %s", f.Place, f.Message)}
+		return finding.Finding{Place: p.firstPlace, Message: fmt.Sprintf("%s: %s", f.Place, f.Message)}
 	}
 	return finding.Finding{Place: place, Message: strings.TrimPrefix(fmt.Sprintf("%s: %s", field, f.Message), ": ")}
 }
 
-// assign gives fields of a member their values.
+// assign sets fields of a member.
 func (p *planner) assign(member reflect.Value, settings []*lang.Setting) {
 	for _, s := range settings {
 		field, ok := fieldOf(member, s.Field.Text)
@@ -224,13 +223,13 @@
 			continue
 		}
 		data := s.JSON(field.Kind() == reflect.String)
-		fresh := reflect.New(field.Type())
-		if err := json.Unmarshal(data, fresh.Interface()); err != nil {
+		value := reflect.New(field.Type())
+		if err := json.Unmarshal(data, value.Interface()); err != nil {
 			p.addf(p.statement.Place(s.Field.Pos), "field %q cannot have the value %s", s.Field.Text, data)
 			continue
 		}
-		field.Set(fresh.Elem())
-		p.touched[namedField{nameOf(member), s.Field.Text}] = p.statement.Place(s.Field.Pos)
+		field.Set(value.Elem())
+		p.places[namedField{nameOf(member), s.Field.Text}] = p.statement.Place(s.Field.Pos)
 	}
 }
 
--- a/operate/change/set.go
+++ b/operate/change/set.go
@@ -9,9 +9,9 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// set is a *config.ServiceSet, *config.TeamSet or *config.EndpointSet whose
-// members are reached by name.
-type set struct {
+// memberSet gives access by name to the members of a *config.ServiceSet,
+// *config.TeamSet or *config.EndpointSet.
+type memberSet struct {
 	kind  config.Kind
 	value any
 	// members is the slice inside value.
@@ -19,8 +19,8 @@
 }
 
 // decode decodes the value of a kind. An empty value is an empty set.
-func decode(kind config.Kind, data []byte) (*set, error) {
-	s := &set{kind: kind}
+func decode(kind config.Kind, data []byte) (*memberSet, error) {
+	s := &memberSet{kind: kind}
 	switch kind {
 	case config.KindServices:
 		s.value = &config.ServiceSet{}
@@ -40,16 +40,16 @@
 	return s, nil
 }
 
-// object returns the name of one member's kind.
-func (s *set) object() string { return string(s.kind[:len(s.kind)-1]) }
+// object returns the kind in the singular, such as "endpoint".
+func (s *memberSet) object() string { return string(s.kind[:len(s.kind)-1]) }
 
-func (s *set) len() int { return s.members.Len() }
+func (s *memberSet) len() int { return s.members.Len() }
 
-// member returns the addressable struct of a member.
-func (s *set) member(i int) reflect.Value { return s.members.Index(i) }
+// member returns the addressable struct of the member at an index.
+func (s *memberSet) member(i int) reflect.Value { return s.members.Index(i) }
 
-// find returns the position of a member, or -1.
-func (s *set) find(name string) int {
+// find returns the index of a member, or -1.
+func (s *memberSet) find(name string) int {
 	for i := range s.len() {
 		if nameOf(s.member(i)) == name {
 			return i
@@ -59,22 +59,22 @@
 }
 
 // add appends a member and returns it.
-func (s *set) add(name string) reflect.Value {
+func (s *memberSet) add(name string) reflect.Value {
 	m := reflect.New(s.members.Type().Elem()).Elem()
 	m.FieldByName("Name").SetString(name)
 	s.members.Set(reflect.Append(s.members, m))
 	return s.member(s.len() - 1)
 }
 
-func (s *set) remove(i int) {
+func (s *memberSet) remove(i int) {
 	rest := reflect.AppendSlice(s.members.Slice(0, i), s.members.Slice(i+1, s.len()))
 	s.members.Set(rest)
 }
 
 func nameOf(member reflect.Value) string { return member.FieldByName("Name").String() }
 
-// encode returns the set as JSON.
-func (s *set) encode() ([]byte, error) {
+// encode returns the set as JSON, never with a null list.
+func (s *memberSet) encode() ([]byte, error) {
 	if s.members.IsNil() {
 		s.members.Set(reflect.MakeSlice(s.members.Type(), 0, 0))
 	}
