--- a/operate/answer/answer.go
+++ b/operate/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer holds what the operator API answers and renders it.
+// Package answer defines the messages of the operator API and renders its replies.
 package answer
 
 import (
@@ -17,25 +17,25 @@
 type Request struct {
 	// Script holds queries, or commands that change one kind of configuration.
 	Script string `json:"script"`
-	// DryRun shows what commands would change.
+	// DryRun computes the changes of commands without committing them.
 	DryRun bool `json:"dry_run,omitempty"`
 	// SeenVersion is the version of the configuration that the operator saw. Zero
-	// means the version that the entry reads.
+	// means the current one.
 	SeenVersion uint64 `json:"seen,omitempty"`
 }
 
-// Reply is the answer to a Question.
+// Reply is the response to a Request.
 type Reply struct {
-	// Findings tell what is wrong with the script. Nothing was changed if there is one.
+	// Findings are the errors of the script. If there are any, nothing was changed.
 	Findings finding.List `json:"findings,omitempty"`
 	Answers  []Answer     `json:"answers,omitempty"`
 	// Plan is set for commands.
 	Plan *Plan `json:"plan,omitempty"`
-	// Error tells why the question could not be answered.
+	// Error is the reason why the request failed.
 	Error string `json:"error,omitempty"`
 }
 
-// Missing is a process that did not answer.
+// Missing is a process that did not reply.
 type Missing struct {
 	Process string `json:"process" cbor:"1,keyasint"`
 	Reason  string `json:"reason" cbor:"2,keyasint"`
@@ -47,61 +47,61 @@
 	Table table.Table `json:"table"`
 }
 
-// Answer is the answer to one query or question.
+// Answer is the result of one statement that is not a command.
 type Answer struct {
 	Statement string `json:"statement"`
-	// AsOf is the wall time of the entry that was asked.
+	// AsOf is the wall-clock time of the entry that handled the request.
 	AsOf time.Time `json:"as_of"`
-	// Processes are those that the answer is from.
+	// Processes are the processes that replied.
 	Processes []string  `json:"processes"`
 	Missing   []Missing `json:"missing,omitempty"`
-	// Truncated is true if a process had more rows than fit.
+	// Truncated is true if a process had more rows than fit into its reply.
 	Truncated bool      `json:"truncated,omitempty"`
 	Sections  []Section `json:"sections"`
 }
 
-// State tells what became of a plan.
+// State is the outcome of a plan.
 type State string
 
 const (
-	// DryRun means that nothing was to be changed.
+	// DryRun means that the plan was not submitted.
 	DryRun State = "dry-run"
-	// Unchanged means that the configuration has the wanted state already.
+	// Unchanged means that the plan contains no change.
 	Unchanged State = "unchanged"
 	// Accepted means that the change is committed.
 	Accepted State = "accepted"
-	// LostRace means that another change came first. Nothing was changed.
+	// LostRace means that another change was committed first and this one was not.
 	LostRace State = "lost-race"
-	// NotAccepted means that nothing was changed.
+	// NotAccepted means that the change was not committed because of findings or an error.
 	NotAccepted State = "not-accepted"
 	// OutcomeUnknown means that the change may or may not have been committed.
 	OutcomeUnknown State = "unknown"
 )
 
-// Plan is a change of one kind of configuration and what became of it.
+// Plan is a change of one kind of configuration and its outcome.
 type Plan struct {
 	Kind  config.Kind `json:"kind"`
 	State State       `json:"state"`
-	// SeenVersion is the version that the change was made to.
+	// SeenVersion is the version that the change is based on.
 	SeenVersion uint64          `json:"seen"`
 	Changes     []change.Change `json:"changes"`
-	// Version is that of the accepted change.
+	// Version is the version that an accepted change created.
 	Version uint64 `json:"version,omitempty"`
 	Race    *Race  `json:"race,omitempty"`
 }
 
-// Race tells who changed what since the version that the operator saw.
+// Race describes the latest version and how it differs from the one the operator saw.
 type Race struct {
 	Version   uint64    `json:"version"`
 	Writer    string    `json:"writer"`
 	WrittenAt time.Time `json:"written_at"`
-	// Changes are those since the seen version. Known is false if the entry
-	// does not hold the seen version any more.
+	// Changes are the changes since the seen version. ChangesKnown is false if the
+	// entry no longer holds that version.
 	Changes      []change.Change `json:"changes"`
 	ChangesKnown bool            `json:"known"`
 }
 
-// WriteJSONLines writes the rows and changes, then one line on their origin.
+// WriteJSONLines writes the rows of all sections, then one line on their origin.
 func (a *Answer) WriteJSONLines(w io.Writer) error {
 	for _, s := range a.Sections {
 		if err := s.Table.WriteJSONLines(w); err != nil {
@@ -111,7 +111,7 @@
 	return writeLine(w, origin{Statement: a.Statement, AsOf: a.AsOf, Processes: a.Processes, Missing: a.Missing, Truncated: a.Truncated})
 }
 
-// WriteText writes the tables and a line on their origin.
+// WriteText writes the tables, then lines on their origin and completeness.
 func (a *Answer) WriteText(w io.Writer) error {
 	for _, s := range a.Sections {
 		if len(a.Sections) > 1 {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// WriteText writes what changes and what became of it.
+// WriteText writes the changes and the outcome.
 func (p *Plan) WriteText(w io.Writer) error {
 	for _, c := range p.Changes {
 		fmt.Fprintln(w, c)
@@ -144,7 +144,7 @@
 	case Accepted:
 		fmt.Fprintf(w, "-- accepted: %s has version %d\n", p.Kind, p.Version)
 	case OutcomeUnknown:
-		fmt.Fprintf(w, "-- unknown: the change of %s to version %d may or may not have been accepted; ask for configurations\n", p.Kind, p.SeenVersion)
+		fmt.Fprintf(w, "-- unknown: the change of %s to version %d may or may not have been accepted; query configurations\n", p.Kind, p.SeenVersion)
 	case NotAccepted:
 		fmt.Fprintln(w, "-- not accepted: nothing was changed")
 	case LostRace:
@@ -157,7 +157,7 @@
 	fmt.Fprintf(w, "-- not accepted: %s was changed by %q at %s to version %d, your change was made to version %d\n",
 		p.Kind, p.Race.Writer, p.Race.WrittenAt.UTC().Format(time.RFC3339), p.Race.Version, p.SeenVersion)
 	if !p.Race.ChangesKnown {
-		fmt.Fprintf(w, "-- this entry does not hold version %d any more, so the changes since are not known\n", p.SeenVersion)
+		fmt.Fprintf(w, "-- this entry no longer holds version %d, so the changes since are unknown\n", p.SeenVersion)
 	}
 	for _, c := range p.Race.Changes {
 		fmt.Fprintf(w, "-- since then: %s\n", c)
--- a/operate/answer/write.go
+++ b/operate/answer/write.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Format is the form of output.
+// Format is an output format.
 type Format string
 
 const (
-	// Text is a table for people.
+	// Text prints aligned tables.
 	Text Format = "text"
-	// JSONLines is one JSON object a line.
+	// JSONLines prints one JSON object per line.
 	JSONLines Format = "jsonl"
 )
 
-// origin is the last JSON line of an answer.
+// origin is the last line of an answer in JSON Lines.
 type origin struct {
 	Statement string    `json:"statement"`
 	AsOf      time.Time `json:"as_of"`
@@ -35,7 +35,6 @@
 	return err
 }
 
-// Write writes a reply.
 func (r *Reply) Write(w io.Writer, f Format) error {
 	if f == JSONLines {
 		return r.writeJSONLines(w)
--- a/operate/client/client.go
+++ b/operate/client/client.go
@@ -1,4 +1,4 @@
-// Package client asks the operator API of an entry.
+// Package client is a client of the operator API of entries.
 package client
 
 import (
@@ -17,18 +17,18 @@
 	"github.com/siskinford/siskinford/operate/answer"
 )
 
-// Config names the entries and the operator's key.
+// Config holds the settings of a client.
 type Config struct {
-	// Entries are base URLs of the operator addresses of entries, separated by
-	// commas. The first that can be reached is asked. Required.
+	// Entries are the base URLs of the operator API of entries, separated by
+	// commas, in the order in which they are tried. Required.
 	Entries string
 	// Key is the operator's key. Required.
 	Key string
-	// Timeout bounds one question. Default: 30 s.
+	// Timeout bounds the request to each entry. Zero means no limit.
 	Timeout time.Duration
 }
 
-// Validate reports what is missing or malformed.
+// Validate reports missing and malformed fields.
 func (c Config) Validate() finding.List {
 	var l finding.List
 	for _, entry := range strings.Split(c.Entries, ",") {
@@ -57,9 +57,9 @@
 	return &Client{config: c, http: &http.Client{Timeout: c.Timeout}}
 }
 
-// Send asks the first entry that can be reached. It blocks until the answer
-// arrives or ctx ends. After an error it is not known whether a command was
-// accepted, unless the error is an *UnreachableError.
+// Send sends a script to the first reachable entry. It blocks until the reply
+// arrives or ctx ends. After an error other than *UnreachableError it is unknown
+// whether a command was accepted.
 func (c *Client) Send(ctx context.Context, q answer.Request) (*answer.Reply, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	var all error
 	for _, entry := range strings.Split(c.config.Entries, ",") {
-		reply, err := c.ask(ctx, entry, body)
+		reply, err := c.send(ctx, entry, body)
 		var unreachable *UnreachableError
 		if !errors.As(err, &unreachable) {
 			return reply, err
@@ -77,7 +77,7 @@
 	return nil, all
 }
 
-// UnreachableError reports an entry that received nothing of a question.
+// UnreachableError reports a failure to connect to an entry, so that nothing was sent.
 type UnreachableError struct {
 	Entry string
 	Cause error
@@ -93,7 +93,7 @@
 // maxReplyBytes bounds a reply.
 const maxReplyBytes = 64 << 20
 
-func (c *Client) ask(ctx context.Context, entry string, body []byte) (*answer.Reply, error) {
+func (c *Client) send(ctx context.Context, entry string, body []byte) (*answer.Reply, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, strings.TrimSuffix(entry, "/")+"/v1/query", bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 	defer response.Body.Close()
 	reply := new(answer.Reply)
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(reply); err != nil {
-		return nil, errors.Wrapf(err, "entry at %s answered status %d without a reply", entry, response.StatusCode)
+		return nil, errors.Wrapf(err, "entry at %s returned status %d without a valid reply", entry, response.StatusCode)
 	}
 	return reply, nil
 }
