--- a/operate/logs/explain.go
+++ b/operate/logs/explain.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Outcome tells how a request ended, as far as the logs say.
+// Outcome is the outcome of a request as far as it was logged.
 type Outcome string
 
 const (
-	// Answered means that the client got a whole answer.
+	// Answered means that the client received a complete response.
 	Answered Outcome = "answered"
 	// NotRun means that the request was refused and has not run.
 	NotRun Outcome = "refused"
@@ -24,7 +24,7 @@
 	StreamBroken Outcome = "stream broken off"
 	// Abandoned means that the client went away.
 	Abandoned Outcome = "abandoned by the client"
-	// NotLogged means that the logs do not tell the end.
+	// NotLogged means that the logs do not contain the outcome.
 	NotLogged Outcome = "the end is not in the logs"
 )
 
@@ -32,20 +32,20 @@
 type Report struct {
 	Request string
 	Outcome Outcome
-	// Cause tells in a sentence why it ended so.
+	// Cause explains the outcome in one sentence.
 	Cause string
-	// Lines are those of the request.
+	// Lines are the log lines of the request.
 	Lines []Line
-	// RelatedLines are the changes of what the entry believed and of what happened to
-	// the service's groups shortly before and during the request.
+	// RelatedLines are lines of the same host or service that belong to no request,
+	// such as state changes of members and groups, shortly before and during this one.
 	RelatedLines []Line
 }
 
-// before is the time before a request whose events may explain it. Silence of a
-// host or a group is noticed within about a second.
-const before = 2 * time.Second
+// lookback is how long before a request an event may explain it. A silent host or
+// group is detected within about a second.
+const lookback = 2 * time.Second
 
-// Explain looks up a request in sorted lines. It returns false if none names it.
+// Explain reports on a request from lines in time order, or returns false if it has none.
 func Explain(lines []Line, request string) (Report, bool) {
 	r := Report{Request: request, Outcome: NotLogged}
 	for _, l := range lines {
@@ -56,13 +56,13 @@
 	if len(r.Lines) == 0 {
 		return r, false
 	}
-	r.Outcome, r.Cause = conclude(r.Lines)
-	r.RelatedLines = r.beliefs(lines)
+	r.Outcome, r.Cause = determineOutcome(r.Lines)
+	r.RelatedLines = r.relatedLines(lines)
 	return r, true
 }
 
-// beliefs returns the lines that may explain the request.
-func (r *Report) beliefs(lines []Line) []Line {
+// relatedLines selects Report.RelatedLines.
+func (r *Report) relatedLines(lines []Line) []Line {
 	first, last := r.Lines[0], r.Lines[len(r.Lines)-1]
 	began := last.Time.Add(-last.duration("after"))
 	if first.Time.Before(began) {
@@ -70,18 +70,18 @@
 	}
 	var out []Line
 	for _, l := range lines {
-		if l.Request != "" || l.Time.Before(began.Add(-before)) || l.Time.After(last.Time) {
+		if l.Request != "" || l.Time.Before(began.Add(-lookback)) || l.Time.After(last.Time) {
 			continue
 		}
-		aboutService := l.Service != "" && l.Service == last.Service
-		if l.Host == last.Host || aboutService {
+		sameService := l.Service != "" && l.Service == last.Service
+		if l.Host == last.Host || sameService {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-func conclude(lines []Line) (Outcome, string) {
+func determineOutcome(lines []Line) (Outcome, string) {
 	last := lines[len(lines)-1]
 	switch last.Event {
 	case "request.answered":
@@ -90,14 +90,14 @@
 		return NotRun, fmt.Sprintf("answered %.0f before any service was chosen: %s (configuration %.0f)", last.number("status"), last.Message, last.number("config"))
 	case "request.refused":
 		if last.number("status") == badGateway {
-			return OutcomeUnknown, "an earlier try may have run; then: " + refusal(lines)
+			return OutcomeUnknown, "an earlier try may have run; then: " + refusalCause(lines)
 		}
-		return NotRun, refusal(lines)
+		return NotRun, refusalCause(lines)
 	case "request.failed":
-		return OutcomeUnknown, fmt.Sprintf("sent to %s; then: %s", strings.Join(tried(lines), ", "), last.text("error"))
+		return OutcomeUnknown, fmt.Sprintf("sent to %s; then: %s", strings.Join(triedEndpoints(lines), ", "), last.text("error"))
 	case "stream.broken":
 		return StreamBroken, fmt.Sprintf("%.0f events were passed on, the last from %s; then: %s; it was not continued: %s",
-			last.number("events"), strings.Join(tried(lines), ", "), last.text("error"), orElse(last.Message, "no try was left"))
+			last.number("events"), strings.Join(triedEndpoints(lines), ", "), last.text("error"), orElse(last.Message, "no try was left"))
 	case "request.abandoned":
 		return Abandoned, fmt.Sprintf("the client closed the connection after %v; tries: %.0f", last.duration("after"), last.number("sent"))
 	}
@@ -107,7 +107,7 @@
 // badGateway is the status of a refusal after a try that may have run.
 const badGateway = 502
 
-func refusal(lines []Line) string {
+func refusalCause(lines []Line) string {
 	l := lines[len(lines)-1]
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s; ", l.Message)
@@ -125,8 +125,8 @@
 	return b.String()
 }
 
-// tried returns the endpoints that a request was sent to.
-func tried(lines []Line) []string {
+// triedEndpoints returns the endpoints that a request was sent to.
+func triedEndpoints(lines []Line) []string {
 	var out []string
 	for _, l := range lines {
 		if l.Event == "request.chosen" && !slices.Contains(out, l.text("endpoint")) {
@@ -158,8 +158,8 @@
 	return err
 }
 
-// writeLines prints lines. Of lines in a row with the same event of one host only
-// the first is printed.
+// writeLines prints lines. Consecutive lines with the same host and event are
+// collapsed into the first one and a count.
 func writeLines(b *strings.Builder, lines []Line) {
 	for i := 0; i < len(lines); {
 		l, n := lines[i], 1
@@ -168,16 +168,16 @@
 		}
 		l.write(b)
 		if n > 1 {
-			fmt.Fprintf(b, "    and %d more until %s\n", n-1, lines[i+n-1].Time.UTC().Format(timeOfDay))
+			fmt.Fprintf(b, "    and %d more until %s\n", n-1, lines[i+n-1].Time.UTC().Format(timeOfDayFormat))
 		}
 		i += n
 	}
 }
 
-const timeOfDay = "15:04:05.000"
+const timeOfDayFormat = "15:04:05.000"
 
 func (l Line) write(b *strings.Builder) {
-	fmt.Fprintf(b, "  %s %s %s", l.Time.UTC().Format(timeOfDay), l.Host, l.Event)
+	fmt.Fprintf(b, "  %s %s %s", l.Time.UTC().Format(timeOfDayFormat), l.Host, l.Event)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		v := l.Fields[name]
 		if n, ok := v.(float64); ok {
--- a/operate/logs/explain_test.go
+++ b/operate/logs/explain_test.go
@@ -30,9 +30,9 @@
 	Sort(lines)
 	for _, c := range []struct {
 		request string
-		ending  Outcome
+		outcome Outcome
 		cause   string
-		beliefs string
+		related string
 	}{
 		{"r1", NotRun, "the group is down; when it was queued 8 of 9 places were taken; it waited 100µs, then 7 of 9 places were taken and 2 requests waited; its group had been down for 200ms; it was asked back after 4.9s", "group.changed"},
 		{"r2", OutcomeUnknown, "sent to p-1; then: connection reset", "group.changed"},
@@ -44,16 +44,16 @@
 	} {
 		r, ok := Explain(lines, c.request)
 		assert.Assert(t, ok, c.request)
-		assert.Equal(t, r.Outcome, c.ending)
+		assert.Equal(t, r.Outcome, c.outcome)
 		assert.Equal(t, r.Cause, c.cause)
 		var events []string
 		for _, l := range r.RelatedLines {
 			events = append(events, l.Event)
 		}
-		assert.Equal(t, strings.Join(events, " "), c.beliefs, c.request)
+		assert.Equal(t, strings.Join(events, " "), c.related, c.request)
 		var out strings.Builder
 		assert.NilError(t, r.Write(&out))
-		assert.Assert(t, strings.Contains(out.String(), "request "+c.request+": "+string(c.ending)), out.String())
+		assert.Assert(t, strings.Contains(out.String(), "request "+c.request+": "+string(c.outcome)), out.String())
 	}
 	_, ok := Explain(lines, "r8")
 	assert.Assert(t, !ok)
--- a/operate/logs/read.go
+++ b/operate/logs/read.go
@@ -1,5 +1,5 @@
-// Package logs explains what became of a request from the log lines of all
-// processes, as they were collected. It needs no process to be up.
+// Package logs determines the outcome of a request from collected log lines of all
+// processes. No process needs to be running.
 package logs
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one line of a log.
+// Line is one log line.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Level   string    `json:"level"`
@@ -26,17 +26,16 @@
 	Fields map[string]any `json:"-"`
 }
 
-// known lists the fields of a Line that are no other fields.
-var known = []string{"time", "level", "program", "host", "event", "request", "service", "message"}
+// lineFields are the names of the fields that Line.Fields does not hold.
+var lineFields = []string{"time", "level", "program", "host", "event", "request", "service", "message"}
 
-// maxLine bounds a line, far above what processes write. Unit: bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line, far above what processes write.
+const maxLineBytes = 1 << 20
 
-// Read returns the lines that hold an event. Other output of the processes is
-// skipped and counted.
+// Read returns the lines that have an event and the number of other lines.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, maxLine)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		var l Line
 		if json.Unmarshal(scan.Bytes(), &l) != nil || l.Event == "" {
@@ -44,9 +43,9 @@
 			continue
 		}
 		if err := json.Unmarshal(scan.Bytes(), &l.Fields); err != nil {
-			return lines, skipped, errors.Wrap(err, "fields of a line")
+			return lines, skipped, errors.Wrap(err, "decode the fields of a log line")
 		}
-		for _, name := range known {
+		for _, name := range lineFields {
 			delete(l.Fields, name)
 		}
 		lines = append(lines, l)
@@ -59,7 +58,7 @@
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time.Before(lines[j].Time) })
 }
 
-// number returns a field's number, zero if there is none.
+// number returns a numeric field, or zero.
 func (l Line) number(name string) float64 {
 	v, ok := l.Fields[name].(float64)
 	if !ok {
@@ -68,7 +67,7 @@
 	return v
 }
 
-// text returns a field's text, empty if there is none.
+// text returns a string field, or the empty string.
 func (l Line) text(name string) string {
 	v, ok := l.Fields[name].(string)
 	if !ok {
@@ -77,10 +76,10 @@
 	return v
 }
 
-// shown is the precision of durations in reports.
-const shown = 100 * time.Microsecond
+// durationPrecision is the precision of durations in reports.
+const durationPrecision = 100 * time.Microsecond
 
-// duration returns a field that holds milliseconds.
+// duration returns a field in milliseconds.
 func (l Line) duration(name string) time.Duration {
-	return time.Duration(l.number(name) * float64(time.Millisecond)).Round(shown)
+	return time.Duration(l.number(name) * float64(time.Millisecond)).Round(durationPrecision)
 }
