--- a/operate/cli/cli.go
+++ b/operate/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds the subcommands of the operators' program.
+// Package cli implements the subcommands of the operators' program.
 package cli
 
 import (
@@ -20,49 +20,49 @@
 	"github.com/siskinford/siskinford/operate/client"
 )
 
-// Streams are the standard streams of the program.
+// Streams are the standard streams of a program.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
 }
 
-// StandardStreams returns the streams of the process.
+// StandardStreams returns the standard streams of the process.
 func StandardStreams() Streams { return Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
 
-// asker holds the flags of all subcommands that ask an entry.
-type asker struct {
-	streams Streams
-	client  client.Config
-	format  string
-	all     bool
+// remoteCommand holds the flags that all subcommands with a request to an entry share.
+type remoteCommand struct {
+	streams    Streams
+	client     client.Config
+	format     string
+	requireAll bool
 }
 
-// defaultTimeout bounds one question.
+// defaultTimeout bounds the request to each entry.
 const defaultTimeout = 30 * time.Second
 
-func (a *asker) setFlags(f *flag.FlagSet) {
-	f.StringVar(&a.client.Entries, "entry", "", usage("entry", "text", "", "Operator URLs of entries, separated by commas; the first that can be reached is asked. Required."))
+func (a *remoteCommand) setFlags(f *flag.FlagSet) {
+	f.StringVar(&a.client.Entries, "entry", "", usage("entry", "text", "", "Operator URLs of entries, separated by commas; the first reachable one is used. Required."))
 	f.StringVar(&a.client.Key, "operator-key", "", usage("operator-key", "text", "", "The operator's key. Required."))
-	f.DurationVar(&a.client.Timeout, "timeout", defaultTimeout, usage("timeout", "duration", "30s", "Bound of one question."))
-	f.StringVar(&a.format, "format", string(answer.Text), usage("format", "text or jsonl", "text", "Form of the output."))
-	f.BoolVar(&a.all, "all", false, usage("all", "true|false", "false", "Exit with code 6 if a process did not answer."))
+	f.DurationVar(&a.client.Timeout, "timeout", defaultTimeout, usage("timeout", "duration", "30s", "Time limit of the request to each entry."))
+	f.StringVar(&a.format, "format", string(answer.Text), usage("format", "text or jsonl", "text", "Output format."))
+	f.BoolVar(&a.requireAll, "all", false, usage("all", "true|false", "false", "Exit with code 6 if a process did not answer."))
 }
 
 // usage describes a flag with its environment variable, unit and default.
-func usage(name, unit, fallback, sentence string) string {
-	if fallback != "" {
-		sentence += " Default: " + fallback + "."
+func usage(name, unit, defaultValue, description string) string {
+	if defaultValue != "" {
+		description += " Default: " + defaultValue + "."
 	}
-	return fmt.Sprintf("(%s, %s) %s", unit, settings.EnvName(name), sentence)
+	return fmt.Sprintf("(%s, %s) %s", unit, settings.EnvName(name), description)
 }
 
-// WriteFlags prints the flags of a subcommand without the values given to them.
+// WriteFlags prints the flags of a subcommand without their current values.
 func WriteFlags(w io.Writer, f *flag.FlagSet) {
 	f.VisitAll(func(x *flag.Flag) { fmt.Fprintf(w, "  --%s\n      %s\n", x.Name, x.Usage) })
 }
 
-// fromEnvironment sets the flags that were not given from the environment.
-func fromEnvironment(f *flag.FlagSet) error {
+// setFromEnvironment sets flags that are not on the command line from the environment.
+func setFromEnvironment(f *flag.FlagSet) error {
 	given := map[string]bool{}
 	f.Visit(func(x *flag.Flag) { given[x.Name] = true })
 	var all error
@@ -78,10 +78,10 @@
 	return all
 }
 
-// ready completes the flags and reports all that is wrong with them.
-func (a *asker) ready(f *flag.FlagSet) bool {
+// validateFlags applies the environment to the flags and prints everything invalid.
+func (a *remoteCommand) validateFlags(f *flag.FlagSet) bool {
 	var findings finding.List
-	if err := fromEnvironment(f); err != nil {
+	if err := setFromEnvironment(f); err != nil {
 		findings.Addf("environment", "%v", err)
 	}
 	findings = append(findings, a.client.Validate()...)
@@ -95,20 +95,20 @@
 	return true
 }
 
-// ask asks one question and writes the answer.
-func (a *asker) ask(ctx context.Context, q answer.Request) subcommands.ExitStatus {
+// send sends a request and prints the reply.
+func (a *remoteCommand) send(ctx context.Context, q answer.Request) subcommands.ExitStatus {
 	reply, err := client.New(a.client).Send(ctx, q)
 	if err != nil {
-		return a.failed(err, !q.DryRun)
+		return a.reportError(err, !q.DryRun)
 	}
-	if err := a.write(reply); err != nil {
-		return a.failed(err, false)
+	if err := a.writeReply(reply); err != nil {
+		return a.reportError(err, false)
 	}
-	return a.status(reply)
+	return a.exitStatus(reply)
 }
 
-// failed reports an error. After a command was sent its outcome is not known.
-func (a *asker) failed(err error, sent bool) subcommands.ExitStatus {
+// reportError prints an error. Once a command was sent, its outcome is unknown.
+func (a *remoteCommand) reportError(err error, sent bool) subcommands.ExitStatus {
 	fmt.Fprintln(a.streams.Err, err)
 	var unreachable *client.UnreachableError
 	if sent && !errors.As(err, &unreachable) {
@@ -117,7 +117,7 @@
 	return process.ExitFailure
 }
 
-func (a *asker) write(r *answer.Reply) error {
+func (a *remoteCommand) writeReply(r *answer.Reply) error {
 	w := a.streams.Out
 	if len(r.Findings) > 0 || r.Error != "" {
 		w = a.streams.Err
@@ -125,8 +125,8 @@
 	return r.Write(w, answer.Format(a.format))
 }
 
-// status returns the exit code for a reply.
-func (a *asker) status(r *answer.Reply) subcommands.ExitStatus {
+// exitStatus returns the exit code for a reply.
+func (a *remoteCommand) exitStatus(r *answer.Reply) subcommands.ExitStatus {
 	switch {
 	case len(r.Findings) > 0:
 		return process.ExitUsage
@@ -136,7 +136,7 @@
 		return process.ExitUnknown
 	case r.Error != "":
 		return process.ExitFailure
-	case a.all && incomplete(r):
+	case a.requireAll && incomplete(r):
 		return process.ExitIncomplete
 	}
 	return process.ExitOK
@@ -151,7 +151,7 @@
 	return false
 }
 
-// quoteName writes a name as a literal of the language.
+// quoteName returns a name as a string literal of the language.
 func quoteName(name string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(name) + `"`
 }
--- a/operate/cli/logs.go
+++ b/operate/cli/logs.go
@@ -14,11 +14,11 @@
 	"github.com/siskinford/siskinford/operate/logs"
 )
 
-// standardInput names standard input among files.
+// standardInput is the file name that stands for the standard input.
 const standardInput = "-"
 
-// fromLogs explains a request from collected logs.
-func (c *Explain) fromLogs(f *flag.FlagSet) subcommands.ExitStatus {
+// explainFromLogs explains a request from collected logs.
+func (c *Explain) explainFromLogs(f *flag.FlagSet) subcommands.ExitStatus {
 	if f.NArg() != 2 || f.Arg(0) != "request" {
 		fmt.Fprint(c.streams.Err, c.Usage())
 		return process.ExitUsage
@@ -30,7 +30,7 @@
 	}
 	report, ok := logs.Explain(lines, f.Arg(1))
 	if !ok {
-		fmt.Fprintf(c.streams.Err, "no line names request %s; the log may be bounded or older\n", f.Arg(1))
+		fmt.Fprintf(c.streams.Err, "no log line has request %s; lines may have been dropped or the logs may start later\n", f.Arg(1))
 		return process.ExitFailure
 	}
 	if err := report.Write(c.streams.Out); err != nil {
--- a/operate/cli/query.go
+++ b/operate/cli/query.go
@@ -18,14 +18,14 @@
 
 // Query is the subcommand that runs queries and commands.
 type Query struct {
-	asker
+	remoteCommand
 	file   string
 	dryRun bool
 	seen   uint64
 }
 
 // NewQuery returns the subcommand.
-func NewQuery(s Streams) *Query { return &Query{asker: asker{streams: s}} }
+func NewQuery(s Streams) *Query { return &Query{remoteCommand: remoteCommand{streams: s}} }
 
 // Name implements subcommands.Command.
 func (*Query) Name() string { return "query" }
@@ -36,7 +36,7 @@
 // Usage implements subcommands.Command.
 func (*Query) Usage() string {
 	return `query [flags] [STATEMENT]
-  Reads the statements from --file or the standard input if none is given.
+  Without a STATEMENT, reads --file or the standard input.
   endpoints where zone = lima-a and queue > 4 order by queue desc limit 10
   drain endpoint NAME; set endpoint NAME weight 0.5
 `
@@ -47,12 +47,12 @@
 	c.setFlags(f)
 	f.StringVar(&c.file, "file", "", usage("file", "text", "", "File with the statements; - means the standard input."))
 	f.BoolVar(&c.dryRun, "dry-run", false, usage("dry-run", "true|false", "false", "Show what commands would change."))
-	f.Uint64Var(&c.seen, "seen", 0, usage("seen", "version", "0", "Version of the configuration that you saw; 0 means the current one."))
+	f.Uint64Var(&c.seen, "seen", 0, usage("seen", "version", "0", "Version of the configuration that the commands are based on; 0 means the current one."))
 }
 
 // Execute implements subcommands.Command.
 func (c *Query) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if !c.ready(f) {
+	if !c.validateFlags(f) {
 		return process.ExitUsage
 	}
 	script, err := c.script(f.Args())
@@ -80,26 +80,26 @@
 	return string(data), err
 }
 
-// run asks for a dry run first. Commands are then applied to the version that
-// the dry run showed.
+// run sends a dry run first, then applies commands to the version that the dry run
+// was based on.
 func (c *Query) run(ctx context.Context, script string) subcommands.ExitStatus {
 	q := answer.Request{Script: script, DryRun: true, SeenVersion: c.seen}
 	reply, err := client.New(c.client).Send(ctx, q)
 	if err != nil {
-		return c.failed(err, false)
+		return c.reportError(err, false)
 	}
 	if c.dryRun || reply.Plan == nil || reply.Plan.State != answer.DryRun {
-		if err := c.write(reply); err != nil {
-			return c.failed(err, false)
+		if err := c.writeReply(reply); err != nil {
+			return c.reportError(err, false)
 		}
-		return c.status(reply)
+		return c.exitStatus(reply)
 	}
-	c.show(reply.Plan)
+	c.printChanges(reply.Plan)
 	return c.apply(ctx, answer.Request{Script: script, SeenVersion: reply.Plan.SeenVersion})
 }
 
-// show prints what is about to change.
-func (c *Query) show(p *answer.Plan) {
+// printChanges prints the planned changes.
+func (c *Query) printChanges(p *answer.Plan) {
 	if c.format != string(answer.Text) {
 		return
 	}
@@ -111,13 +111,13 @@
 func (c *Query) apply(ctx context.Context, q answer.Request) subcommands.ExitStatus {
 	reply, err := client.New(c.client).Send(ctx, q)
 	if err != nil {
-		return c.failed(err, true)
+		return c.reportError(err, true)
 	}
 	if c.format == string(answer.Text) && reply.Plan != nil {
-		reply.Plan.Changes = nil // They were shown.
+		reply.Plan.Changes = nil // Already printed.
 	}
-	if err := c.write(reply); err != nil {
-		return c.failed(err, false)
+	if err := c.writeReply(reply); err != nil {
+		return c.reportError(err, false)
 	}
-	return c.status(reply)
+	return c.exitStatus(reply)
 }
--- a/operate/cli/timeline.go
+++ b/operate/cli/timeline.go
@@ -14,14 +14,14 @@
 
 // Timeline is the subcommand that shows the events of all processes.
 type Timeline struct {
-	asker
+	remoteCommand
 	since                   time.Duration
 	request, endpoint, kind string
 	limit                   int
 }
 
 // NewTimeline returns the subcommand.
-func NewTimeline(s Streams) *Timeline { return &Timeline{asker: asker{streams: s}} }
+func NewTimeline(s Streams) *Timeline { return &Timeline{remoteCommand: remoteCommand{streams: s}} }
 
 // Name implements subcommands.Command.
 func (*Timeline) Name() string { return "timeline" }
@@ -46,7 +46,7 @@
 
 // Execute implements subcommands.Command.
 func (c *Timeline) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if !c.ready(f) {
+	if !c.validateFlags(f) {
 		return process.ExitUsage
 	}
 	statement := fmt.Sprintf("timeline since %q", c.since.String())
@@ -58,29 +58,31 @@
 	if c.limit > 0 {
 		statement += fmt.Sprintf(" limit %d", c.limit)
 	}
-	return c.ask(ctx, answer.Request{Script: statement, DryRun: true})
+	return c.send(ctx, answer.Request{Script: statement, DryRun: true})
 }
 
-// Explain is the subcommand that tells why a request or endpoint is treated as it is.
+// Explain is the subcommand that explains the outcome of a request or the state of an endpoint.
 type Explain struct {
-	asker
+	remoteCommand
 	logs string
 }
 
 // NewExplain returns the subcommand.
-func NewExplain(s Streams) *Explain { return &Explain{asker: asker{streams: s}} }
+func NewExplain(s Streams) *Explain { return &Explain{remoteCommand: remoteCommand{streams: s}} }
 
 // Name implements subcommands.Command.
 func (*Explain) Name() string { return "explain" }
 
 // Synopsis implements subcommands.Command.
-func (*Explain) Synopsis() string { return "tell why a request or an endpoint is treated as it is" }
+func (*Explain) Synopsis() string {
+	return "explain the outcome of a request or the state of an endpoint"
+}
 
 // Usage implements subcommands.Command.
 func (*Explain) Usage() string {
 	return "explain [flags] request|endpoint ID\n" +
 		"explain --logs FILE,... request ID\n" +
-		"  With logs no entry is asked; the files hold what the processes wrote, - is standard input.\n"
+		"  With --logs, reads the collected logs of processes instead of querying an entry; - is standard input.\n"
 }
 
 // SetFlags implements subcommands.Command.
@@ -92,14 +94,14 @@
 // Execute implements subcommands.Command.
 func (c *Explain) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.logs != "" {
-		return c.fromLogs(f)
+		return c.explainFromLogs(f)
 	}
-	if !c.ready(f) {
+	if !c.validateFlags(f) {
 		return process.ExitUsage
 	}
 	if f.NArg() != 2 {
 		fmt.Fprint(c.streams.Err, c.Usage())
 		return process.ExitUsage
 	}
-	return c.ask(ctx, answer.Request{Script: fmt.Sprintf("explain %s %s", f.Arg(0), quoteName(f.Arg(1))), DryRun: true})
+	return c.send(ctx, answer.Request{Script: fmt.Sprintf("explain %s %s", f.Arg(0), quoteName(f.Arg(1))), DryRun: true})
 }
