--- a/operate/cli/timeline.go
+++ b/operate/cli/timeline.go
@@ -74,9 +74,7 @@
 func (*Explain) Name() string { return "explain" }
 
 // Synopsis implements subcommands.Command.
-func (*Explain) Synopsis() string {
-	return "explain the outcome of a request or the state of an endpoint"
-}
+func (*Explain) Synopsis() string { return "explain a request's outcome or an endpoint's state" }
 
 // Usage implements subcommands.Command.
 func (*Explain) Usage() string {
