--- a/cmd/internal/platformflags/platformflags.go
+++ b/cmd/internal/platformflags/platformflags.go
@@ -18,10 +18,10 @@
 // ProgramName is the name of the program.
 const ProgramName = "siskinford-platform"
 
-// RoleEntry is the role of an entry whose endpoints are reached directly.
+// RoleEntry is the role of an entry that reaches endpoints without agents.
 const RoleEntry = "entry"
 
-// LogMode selects how much is logged.
+// LogMode selects which log lines are written.
 type LogMode string
 
 const (
@@ -34,11 +34,11 @@
 )
 
 const (
-	// defaultLogLines permits several lines for each request at five times the
-	// load of an entry today. Unit: lines per second.
-	defaultLogLines = 1000
-	// defaultGCPercent trades processor time for memory, which is dear where hosts
-	// are billed by its peak.
+	// defaultLogLinesPerSecond permits several lines for each request at five times
+	// the current load of an entry.
+	defaultLogLinesPerSecond = 1000
+	// defaultGCPercent saves memory at the cost of CPU time, since hosts may be billed
+	// by peak memory.
 	defaultGCPercent = 50
 	maxPort          = 65535
 )
@@ -47,30 +47,30 @@
 type Settings struct {
 	Run run.Own
 	Log LogMode
-	// LogLines bounds the lines per second in mode bounded.
+	// LogLines bounds the lines per second below level warn if Log is LogBounded.
 	LogLines int
-	// GCPercent is the growth of the heap at which garbage is collected.
+	// GCPercent is the heap growth that triggers a garbage collection.
 	GCPercent int
 }
 
-// New returns the defaults.
+// New returns the default settings.
 func New() *Settings {
-	return &Settings{Log: LogBounded, LogLines: defaultLogLines, GCPercent: defaultGCPercent}
+	return &Settings{Log: LogBounded, LogLines: defaultLogLinesPerSecond, GCPercent: defaultGCPercent}
 }
 
 // Set returns the settings as flags and environment variables.
 func (s *Settings) Set() *settings.Set {
 	set := settings.New(ProgramName)
-	set.Int(&s.Run.MetricsPort, "metrics-port", "port", "Port of a further address for metrics, 0 for none")
+	set.Int(&s.Run.MetricsPort, "metrics-port", "port", "Port of an additional listener for metrics, 0 for none")
 	set.Bool(&s.Run.BindSource, "bind-source", "Open connections from the host's own address, for hosts with several")
-	set.String(&s.Run.Advertised, "advertise", "Address (ip:port) for other entries, if they do not reach the one listened at")
+	set.String(&s.Run.Advertised, "advertise", "Address (ip:port) that other entries connect to, if it is not the listen address")
 	settings.Text(set, &s.Log, "log", "How much is logged: full, bounded or off")
-	set.Int(&s.LogLines, "log-lines", "lines per second", "Lines below level warn in mode bounded")
-	set.Int(&s.GCPercent, "gc-percent", "percent", "Growth of the heap at which garbage is collected")
+	set.Int(&s.LogLines, "log-lines", "lines per second", "Limit of lines below level warn in mode bounded")
+	set.Int(&s.GCPercent, "gc-percent", "percent", "Heap growth that triggers a garbage collection")
 	return set
 }
 
-// Validate returns what is wrong.
+// Validate reports malformed values and values out of range.
 func (s *Settings) Validate() finding.List {
 	var l finding.List
 	if s.Run.MetricsPort < 0 || s.Run.MetricsPort > maxPort {
@@ -93,7 +93,7 @@
 	return l
 }
 
-// NewLog returns the log that the settings ask for.
+// NewLog returns a log that writes the lines that the settings select.
 func (s *Settings) NewLog(w io.Writer, host string, set *metrics.Set) *process.BoundedLog {
 	cfg := process.LogConfig{Program: ProgramName, Host: host, Level: zerolog.InfoLevel}
 	switch s.Log {
