--- a/cmd/internal/programs/agent.go
+++ b/cmd/internal/programs/agent.go
@@ -13,31 +13,31 @@
 // AgentName is the name of the agent's program.
 const AgentName = "siskinford-agent"
 
-// defaultAgentEvents is the number of events that an agent keeps.
+// defaultAgentEvents is the number of events that the timeline of an agent retains.
 const defaultAgentEvents = 20_000
 
 // Agent holds all settings of siskinford-agent.
 type Agent struct {
 	Gate gate.Config
 	Keys keys.Config
-	// Ranks is the way to the ranks of a group on this host, if any.
+	// Ranks configures the connection to the ranks of a group on this host, if any.
 	Ranks ranklink.Config
-	// EngineURL or PlainURL is the base URL of the back end on this host.
+	// EngineURL and PlainURL are base URLs of the backend on this host. One of them is set.
 	EngineURL, PlainURL string
 	// Shutdown is the time for requests in flight at shutdown. Default: 30 s.
 	Shutdown time.Duration
-	// Events is the number of events that the time line keeps. Default: 20,000.
+	// Events is the number of events that the timeline retains. Default: 20,000.
 	Events int
 	// Debug logs debug messages. Default: false.
 	Debug bool
 }
 
-// NewAgent returns the defaults.
+// NewAgent returns the default settings.
 func NewAgent() *Agent {
 	return &Agent{Gate: gate.DefaultConfig(), Ranks: ranklink.DefaultConfig(), Shutdown: defaultShutdown, Events: defaultAgentEvents}
 }
 
-// Set implements Program.
+// Set implements Settings.
 func (a *Agent) Set() *settings.Set {
 	set := settings.New(AgentName)
 	a.Gate.Register(set)
@@ -51,7 +51,7 @@
 	return set
 }
 
-// Validate implements Program.
+// Validate implements Settings.
 func (a *Agent) Validate() finding.List {
 	l := a.Gate.Validate()
 	l.Merge("", a.Keys.Validate())
--- a/cmd/internal/programs/entry.go
+++ b/cmd/internal/programs/entry.go
@@ -1,5 +1,5 @@
-// Package programs holds the settings of the daemons, which their main packages
-// and the settings check share.
+// Package programs holds the settings of the daemons. The main packages and the
+// check subcommand share them.
 package programs
 
 import (
@@ -15,11 +15,11 @@
 // defaultShutdown is the time for requests in flight at shutdown.
 const defaultShutdown = 30 * time.Second
 
-// Settings is the settings of a daemon.
+// Settings are the settings of a daemon.
 type Settings interface {
-	// Set returns the settings to be parsed.
+	// Set returns the flags and environment variables to parse.
 	Set() *settings.Set
-	// Validate reports all values that are missing or out of range.
+	// Validate reports missing, malformed and out-of-range values.
 	Validate() finding.List
 }
 
@@ -38,10 +38,10 @@
 	Debug bool
 }
 
-// NewEntry returns the defaults.
+// NewEntry returns the default settings.
 func NewEntry() *Entry { return &Entry{Server: server.DefaultConfig(), Shutdown: defaultShutdown} }
 
-// Set implements Program.
+// Set implements Settings.
 func (e *Entry) Set() *settings.Set {
 	set := settings.New(EntryName)
 	e.Server.Register(set)
@@ -52,12 +52,12 @@
 	return set
 }
 
-// Platform returns the configuration of the platform's client.
+// Platform returns the configuration of the client of the object API.
 func (e *Entry) Platform() objectapi.ClientConfig {
 	return objectapi.ClientConfig{BaseURL: e.PlatformURL, Caller: string(e.Server.Host)}
 }
 
-// Validate implements Program.
+// Validate implements Settings.
 func (e *Entry) Validate() finding.List {
 	l := e.Server.Validate()
 	l.Merge("", e.Keys.Validate())
--- a/cmd/internal/programs/programs_test.go
+++ b/cmd/internal/programs/programs_test.go
@@ -29,8 +29,7 @@
 	}
 }
 
-// TestFindingsNameSettings checks that each finding is at a setting that the
-// help lists.
+// TestFindingsNameSettings checks that the place of each finding is a flag in the help.
 func TestFindingsNameSettings(t *testing.T) {
 	wrong := map[string][]string{
 		"entry": {
@@ -52,7 +51,7 @@
 		}
 		for _, arg := range wrong[name] {
 			flag, _, _ := strings.Cut(arg, "=")
-			assert.Assert(t, seen[flag], "%s: nothing is found at %s", name, flag)
+			assert.Assert(t, seen[flag], "%s: no finding at %s", name, flag)
 		}
 		assert.Assert(t, seen["--tls-key"] && seen["--host"], "%v", findings)
 	}
