--- a/cmd/internal/sitelab/sitelab.go
+++ b/cmd/internal/sitelab/sitelab.go
@@ -1,5 +1,5 @@
-// Package sitelab holds the subcommand that runs the programs of the users'
-// platform as processes against the project's stand-ins.
+// Package sitelab implements the subcommands that run siskinford-platform and
+// siskinford-relay as processes against stand-ins of the platform.
 package sitelab
 
 import (
@@ -36,13 +36,13 @@
 
 // Synopsis implements subcommands.Command.
 func (*Command) Synopsis() string {
-	return "run entries and relays against stand-ins and show a request go through"
+	return "run entries and relays against stand-ins and trace sample requests"
 }
 
 // Usage implements subcommands.Command.
 func (*Command) Usage() string {
 	return "site [--entries n] [--ranks n] [--rate n --for d] [--network 127.a.b]\n" +
-		"  Each host has an address of its own on the loopback network.\n"
+		"  Each host has its own address on the loopback network.\n"
 }
 
 // SetFlags implements subcommands.Command.
@@ -51,7 +51,7 @@
 	f.IntVar(&c.ranks, "ranks", 8, "number of ranks of the model's group")
 	f.IntVar(&c.rate, "rate", 20, "streams per second of the load")
 	f.DurationVar(&c.duration, "for", 4*time.Second, "duration of the load")
-	f.StringVar(&c.network, "network", "127.77.1", "first three parts of the addresses")
+	f.StringVar(&c.network, "network", "127.77.1", "first three octets of the addresses")
 }
 
 // Execute implements subcommands.Command.
@@ -68,15 +68,15 @@
 const (
 	startTimeout = 30 * time.Second
 	stopTimeout  = 10 * time.Second
-	// logDelay is the time in which the log lines of a request are written.
+	// logDelay is the time to wait for the log lines of a request.
 	logDelay = 100 * time.Millisecond
-	// streamEvents is the number of events of a stream, and slots that of streams
-	// at a rank.
+	// streamEvents is the number of events of a stream, slots the number of concurrent
+	// streams of a rank.
 	streamEvents, slots = 20, 12
 )
 
-// config describes a group whose passes take some ten milliseconds.
-func (c *Command) config(dir string, ports []int) standin.SiteConfig {
+// siteConfig returns a site whose group needs tens of milliseconds for a pass.
+func (c *Command) siteConfig(dir string, ports []int) standin.SiteConfig {
 	return standin.SiteConfig{
 		Network: c.network, Zones: 3, Entries: c.entries, Ranks: c.ranks, Plain: 3, Events: streamEvents, Dir: dir,
 		ClientPort: ports[0], ReadyPort: ports[1], ControlPort: ports[2], InternalPort: ports[3], AppPort: ports[4], StorePort: ports[5],
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	site, err := standin.NewSite(c.config(dir, ports))
+	site, err := standin.NewSite(c.siteConfig(dir, ports))
 	if err != nil {
 		return err
 	}
@@ -118,10 +118,10 @@
 	}
 	fmt.Fprintf(out, "%d entries and %d relays run; clients reach entry 0 at %s, operators at %s\n\n",
 		c.entries, c.ranks, site.EntryURL(0), site.ControlURL(0))
-	if err := c.show(ctx, out, site, p); err != nil {
+	if err := c.showRequests(ctx, out, site, p); err != nil {
 		return err
 	}
-	c.load(ctx, out, site)
+	c.runLoad(ctx, out, site)
 	return stopAll(out, p)
 }
 
@@ -147,7 +147,7 @@
 	defer cancel()
 	for i := range entries {
 		for {
-			if ok(ctx, site.ReadyURL(i)) {
+			if isReady(ctx, site.ReadyURL(i)) {
 				break
 			}
 			select {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func ok(ctx context.Context, url string) bool {
+func isReady(ctx context.Context, url string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -173,8 +173,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// show sends a request of each kind and prints what became of it.
-func (c *Command) show(ctx context.Context, out io.Writer, site *standin.Site, p *standin.Processes) error {
+// showRequests sends a request of each kind and prints its status and log lines.
+func (c *Command) showRequests(ctx context.Context, out io.Writer, site *standin.Site, p *standin.Processes) error {
 	for i, path := range []string{standin.PathChat, standin.PathIssue, standin.PathLook} {
 		request := fmt.Sprintf("shown-%d", i)
 		status, body, err := site.Send(ctx, 0, path+"example", request)
@@ -193,8 +193,9 @@
 	return nil
 }
 
-// load sends streams, shifts the demand for experts in between and prints how the map follows.
-func (c *Command) load(ctx context.Context, out io.Writer, site *standin.Site) {
+// runLoad sends streams, shifts the demand for experts halfway and prints how the
+// expert map follows.
+func (c *Command) runLoad(ctx context.Context, out io.Writer, site *standin.Site) {
 	ctx, cancel := context.WithTimeout(ctx, c.duration)
 	defer cancel()
 	var sent, served atomic.Int64
@@ -217,12 +218,12 @@
 			})
 		}
 	})
-	look := time.NewTicker(c.duration / 8)
-	defer look.Stop()
+	statusTicker := time.NewTicker(c.duration / 8)
+	defer statusTicker.Stop()
 	for n := 1; ctx.Err() == nil; n++ {
 		select {
 		case <-ctx.Done():
-		case <-look.C:
+		case <-statusTicker.C:
 			s := site.Group.Status()
 			fmt.Fprintf(out, "pass %d: the most loaded rank has %.2f times the mean, %d maps so far\n", s.Step, s.Skew, s.Switches)
 			if n == 4 {
@@ -232,7 +233,7 @@
 		}
 	}
 	wg.Wait()
-	fmt.Fprintf(out, "%d of %d streams served whole; passes with two maps: %d\n", served.Load(), sent.Load(), len(site.Group.Status().Violations))
+	fmt.Fprintf(out, "%d of %d streams completed; passes with two maps: %d\n", served.Load(), sent.Load(), len(site.Group.Status().Violations))
 }
 
 // stopAll stops all entries and reports their exit codes.
--- a/cmd/internal/sitelab/soak.go
+++ b/cmd/internal/sitelab/soak.go
@@ -23,7 +23,7 @@
 // Soak is the soak subcommand.
 type Soak struct {
 	seeds, parallel, processes int
-	first                      uint64
+	firstSeed                  uint64
 	minutes                    float64
 	length                     time.Duration
 	only, dir, network         string
@@ -46,21 +46,21 @@
 
 // SetFlags implements subcommands.Command.
 func (c *Soak) SetFlags(f *flag.FlagSet) {
-	f.Uint64Var(&c.first, "seed", 0, "first seed; 0 draws one from the time")
+	f.Uint64Var(&c.firstSeed, "seed", 0, "first seed; 0 derives one from the time")
 	f.IntVar(&c.seeds, "seeds", 1, "number of seeds in a row")
-	f.Float64Var(&c.minutes, "minutes", 0, "run seeds until this time is over, instead of a number of them")
+	f.Float64Var(&c.minutes, "minutes", 0, "run seeds for this time instead of a fixed number")
 	f.IntVar(&c.parallel, "parallel", 1, "number of seeds that run at the same time")
 	f.IntVar(&c.processes, "processes", defaultProcesses, "number of processes of a site, a third of them entries")
-	f.DurationVar(&c.length, "length", soak.DefaultLength, "time of the load of a seed")
-	f.StringVar(&c.only, "only", "", "kinds of faults to choose from, separated by commas; empty for all")
+	f.DurationVar(&c.length, "length", soak.DefaultLength, "duration of the load of a seed")
+	f.StringVar(&c.only, "only", "", "kinds of faults to inject, separated by commas; empty for all")
 	f.StringVar(&c.dir, "dir", "soak-reports", "directory of the reports")
-	f.StringVar(&c.network, "network", "127.88", "first two parts of the addresses")
+	f.StringVar(&c.network, "network", "127.88", "first two octets of the addresses")
 }
 
 const (
 	defaultProcesses = 9
-	// leastProcesses are two entries and four ranks.
-	leastProcesses = 6
+	// minProcesses allows two entries and four ranks.
+	minProcesses   = 6
 	plainEndpoints = 3
 	zones          = 2
 )
@@ -81,11 +81,11 @@
 }
 
 func (c *Soak) run(ctx context.Context, out io.Writer) (broken int, err error) {
-	if c.processes < leastProcesses {
-		return 0, fmt.Errorf("--processes: %d is less than %d", c.processes, leastProcesses)
+	if c.processes < minProcesses {
+		return 0, fmt.Errorf("--processes: %d is less than %d", c.processes, minProcesses)
 	}
-	if c.first == 0 {
-		c.first = uint64(time.Now().UnixMilli())
+	if c.firstSeed == 0 {
+		c.firstSeed = uint64(time.Now().UnixMilli())
 	}
 	dir, err := os.MkdirTemp("", "siskinford-soak")
 	if err != nil {
@@ -97,34 +97,34 @@
 	if err != nil {
 		return 0, err
 	}
-	o := soak.Options{Parallel: c.parallel, Length: c.length, Dir: c.dir, Out: out, Shape: c.shape(), Open: c.opener(dir, programs)}
+	o := soak.Options{Parallel: c.parallel, Length: c.length, Dir: c.dir, Out: out, Shape: c.shape(), Open: c.siteOpener(dir, programs)}
 	if c.only != "" {
 		o.Only = strings.Split(c.only, ",")
 	}
 	end := time.Now().Add(time.Duration(c.minutes * float64(time.Minute)))
-	played := 0
-	for first := c.first; ; {
+	completed := 0
+	for seed := c.firstSeed; ; {
 		batch := c.seeds
 		if c.minutes > 0 {
 			batch = c.parallel
 		}
 		o.Seeds = nil
 		for range batch {
-			o.Seeds = append(o.Seeds, first)
-			first++
+			o.Seeds = append(o.Seeds, seed)
+			seed++
 		}
 		results, err := soak.Run(ctx, o)
 		if err != nil {
 			return broken, err
 		}
 		for _, r := range results {
-			played++
+			completed++
 			if len(r.Violations) > 0 {
 				broken++
 			}
 		}
 		if c.minutes == 0 || time.Now().After(end) {
-			fmt.Fprintf(out, "%d seeds from %d on: %d broke a promise\n", played, c.first, broken)
+			fmt.Fprintf(out, "%d seeds from %d on: %d broke a promise\n", completed, c.firstSeed, broken)
 			return broken, nil
 		}
 	}
@@ -135,8 +135,8 @@
 	return soak.Shape{Entries: entries, Ranks: c.processes - entries, Plains: plainEndpoints, Zones: zones}
 }
 
-// opener starts each site in a network of its own.
-func (c *Soak) opener(dir string, programs procs.Binaries) func(soak.Shape) (soak.Site, error) {
+// siteOpener returns a function that starts each site on its own network.
+func (c *Soak) siteOpener(dir string, programs procs.Binaries) func(soak.Shape) (soak.Site, error) {
 	var sites atomic.Int32
 	return func(s soak.Shape) (soak.Site, error) {
 		n := sites.Add(1)
