--- a/cmd/siskinford-agent/main.go
+++ b/cmd/siskinford-agent/main.go
@@ -1,4 +1,4 @@
-// Command siskinford-agent is the only way to the model engine or plain service
+// Command siskinford-agent controls all access to the model engine or plain service
 // on its host.
 package main
 
--- a/cmd/siskinford-platform/main.go
+++ b/cmd/siskinford-platform/main.go
@@ -1,10 +1,9 @@
-// Command siskinford-platform runs an entry on the users' platform:
+// Command siskinford-platform runs an entry on the platform:
 //
 //	siskinford-platform entry [flags]
 //
-// What the platform tells a process stands in the settings file that the
-// environment names; the program's own settings are flags and environment
-// variables.
+// The platform passes its settings in a file named by an environment variable. The
+// program's own settings are flags and environment variables.
 package main
 
 import (
@@ -20,9 +19,9 @@
 	"github.com/siskinford/siskinford/platform/settings"
 )
 
-func main() { os.Exit(mainCode(os.Args[1:])) }
+func main() { os.Exit(execute(os.Args[1:])) }
 
-func mainCode(args []string) int {
+func execute(args []string) int {
 	if len(args) == 0 || args[0] != platformflags.RoleEntry {
 		fmt.Fprintf(os.Stderr, "usage: %s %s [flags]\n", platformflags.ProgramName, platformflags.RoleEntry)
 		return process.ExitUsage
--- a/cmd/siskinford-platform/main_test.go
+++ b/cmd/siskinford-platform/main_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPlatformProgramsStayLean checks that the programs of the platform link
-// nothing of the path through agents, whose memory would be paid on each host.
+// TestPlatformProgramsStayLean checks that the programs of the platform link no
+// package of the path through agents, whose memory would be paid on each host.
 func TestPlatformProgramsStayLean(t *testing.T) {
 	for program, unwanted := range map[string][]string{
 		".":                   {"/agent/", "/entry/server", "/fleet/claim", "/fleet/spread", "/operate/", "BurntSushi", "participle"},
--- a/cmd/siskinford-relay/main.go
+++ b/cmd/siskinford-relay/main.go
@@ -1,5 +1,5 @@
-// Command siskinford-relay runs beside an endpoint whose engine is a rank of a
-// group. It samples the rank and passes orders on for the entries.
+// Command siskinford-relay runs next to an endpoint whose engine is a rank of a
+// group. It samples the rank and forwards the orders of entries to it.
 package main
 
 import (
@@ -26,25 +26,25 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	zerolog.TimeFieldFormat = time.RFC3339Nano // As in the logs of entries.
+	zerolog.TimeFieldFormat = time.RFC3339Nano // Same as in the logs of entries.
 	log := zerolog.New(os.Stdout).With().Timestamp().Str("program", "siskinford-relay").Logger()
 	s, err := settings.Load()
 	if err != nil {
-		log.Error().Err(err).Str("event", "process.failed").Msg("settings cannot be used")
+		log.Error().Err(err).Str("event", "process.failed").Msg("invalid settings")
 		return exitUsage
 	}
 	log = log.With().Str("host", string(s.Host)).Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGHUP) // The settings that matter do not change while the process runs.
+	signal.Ignore(syscall.SIGHUP) // The settings that the relay uses do not change while it runs.
 	address := netip.AddrPortFrom(s.IP, s.Internal[0]).String()
 	log.Info().Str("event", "process.started").Str("address", address).Str("engine", s.Replica).Msg("relay started")
-	other := func(address string) wire.Engine { return replica.New(address) }
-	server := relay.New(replica.New(s.Replica), other, func(event string, err error) {
+	newEngine := func(address string) wire.Engine { return replica.New(address) }
+	server := relay.New(replica.New(s.Replica), newEngine, func(event string, err error) {
 		log.Info().Err(err).Str("event", event).Send()
 	})
 	if err := server.Listen(ctx, address); err != nil {
-		log.Error().Err(err).Str("event", "process.failed").Msg("relay ended")
+		log.Error().Err(err).Str("event", "process.failed").Msg("relay failed")
 		return exitFailure
 	}
 	log.Info().Str("event", "process.stopping").Msg("relay stopped")
--- a/cmd/siskinford/check.go
+++ b/cmd/siskinford/check.go
@@ -27,7 +27,7 @@
 	streams cli.Streams
 	files   [3]string // in order of config.Kinds
 	script  string
-	// deploy, settings and config are files in the formats of the users' platform.
+	// deploy, settings and config are files in the formats of the platform.
 	deploy, settings, config string
 }
 
@@ -77,7 +77,7 @@
 	return process.ExitOK
 }
 
-// check returns all findings. The error tells why something could not be checked.
+// check returns all findings. The error reports unreadable files and unknown programs.
 func (c *check) check(args []string) (finding.List, error) {
 	findings, err := c.checkFiles()
 	if c.script != "" {
@@ -89,8 +89,8 @@
 	l, platformErr := c.checkPlatform()
 	findings, err = append(findings, l...), errors.Join(err, platformErr)
 	if len(args) == 0 {
-		if c.nothingGiven() {
-			return nil, errors.New("nothing to check is given")
+		if c.hasNoFiles() {
+			return nil, errors.New("no file or program to check")
 		}
 		return findings, err
 	}
@@ -104,11 +104,11 @@
 	return append(findings, l...), errors.Join(err, helpErr)
 }
 
-func (c *check) nothingGiven() bool {
+func (c *check) hasNoFiles() bool {
 	return c.script == "" && c.files == [3]string{} && c.deploy == "" && c.settings == "" && c.config == ""
 }
 
-// checkPlatform checks the files in the formats of the users' platform.
+// checkPlatform checks the files in the formats of the platform.
 func (c *check) checkPlatform() (finding.List, error) {
 	var (
 		findings finding.List
--- a/cmd/siskinford/main.go
+++ b/cmd/siskinford/main.go
@@ -1,4 +1,4 @@
-// Command siskinford is the operators' program.
+// Command siskinford lets operators query, explain, check and change a fleet.
 package main
 
 import (
