--- a/agent/gate/handler.go
+++ b/agent/gate/handler.go
@@ -94,7 +94,7 @@
 		return refusal
 	}
 	admission, refusal := a.ledger.Admit(attempt, to)
-	if admission == ledger.AdmittedNew {
+	if admission == ledger.AdmissionNew {
 		return a.enqueue(d)
 	}
 	return refusal
@@ -169,7 +169,7 @@
 		v.State = msg.StateUnknown
 		return v
 	}
-	if known := a.ledger.Action(ledger.Key{Team: o.Team, Action: o.Action}); known.Attempt != "" && known.Attempt != o.Attempt {
+	if known := a.ledger.ActionVerdict(ledger.ActionKey{Team: o.Team, Action: o.Action}); known.Attempt != "" && known.Attempt != o.Attempt {
 		known.Incarnation = a.incarnation
 		return &known
 	}
@@ -197,7 +197,7 @@
 	if o.Action == "" {
 		return outcome.NotRun
 	}
-	return a.ledger.Action(ledger.Key{Team: o.Team, Action: o.Action}).Outcome
+	return a.ledger.ActionVerdict(ledger.ActionKey{Team: o.Team, Action: o.Action}).Outcome
 }
 
 func (a *Agent) issueTicket(o *msg.TicketOrder) *msg.Ticket {
@@ -219,7 +219,7 @@
 	if o.Incarnation != a.incarnation {
 		return &msg.Verdict{Incarnation: a.incarnation, State: msg.StateUnknown, Outcome: outcome.Unknown}
 	}
-	v := a.ledger.Action(ledger.Key{Team: o.Team, Action: o.Action})
+	v := a.ledger.ActionVerdict(ledger.ActionKey{Team: o.Team, Action: o.Action})
 	v.Incarnation = a.incarnation
 	return &v
 }
--- a/agent/gate/pause_test.go
+++ b/agent/gate/pause_test.go
@@ -28,7 +28,7 @@
 	clock.tick()
 	l.Expire()
 	admission, _ := l.Admit(attempt, &frames{})
-	assert.Equal(t, admission, ledger.AdmittedRefused)
+	assert.Equal(t, admission, ledger.AdmissionRefused)
 }
 
 func TestPauseClockRunsWithItsTicks(t *testing.T) {
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -57,7 +57,7 @@
 		err = a.runPlain(ctx, d)
 	}
 	if notStarted(err) {
-		a.ledger.NotStarted(d.Attempt, msg.Refusal{Code: msg.CodeBackend, Detail: err.Error()})
+		a.ledger.MarkNotStarted(d.Attempt, msg.Refusal{Code: msg.CodeBackend, Detail: err.Error()})
 		a.record(timeline.Event{Kind: "attempt.refused", Request: d.Request, Attempt: d.Attempt, Detail: string(msg.CodeBackend)})
 		return
 	}
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -20,8 +20,8 @@
 	Frame(f *msg.Frame)
 }
 
-// Key identifies an action. Actions of different teams never meet.
-type Key struct {
+// ActionKey identifies an action. Actions of different teams never meet.
+type ActionKey struct {
 	Team   id.Team
 	Action id.Action
 }
@@ -35,7 +35,7 @@
 	PayloadHash uint64
 }
 
-func (a Attempt) key() Key { return Key{Team: a.Team, Action: a.Action} }
+func (a Attempt) key() ActionKey { return ActionKey{Team: a.Team, Action: a.Action} }
 
 // record is the state of one attempt.
 type record struct {
@@ -61,7 +61,7 @@
 	// mu is taken before the locks of sinks.
 	mu       sync.Mutex
 	attempts map[id.Attempt]*record
-	actions  map[Key]*record
+	actions  map[ActionKey]*record
 	bytes    int
 	counts   map[msg.State]int
 }
@@ -72,7 +72,7 @@
 		config:   c,
 		now:      now,
 		attempts: make(map[id.Attempt]*record),
-		actions:  make(map[Key]*record),
+		actions:  make(map[ActionKey]*record),
 		counts:   make(map[msg.State]int),
 	}
 }
@@ -81,12 +81,12 @@
 type Admission uint8
 
 const (
-	// AdmittedNew means that the attempt is queued and must be started by the caller.
-	AdmittedNew Admission = iota
-	// AdmittedJoined means that the sink was attached to an attempt that exists already.
-	AdmittedJoined
-	// AdmittedRefused means that the attempt is not recorded and will not start.
-	AdmittedRefused
+	// AdmissionNew means that the attempt is queued and must be started by the caller.
+	AdmissionNew Admission = iota
+	// AdmissionJoined means that the sink was attached to an attempt that exists already.
+	AdmissionJoined
+	// AdmissionRefused means that the attempt is not recorded and will not start.
+	AdmissionRefused
 )
 
 // Admit records an attempt as queued. If the attempt or its action is known, it
@@ -103,7 +103,7 @@
 		}
 	}
 	if refusal := l.full(a); refusal != nil {
-		return AdmittedRefused, refusal
+		return AdmissionRefused, refusal
 	}
 	r := &record{attempt: a, digest: xxhash.New()}
 	l.setState(r, msg.StateQueued)
@@ -112,7 +112,7 @@
 		l.actions[a.key()] = r
 	}
 	l.attach(r, 0, sink)
-	return AdmittedNew, nil
+	return AdmissionNew, nil
 }
 
 func (l *Ledger) full(a Attempt) *msg.Refusal {
@@ -128,14 +128,14 @@
 // join attaches sink to a known attempt. The payloads must be equal.
 func (l *Ledger) join(r *record, a Attempt, sink Sink) (Admission, *msg.Refusal) {
 	if r.state == msg.StateTombstoned {
-		return AdmittedRefused, r.refusal
+		return AdmissionRefused, r.refusal
 	}
 	if r.attempt.PayloadHash != a.PayloadHash || r.attempt.Team != a.Team {
 		refusal := payloadRefusal()
-		return AdmittedRefused, &refusal
+		return AdmissionRefused, &refusal
 	}
 	l.attach(r, 0, sink)
-	return AdmittedJoined, nil
+	return AdmissionJoined, nil
 }
 
 // Known reports whether an attempt or action is recorded and may be joined.
@@ -235,9 +235,9 @@
 	return true
 }
 
-// NotStarted tombstones a started attempt of which the back end is known to
+// MarkNotStarted tombstones a started attempt of which the back end is known to
 // have received nothing.
-func (l *Ledger) NotStarted(attempt id.Attempt, refusal msg.Refusal) {
+func (l *Ledger) MarkNotStarted(attempt id.Attempt, refusal msg.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.attempts[attempt]
@@ -366,9 +366,9 @@
 	return r.state, r.attempt.Action != ""
 }
 
-// Action returns what is known of an action. An unknown action may still be on
+// ActionVerdict returns what is known of an action. An unknown action may still be on
 // its way, so that its outcome is unknown too.
-func (l *Ledger) Action(k Key) msg.Verdict {
+func (l *Ledger) ActionVerdict(k ActionKey) msg.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.actions[k]
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -30,13 +30,13 @@
 	l := New(DefaultConfig(), newClock().read)
 	var first, second recorder
 	admission, refusal := l.Admit(Attempt{ID: "a1", Action: "k", Team: "puno", PayloadHash: 7}, &first)
-	assert.Equal(t, admission, AdmittedNew)
+	assert.Equal(t, admission, AdmissionNew)
 	assert.Assert(t, refusal == nil)
 	assert.Assert(t, l.Start("a1"))
 	l.Append("a1", msg.Frame{Data: []byte("x")})
 
 	admission, _ = l.Admit(Attempt{ID: "a2", Action: "k", Team: "puno", PayloadHash: 7}, &second)
-	assert.Equal(t, admission, AdmittedJoined)
+	assert.Equal(t, admission, AdmissionJoined)
 	assert.Assert(t, !l.Start("a2"), "the second attempt must not start")
 	l.Finish("a1", msg.End{Outcome: outcome.Ran})
 	assert.Equal(t, len(first.frames), 2)
@@ -84,7 +84,7 @@
 			l := New(DefaultConfig(), newClock().read)
 			tc.prepare(l)
 			admission, refusal := l.Admit(tc.attempt, &recorder{})
-			assert.Equal(t, admission, AdmittedRefused)
+			assert.Equal(t, admission, AdmissionRefused)
 			assert.Equal(t, refusal.Code, tc.want)
 			assert.Assert(t, !l.Start(tc.attempt.ID))
 		})
@@ -99,7 +99,7 @@
 	_, refusal := l.Admit(Attempt{ID: "a2", Action: "k2"}, &recorder{})
 	assert.Equal(t, refusal.Code, msg.CodeLedgerFull)
 	admission, _ := l.Admit(Attempt{ID: "a3"}, &recorder{})
-	assert.Equal(t, admission, AdmittedNew, "attempts without an action have their own bound")
+	assert.Equal(t, admission, AdmissionNew, "attempts without an action have their own bound")
 }
 
 func TestAttachReplaysFromFrame(t *testing.T) {
@@ -140,7 +140,7 @@
 			}
 			assert.Equal(t, sink.last().Refused.Code, tc.want)
 			admission, _ := l.Admit(late, &recorder{})
-			assert.Equal(t, admission, AdmittedRefused, "the late dispatch must not run")
+			assert.Equal(t, admission, AdmissionRefused, "the late dispatch must not run")
 		})
 	}
 }
@@ -160,10 +160,10 @@
 	l.Expire()
 	state, _ := l.State("plain")
 	assert.Equal(t, state, msg.StateUnknown)
-	assert.Equal(t, l.Action(Key{Action: "k"}).Outcome, outcome.Ran)
+	assert.Equal(t, l.ActionVerdict(ActionKey{Action: "k"}).Outcome, outcome.Ran)
 	now.now = now.now.Add(c.ActionRetention)
 	l.Expire()
-	assert.Equal(t, l.Action(Key{Action: "k"}).State, msg.StateUnknown)
+	assert.Equal(t, l.ActionVerdict(ActionKey{Action: "k"}).State, msg.StateUnknown)
 }
 
 func TestDroppedAnswerKeepsItsOutcome(t *testing.T) {
@@ -177,7 +177,7 @@
 	l.Expire()
 	var again recorder
 	admission, _ := l.Admit(Attempt{ID: "a2", Action: "k"}, &again)
-	assert.Equal(t, admission, AdmittedJoined)
+	assert.Equal(t, admission, AdmissionJoined)
 	assert.Equal(t, again.last().End.Outcome, outcome.Ran)
 	assert.Assert(t, again.last().End.Error != "")
 }
@@ -233,7 +233,7 @@
 			case "finish":
 				l.Finish(a.ID, msg.End{Outcome: outcome.Ran})
 			case "not-started":
-				l.NotStarted(a.ID, msg.Refusal{Code: msg.CodeBackend})
+				l.MarkNotStarted(a.ID, msg.Refusal{Code: msg.CodeBackend})
 			}
 			for action, n := range starts {
 				if n > 1 {
