--- a/agent/gate/schedule.go
+++ b/agent/gate/schedule.go
@@ -28,7 +28,7 @@
 	if c.QueuePolicy == FirstInFirstOut {
 		return queue.NewFIFO(settings)
 	}
-	return queue.New(settings)
+	return queue.NewShortFirst(settings)
 }
 
 // pauseTimeout bounds an order to the engine to pause or resume an attempt.
--- a/agent/queue/fifo.go
+++ b/agent/queue/fifo.go
@@ -8,7 +8,7 @@
 )
 
 // FIFO starts items in the order of their arrival and never pauses one. It is
-// the baseline for Policy.
+// the baseline for ShortFirst.
 type FIFO struct {
 	config Config
 	items  []Item
@@ -63,8 +63,8 @@
 	return true
 }
 
-// Wake implements Queue.
-func (q *FIFO) Wake() (time.Time, bool) {
+// NextWake implements Queue.
+func (q *FIFO) NextWake() (time.Time, bool) {
 	var wake time.Time
 	for _, item := range q.items {
 		wake = earlier(wake, item.Deadline)
--- a/agent/queue/headofline_test.go
+++ b/agent/queue/headofline_test.go
@@ -36,7 +36,7 @@
 	return load * capacity / meanTokens
 }
 
-// comparison holds one workload with and without long work, under FIFO and Policy.
+// comparison holds one workload with and without long work, under FIFO and ShortFirst.
 type comparison struct {
 	fifo, fifoAlone, policy, policyAlone summary
 }
@@ -56,8 +56,8 @@
 	return comparison{
 		fifo:        measure(queue.NewFIFO(config), fresh(all)),
 		fifoAlone:   measure(queue.NewFIFO(config), withoutLong(all)),
-		policy:      measure(queue.New(config), fresh(all)),
-		policyAlone: measure(queue.New(config), withoutLong(all)),
+		policy:      measure(queue.NewShortFirst(config), fresh(all)),
+		policyAlone: measure(queue.NewShortFirst(config), withoutLong(all)),
 	}
 }
 
@@ -125,11 +125,11 @@
 	late.arrival = jobs[len(jobs)/4].arrival
 	jobs = slices.Insert(jobs, len(jobs)/4+1, &late)
 
-	config := queue.Config{Slots: simSlots, MaxItems: 1 << 20, LongBound: 5 * time.Second, PauseBound: time.Second}
+	config := queue.Config{Slots: simSlots, MaxItems: 1 << 20, MaxLongWait: 5 * time.Second, MaxPauseTime: time.Second}
 	sim := simulation{slots: simSlots, step: simStep, perSequence: simPerSeq}
-	sim.run(queue.New(config), jobs, until)
+	sim.run(queue.NewShortFirst(config), jobs, until)
 	longestShort := maxTokens * (simStep + simSlots*simPerSeq)
 	assert.Assert(t, late.started != notYet, "long work was starved")
-	assert.Assert(t, late.started-late.arrival <= config.LongBound+longestShort, "started after %v", late.started-late.arrival)
+	assert.Assert(t, late.started-late.arrival <= config.MaxLongWait+longestShort, "started after %v", late.started-late.arrival)
 	assert.Assert(t, long.ended != notYet && late.ended != notYet, "long work did not end")
 }
--- a/agent/queue/heap.go
+++ b/agent/queue/heap.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// entry is an item in the structures of a Policy.
+// entry is an item in the structures of a ShortFirst.
 type entry struct {
 	item    Item
 	arrived time.Time
--- a/agent/queue/queue.go
+++ b/agent/queue/queue.go
@@ -67,9 +67,9 @@
 	Next(now time.Time, active []Active) Decision
 	// Remove takes a waiting item out and reports whether there was one.
 	Remove(attempt id.Attempt) bool
-	// Wake returns the next time at which Next may decide otherwise although
+	// NextWake returns the next time at which Next may decide otherwise although
 	// nothing has happened, and false if there is none.
-	Wake() (time.Time, bool)
+	NextWake() (time.Time, bool)
 	// Len returns the number of waiting items.
 	Len() int
 }
@@ -91,27 +91,27 @@
 	Slots int
 	// MaxItems bounds the waiting items. Default 1024.
 	MaxItems int
-	// ReservedSlots are slots that long work cannot take. Default an eighth of
+	// ReservedShortSlots are slots that long work cannot take. Default an eighth of
 	// Slots, at least one if there are two slots or more. A negative value
 	// means none.
-	ReservedSlots int
-	// LongSlots are the slots that long work keeps or takes before short work
+	ReservedShortSlots int
+	// MinLongSlots are the slots that long work keeps or takes before short work
 	// once it is overdue, so that it is never starved. Default an eighth of
 	// Slots, at least one. A negative value means none.
-	LongSlots int
-	// ShortBound is the wait in the queue after which short work pauses long
+	MinLongSlots int
+	// MaxShortWait is the wait in the queue after which short work pauses long
 	// work. Default 0, at once.
-	ShortBound time.Duration
-	// LongBound is the wait after which long work goes before short work. Default 10 s.
-	LongBound time.Duration
-	// PauseBound is the time after which paused work goes before short work. Default 5 s.
-	PauseBound time.Duration
+	MaxShortWait time.Duration
+	// MaxLongWait is the wait after which long work goes before short work. Default 10 s.
+	MaxLongWait time.Duration
+	// MaxPauseTime is the time after which paused work goes before short work. Default 5 s.
+	MaxPauseTime time.Duration
 	// MaxPauses bounds the pauses of one attempt. Default 64. A negative value
 	// means that no attempt is paused.
 	MaxPauses int
-	// Ageing is the number of tokens by which waiting work counts as shorter
+	// AgeingRate is the number of tokens by which waiting work counts as shorter
 	// for each second of its wait. Default 200.
-	Ageing float64
+	AgeingRate float64
 	// Weights are the shares of teams. A team without one has the weight 1.
 	Weights map[id.Team]float64
 }
@@ -119,15 +119,15 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.Slots, defaultSlots)
 	setDefault(&c.MaxItems, defaultMaxItems)
-	setDefault(&c.LongBound, defaultLongBound)
-	setDefault(&c.PauseBound, defaultPauseBound)
-	setDefault(&c.Ageing, defaultAgeing)
-	c.ShortBound = max(c.ShortBound, 0)
+	setDefault(&c.MaxLongWait, defaultLongBound)
+	setDefault(&c.MaxPauseTime, defaultPauseBound)
+	setDefault(&c.AgeingRate, defaultAgeing)
+	c.MaxShortWait = max(c.MaxShortWait, 0)
 	setOptional(&c.MaxPauses, defaultMaxPauses)
-	setOptional(&c.ReservedSlots, max(1, c.Slots/defaultReservedPart))
-	setOptional(&c.LongSlots, max(1, c.Slots/defaultLongPart))
-	c.ReservedSlots = min(c.ReservedSlots, c.Slots-1)
-	c.LongSlots = min(c.LongSlots, c.Slots-c.ReservedSlots)
+	setOptional(&c.ReservedShortSlots, max(1, c.Slots/defaultReservedPart))
+	setOptional(&c.MinLongSlots, max(1, c.Slots/defaultLongPart))
+	c.ReservedShortSlots = min(c.ReservedShortSlots, c.Slots-1)
+	c.MinLongSlots = min(c.MinLongSlots, c.Slots-c.ReservedShortSlots)
 	return c
 }
 
--- a/agent/queue/queue_test.go
+++ b/agent/queue/queue_test.go
@@ -169,7 +169,7 @@
 		assert.Assert(m, running == m.config.Slots || m.queue.Len() == 0)
 		return
 	}
-	longSlots := m.config.Slots - m.config.ReservedSlots
+	longSlots := m.config.Slots - m.config.ReservedShortSlots
 	assert.Assert(m, long <= longSlots && paused <= m.config.Slots)
 	assert.Assert(m, running == m.config.Slots || waitingBy[msg.Short] == 0, "short work waits beside a free slot")
 	assert.Assert(m, running == m.config.Slots || long == longSlots || waitingBy[msg.Long]+paused == 0, "long work waits beside a free slot")
@@ -196,17 +196,17 @@
 func newModel(r *rapid.T, policy bool) *model {
 	slots := rapid.IntRange(1, 5).Draw(r, "slots")
 	config := queue.Config{
-		Slots:         slots,
-		ReservedSlots: min(1, slots-1),
-		MaxItems:      12,
-		MaxPauses:     2,
-		ShortBound:    time.Duration(rapid.IntRange(0, 20).Draw(r, "bound")) * time.Millisecond,
-		LongBound:     40 * time.Millisecond,
-		PauseBound:    20 * time.Millisecond,
-		Weights:       map[id.Team]float64{"a": 3},
+		Slots:              slots,
+		ReservedShortSlots: min(1, slots-1),
+		MaxItems:           12,
+		MaxPauses:          2,
+		MaxShortWait:       time.Duration(rapid.IntRange(0, 20).Draw(r, "bound")) * time.Millisecond,
+		MaxLongWait:        40 * time.Millisecond,
+		MaxPauseTime:       20 * time.Millisecond,
+		Weights:            map[id.Team]float64{"a": 3},
 	}
 	if slots == 1 {
-		config.ReservedSlots = -1
+		config.ReservedShortSlots = -1
 	}
 	m := &model{
 		T: r, config: config, policy: policy, now: simStart,
@@ -214,9 +214,9 @@
 	}
 	m.queue = queue.NewFIFO(config)
 	if policy {
-		m.queue = queue.New(config)
+		m.queue = queue.NewShortFirst(config)
 	}
-	m.config.ReservedSlots = max(config.ReservedSlots, 0)
+	m.config.ReservedShortSlots = max(config.ReservedShortSlots, 0)
 	return m
 }
 
@@ -256,7 +256,7 @@
 }
 
 func TestShortestFirstWithAgeing(t *testing.T) {
-	q := queue.New(queue.Config{Slots: 1, Ageing: 100})
+	q := queue.NewShortFirst(queue.Config{Slots: 1, AgeingRate: 100})
 	push(t, q, simStart, queue.Item{Attempt: "300", Work: 300}, queue.Item{Attempt: "100", Work: 100})
 	push(t, q, simStart.Add(time.Second), queue.Item{Attempt: "50 later", Work: 50}, queue.Item{Attempt: "250 later", Work: 250})
 	var got []string
@@ -267,7 +267,7 @@
 }
 
 func TestTeamsShareByWeight(t *testing.T) {
-	q := queue.New(queue.Config{Slots: 1, Weights: map[id.Team]float64{"b": 3}})
+	q := queue.NewShortFirst(queue.Config{Slots: 1, Weights: map[id.Team]float64{"b": 3}})
 	for i := range 200 { // The greedy team comes first and asks for shorter work.
 		push(t, q, simStart, queue.Item{Attempt: id.Attempt(fmt.Sprintf("a%d", i)), Team: "a", Work: 10})
 	}
@@ -287,8 +287,8 @@
 
 func TestPreemption(t *testing.T) {
 	const bound = 20 * time.Millisecond
-	config := queue.Config{Slots: 4, ReservedSlots: -1, LongSlots: 1, ShortBound: bound, MaxPauses: 1, PauseBound: time.Hour}
-	q := queue.New(config)
+	config := queue.Config{Slots: 4, ReservedShortSlots: -1, MinLongSlots: 1, MaxShortWait: bound, MaxPauses: 1, MaxPauseTime: time.Hour}
+	q := queue.NewShortFirst(config)
 	var active []queue.Active
 	for i := range 4 {
 		attempt := id.Attempt(fmt.Sprintf("long-%d", i))
@@ -301,13 +301,13 @@
 	}
 	early := q.Next(simStart, active)
 	assert.Equal(t, len(early.Pause)+len(early.Start), 0)
-	wake, ok := q.Wake()
+	wake, ok := q.NextWake()
 	assert.Assert(t, ok && wake.Equal(simStart.Add(bound)))
 
 	d := q.Next(wake, active)
 	assert.DeepEqual(t, d.Pause, []id.Attempt{"long-0", "long-1", "long-2"})
 	assert.Equal(t, len(d.Start), 3)
-	_, ok = q.Wake()
+	_, ok = q.NextWake()
 	assert.Assert(t, !ok, "a queue that can do nothing must not ask to be called")
 
 	// Two short attempts end: the waiting ones take their slots, then paused work goes on.
--- a/agent/queue/policy.go
+++ b/agent/queue/shortfirst.go
@@ -9,12 +9,12 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// Policy keeps short work from waiting behind long work. Short work goes
+// ShortFirst keeps short work from waiting behind long work. Short work goes
 // first; long work that has waited or been paused for its bound goes before
 // it, but only while it holds fewer slots than its own. Long work leaves
 // reserved slots free, and is paused down to its own slots when short work has
 // waited for its bound.
-type Policy struct {
+type ShortFirst struct {
 	config    Config
 	epoch     time.Time // of the ageing keys
 	waiting   map[id.Attempt]*entry
@@ -25,7 +25,7 @@
 	decided   time.Time // of the last call of Next
 }
 
-var _ Queue = (*Policy)(nil)
+var _ Queue = (*ShortFirst)(nil)
 
 // started is what the policy remembers of an attempt until it has ended.
 type started struct {
@@ -37,10 +37,10 @@
 	seen      bool // in the current call of Next
 }
 
-// New returns an empty queue.
-func New(c Config) *Policy {
+// NewShortFirst returns an empty queue.
+func NewShortFirst(c Config) *ShortFirst {
 	c = c.withDefaults()
-	return &Policy{
+	return &ShortFirst{
 		config:    c,
 		waiting:   make(map[id.Attempt]*entry),
 		started:   make(map[id.Attempt]*started),
@@ -50,7 +50,7 @@
 	}
 }
 
-func (q *Policy) class(c msg.Class) *class {
+func (q *ShortFirst) class(c msg.Class) *class {
 	if c == msg.Short {
 		return q.short
 	}
@@ -58,7 +58,7 @@
 }
 
 // Push implements Queue.
-func (q *Policy) Push(item Item, now time.Time) error {
+func (q *ShortFirst) Push(item Item, now time.Time) error {
 	_, waits := q.waiting[item.Attempt]
 	_, runs := q.started[item.Attempt]
 	if waits || runs {
@@ -70,7 +70,7 @@
 	if q.epoch.IsZero() {
 		q.epoch = now
 	}
-	aged := q.config.Ageing * now.Sub(q.epoch).Seconds()
+	aged := q.config.AgeingRate * now.Sub(q.epoch).Seconds()
 	e := &entry{item: item, arrived: now, key: float64(item.Work) + aged, at: [heapKinds]int{notInHeap, notInHeap}}
 	q.waiting[item.Attempt] = e
 	q.class(item.Class).add(e)
@@ -81,7 +81,7 @@
 }
 
 // Remove implements Queue.
-func (q *Policy) Remove(attempt id.Attempt) bool {
+func (q *ShortFirst) Remove(attempt id.Attempt) bool {
 	e, ok := q.waiting[attempt]
 	if !ok {
 		return false
@@ -92,18 +92,18 @@
 }
 
 // forget removes an entry that is in no class any more.
-func (q *Policy) forget(e *entry) {
+func (q *ShortFirst) forget(e *entry) {
 	delete(q.waiting, e.item.Attempt)
 	q.deadlines.remove(e)
 }
 
 // Len implements Queue.
-func (q *Policy) Len() int { return len(q.waiting) }
+func (q *ShortFirst) Len() int { return len(q.waiting) }
 
 // Next implements Queue.
-func (q *Policy) Next(now time.Time, active []Active) Decision {
+func (q *ShortFirst) Next(now time.Time, active []Active) Decision {
 	q.observe(now, active)
-	r := round{Policy: q, now: now}
+	r := round{ShortFirst: q, now: now}
 	r.count()
 	r.expire()
 	r.fill()
@@ -113,7 +113,7 @@
 }
 
 // observe takes over which attempts run, are paused or have ended.
-func (q *Policy) observe(now time.Time, active []Active) {
+func (q *ShortFirst) observe(now time.Time, active []Active) {
 	for _, a := range active {
 		s, ok := q.started[a.Attempt]
 		if !ok {
@@ -137,7 +137,7 @@
 
 // round is one call of Next.
 type round struct {
-	*Policy
+	*ShortFirst
 	now      time.Time
 	decision Decision
 	// running and longRunning count the attempts in the batch.
@@ -168,8 +168,8 @@
 func (r *round) fill() {
 	for r.running < r.config.Slots {
 		switch {
-		case r.longBelowShare() && r.resume(r.config.PauseBound):
-		case r.longBelowShare() && r.long.overdue(r.now, r.config.LongBound):
+		case r.longBelowShare() && r.resume(r.config.MaxPauseTime):
+		case r.longBelowShare() && r.long.overdue(r.now, r.config.MaxLongWait):
 			r.start(r.long.takeOldest())
 		case r.short.len() > 0:
 			r.start(r.short.take())
@@ -183,13 +183,13 @@
 }
 
 func (r *round) longMayRun() bool {
-	return r.longRunning < r.config.Slots-r.config.ReservedSlots
+	return r.longRunning < r.config.Slots-r.config.ReservedShortSlots
 }
 
 // longBelowShare reports whether long work has fewer slots than it may claim
 // from short work.
 func (r *round) longBelowShare() bool {
-	return r.longRunning < r.config.LongSlots
+	return r.longRunning < r.config.MinLongSlots
 }
 
 func (r *round) start(e *entry) {
@@ -216,7 +216,7 @@
 	return true
 }
 
-func (q *Policy) longestPaused() (id.Attempt, *started) {
+func (q *ShortFirst) longestPaused() (id.Attempt, *started) {
 	var attempt id.Attempt
 	var longest *started
 	for a, s := range q.started {
@@ -233,8 +233,8 @@
 // preempt pauses long work for short work that has waited for its bound. The
 // batch is full if short work still waits.
 func (r *round) preempt() {
-	limit := min(r.longRunning-r.config.LongSlots, r.config.Slots-r.pausedCount())
-	overdue := r.short.countOverdue(r.now, r.config.ShortBound, limit)
+	limit := min(r.longRunning-r.config.MinLongSlots, r.config.Slots-r.pausedCount())
+	overdue := r.short.countOverdue(r.now, r.config.MaxShortWait, limit)
 	if overdue <= 0 {
 		return
 	}
@@ -250,7 +250,7 @@
 	}
 }
 
-func (q *Policy) pausedCount() int {
+func (q *ShortFirst) pausedCount() int {
 	n := 0
 	for _, s := range q.started {
 		if s.paused {
@@ -281,15 +281,15 @@
 		slices.ContainsFunc(r.decision.Start, func(item Item) bool { return item.Attempt == attempt })
 }
 
-// Wake implements Queue. Short work whose bound has passed already waits for an
+// NextWake implements Queue. Short work whose bound has passed already waits for an
 // event, since Next found no long work to pause for it.
-func (q *Policy) Wake() (time.Time, bool) {
+func (q *ShortFirst) NextWake() (time.Time, bool) {
 	var wake time.Time
 	if e := q.deadlines.first(); e != nil {
 		wake = e.item.Deadline
 	}
 	if e := q.short.oldest(); e != nil {
-		overdue := e.arrived.Add(q.config.ShortBound)
+		overdue := e.arrived.Add(q.config.MaxShortWait)
 		if overdue.After(q.decided) {
 			wake = earlier(wake, overdue)
 		}
