--- a/agent/engine/http.go
+++ b/agent/engine/client.go
@@ -57,18 +57,18 @@
 	MaxLineBytes int
 }
 
-// HTTP is an Engine behind the engine's HTTP protocol.
-type HTTP struct {
+// Client is an Engine behind the engine's Client protocol.
+type Client struct {
 	base         string
 	callTimeout  time.Duration
 	maxLineBytes int
 	client       *oneshot.Client
 }
 
-var _ Engine = (*HTTP)(nil)
+var _ Engine = (*Client)(nil)
 
-// NewHTTP returns a client. It does not connect.
-func NewHTTP(c Config) (*HTTP, error) {
+// NewClient returns a client. It does not connect.
+func NewClient(c Config) (*Client, error) {
 	base, err := url.Parse(c.URL)
 	if err != nil {
 		return nil, errors.Wrapf(err, "engine URL %q", c.URL)
@@ -76,7 +76,7 @@
 	if base.Scheme != "http" || base.Host == "" {
 		return nil, fmt.Errorf("engine URL %q must have the form http://host:port", c.URL)
 	}
-	return &HTTP{
+	return &Client{
 		base:         strings.TrimSuffix(c.URL, "/"),
 		callTimeout:  orDefault(c.CallTimeout, defaultCallTimeout),
 		maxLineBytes: orDefault(c.MaxLineBytes, defaultMaxLineBytes),
@@ -95,10 +95,10 @@
 }
 
 // Close closes idle connections.
-func (h *HTTP) Close() { h.client.Close() }
+func (h *Client) Close() { h.client.Close() }
 
 // Run implements Engine.
-func (h *HTTP) Run(ctx context.Context, r Request, emit func(Token) error) (Usage, error) {
+func (h *Client) Run(ctx context.Context, r Request, emit func(Token) error) (Usage, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	response, err := h.post(ctx, PathCompletions, CompletionRequest{
@@ -121,7 +121,7 @@
 }
 
 // post sends a request once.
-func (h *HTTP) post(ctx context.Context, path string, body any) (*http.Response, error) {
+func (h *Client) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, &NotStartedError{Cause: err}
@@ -129,7 +129,7 @@
 	return h.send(ctx, http.MethodPost, path, encoded)
 }
 
-func (h *HTTP) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+func (h *Client) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, h.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, &NotStartedError{Cause: err}
@@ -158,7 +158,7 @@
 }
 
 // call sends a control request and decodes the answer unless into is nil.
-func (h *HTTP) call(ctx context.Context, method, path string, body []byte, into any) error {
+func (h *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.callTimeout)
 	defer cancel()
 	response, err := h.send(ctx, method, path, body)
@@ -176,35 +176,35 @@
 	return errors.Wrapf(decoder.Decode(into), "answer to %s %s", method, path)
 }
 
-func (h *HTTP) attemptCall(ctx context.Context, attempt id.Attempt, verb string) error {
+func (h *Client) attemptCall(ctx context.Context, attempt id.Attempt, verb string) error {
 	path := PathAttempts + url.PathEscape(string(attempt)) + "/" + verb
 	return h.call(ctx, http.MethodPost, path, nil, nil)
 }
 
 // Pause implements Engine.
-func (h *HTTP) Pause(ctx context.Context, attempt id.Attempt) error {
+func (h *Client) Pause(ctx context.Context, attempt id.Attempt) error {
 	return h.attemptCall(ctx, attempt, "pause")
 }
 
 // Resume implements Engine.
-func (h *HTTP) Resume(ctx context.Context, attempt id.Attempt) error {
+func (h *Client) Resume(ctx context.Context, attempt id.Attempt) error {
 	return h.attemptCall(ctx, attempt, "resume")
 }
 
 // Cancel implements Engine.
-func (h *HTTP) Cancel(ctx context.Context, attempt id.Attempt) error {
+func (h *Client) Cancel(ctx context.Context, attempt id.Attempt) error {
 	return h.attemptCall(ctx, attempt, "cancel")
 }
 
 // Load implements Engine.
-func (h *HTTP) Load(ctx context.Context) (Load, error) {
+func (h *Client) Load(ctx context.Context) (Load, error) {
 	var body LoadBody
 	err := h.call(ctx, http.MethodGet, PathLoad, nil, &body)
 	return body.Load(), err
 }
 
 // CacheEvents implements Engine.
-func (h *HTTP) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
+func (h *Client) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var events []CacheEvent
 	path := PathCacheEvents + "?after=" + strconv.FormatUint(after, 10)
 	err := h.call(ctx, http.MethodGet, path, nil, &events)
@@ -212,7 +212,7 @@
 }
 
 // Order sends an order to the engine.
-func (h *HTTP) Order(ctx context.Context, o Order) error {
+func (h *Client) Order(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return errors.Wrap(err, "order")
@@ -221,7 +221,7 @@
 }
 
 // State returns what the engine's orders have led to.
-func (h *HTTP) State(ctx context.Context) (State, error) {
+func (h *Client) State(ctx context.Context) (State, error) {
 	var state State
 	err := h.call(ctx, http.MethodGet, PathState, nil, &state)
 	return state, err
--- a/agent/engine/rank.go
+++ b/agent/engine/rank.go
@@ -26,51 +26,51 @@
 	PathRankLoads = "/rank/loads/take"
 )
 
-// RankHTTP is the client of one rank's engine. It implements rank.Engine and is
+// RankClient is the client of one rank's engine. It implements rank.Engine and is
 // safe for concurrent use.
-type RankHTTP struct{ http *HTTP }
+type RankClient struct{ http *Client }
 
-// NewRankHTTP returns a client of the engine at the base URL in c.
-func NewRankHTTP(c Config) (*RankHTTP, error) {
-	h, err := NewHTTP(c)
+// NewRankClient returns a client of the engine at the base URL in c.
+func NewRankClient(c Config) (*RankClient, error) {
+	h, err := NewClient(c)
 	if err != nil {
 		return nil, err
 	}
-	return &RankHTTP{http: h}, nil
+	return &RankClient{http: h}, nil
 }
 
 // ReadState implements rank.Engine.
-func (r *RankHTTP) ReadState(ctx context.Context) (lockstep.EngineState, error) {
+func (r *RankClient) ReadState(ctx context.Context) (lockstep.EngineState, error) {
 	var s lockstep.EngineState
 	err := r.http.call(ctx, http.MethodGet, PathRankState, nil, &s)
 	return s, err
 }
 
 // SetMap implements rank.Engine.
-func (r *RankHTTP) SetMap(ctx context.Context, order lockstep.EngineOrder) error {
+func (r *RankClient) SetMap(ctx context.Context, order lockstep.EngineOrder) error {
 	return r.post(ctx, PathRankOrder, order)
 }
 
 // StageWeights implements rank.Engine.
-func (r *RankHTTP) StageWeights(ctx context.Context, w groupmsg.Weights) error {
+func (r *RankClient) StageWeights(ctx context.Context, w groupmsg.Weights) error {
 	return r.post(ctx, PathRankWeights, w)
 }
 
 // Layout implements rank.Engine.
-func (r *RankHTTP) Layout(ctx context.Context, v lockstep.Version) (groupmsg.Layout, error) {
+func (r *RankClient) Layout(ctx context.Context, v lockstep.Version) (groupmsg.Layout, error) {
 	var l groupmsg.Layout
 	err := r.http.call(ctx, http.MethodGet, PathRankLayouts+strconv.FormatUint(uint64(v), 10), nil, &l)
 	return l, err
 }
 
 // Loads implements rank.Engine.
-func (r *RankHTTP) Loads(ctx context.Context) (groupmsg.Loads, error) {
+func (r *RankClient) Loads(ctx context.Context) (groupmsg.Loads, error) {
 	var l groupmsg.Loads
 	err := r.http.call(ctx, http.MethodPost, PathRankLoads, nil, &l)
 	return l, err
 }
 
-func (r *RankHTTP) post(ctx context.Context, path string, body any) error {
+func (r *RankClient) post(ctx context.Context, path string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrapf(err, "body for %s", path)
--- a/agent/ranklink/config.go
+++ b/agent/ranklink/config.go
@@ -100,7 +100,7 @@
 		if err != nil {
 			return nil, err
 		}
-		e, err := engine.NewRankHTTP(engine.Config{URL: urls[i], CallTimeout: c.EngineTimeout})
+		e, err := engine.NewRankClient(engine.Config{URL: urls[i], CallTimeout: c.EngineTimeout})
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/siskinford-agent/main.go
+++ b/cmd/siskinford-agent/main.go
@@ -42,7 +42,7 @@
 	}
 	d.Keys = ring
 	if p.EngineURL != "" {
-		d.Engine, err = engine.NewHTTP(engine.Config{URL: p.EngineURL})
+		d.Engine, err = engine.NewClient(engine.Config{URL: p.EngineURL})
 	} else {
 		d.Plain, err = plain.New(plain.Config{URL: p.PlainURL})
 	}
--- a/lab/engine/contract_test.go
+++ b/lab/engine/contract_test.go
@@ -24,7 +24,7 @@
 // setup is an engine with its client.
 type setup struct {
 	engine *engine.Engine
-	client *client.HTTP
+	client *client.Client
 	ctx    context.Context
 }
 
@@ -37,7 +37,7 @@
 	t.Helper()
 	e.Start()
 	server := httptest.NewServer(e.Handler())
-	h, err := client.NewHTTP(client.Config{URL: server.URL})
+	h, err := client.NewClient(client.Config{URL: server.URL})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(func() {
@@ -152,7 +152,7 @@
 
 func TestRunNotStartedOnlyWithoutConnection(t *testing.T) {
 	server := httptest.NewServer(engine.New(engine.Config{}).Handler())
-	h, err := client.NewHTTP(client.Config{URL: server.URL})
+	h, err := client.NewClient(client.Config{URL: server.URL})
 	assert.NilError(t, err)
 	server.Close()
 	_, err = h.Run(context.Background(), client.Request{Attempt: "att_1"}, func(client.Token) error { return nil })
@@ -173,7 +173,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	h, err := client.NewHTTP(client.Config{URL: server.URL})
+	h, err := client.NewClient(client.Config{URL: server.URL})
 	assert.NilError(t, err)
 	defer h.Close()
 	s := setup{engine: e, client: h, ctx: t.Context()}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -185,7 +185,7 @@
 	if a.URL, err = f.serve(a.Engine.Handler()); err != nil {
 		return err
 	}
-	d.Engine, err = agentengine.NewHTTP(agentengine.Config{URL: a.URL})
+	d.Engine, err = agentengine.NewClient(agentengine.Config{URL: a.URL})
 	return err
 }
 
--- a/lab/ranks/ranks_test.go
+++ b/lab/ranks/ranks_test.go
@@ -14,7 +14,7 @@
 	"github.com/siskinford/siskinford/balance/lockstep"
 )
 
-var _ rank.Engine = (*protocol.RankHTTP)(nil)
+var _ rank.Engine = (*protocol.RankClient)(nil)
 
 func TestWitnessFindsViolations(t *testing.T) {
 	tests := []struct {
@@ -49,9 +49,9 @@
 }
 
 // client returns a client of a rank's engine over HTTP.
-func client(t *testing.T, url, rank string) *protocol.RankHTTP {
+func client(t *testing.T, url, rank string) *protocol.RankClient {
 	t.Helper()
-	c, err := protocol.NewRankHTTP(protocol.Config{URL: url + "/ranks/" + rank})
+	c, err := protocol.NewRankClient(protocol.Config{URL: url + "/ranks/" + rank})
 	assert.NilError(t, err)
 	return c
 }
@@ -63,7 +63,7 @@
 	server := httptest.NewServer(g.Handler())
 	t.Cleanup(server.Close)
 	ctx := context.Background()
-	engines := []*protocol.RankHTTP{client(t, server.URL, "0"), client(t, server.URL, "1")}
+	engines := []*protocol.RankClient{client(t, server.URL, "0"), client(t, server.URL, "1")}
 	now := time.Now()
 	run := func(steps int) {
 		for range steps {
