--- a/agent/rank/member.go
+++ b/agent/rank/member.go
@@ -59,7 +59,7 @@
 	superseded bool
 }
 
-func newMember(cfg Config, l Local, t Transport) *member {
+func newMember(cfg Config, l LocalRank, t Transport) *member {
 	return &member{
 		group: cfg.Group, index: l.Index, engine: l.Engine, transport: t,
 		recorder: cfg.Recorder, loadTicks: cfg.LoadTicks,
--- a/agent/rank/rank.go
+++ b/agent/rank/rank.go
@@ -39,8 +39,8 @@
 	Send(s groupmsg.Status)
 }
 
-// Local is one rank of the host.
-type Local struct {
+// LocalRank is one rank of the host.
+type LocalRank struct {
 	// Index is the rank's position in the group.
 	Index  int
 	Engine Engine
@@ -53,7 +53,7 @@
 	// Incarnation is that of the agent process. It has no default.
 	Incarnation id.Incarnation
 	// Ranks are the ranks on this host. It has no default.
-	Ranks []Local
+	Ranks []LocalRank
 	// LoadTicks is the number of ticks between two load reports. Default 50.
 	LoadTicks int
 	// Recorder receives events. Default timeline.Discard.
@@ -62,21 +62,21 @@
 
 const defaultLoadTicks = 50
 
-// Agent runs the ranks of one host. It is safe for concurrent use.
-type Agent struct {
+// Controller runs the ranks of one host. It is safe for concurrent use.
+type Controller struct {
 	group   id.Group
 	members []*member
 }
 
 // New returns an agent that sends to transport.
-func New(cfg Config, transport Transport) *Agent {
+func New(cfg Config, transport Transport) *Controller {
 	if cfg.LoadTicks == 0 {
 		cfg.LoadTicks = defaultLoadTicks
 	}
 	if cfg.Recorder == nil {
 		cfg.Recorder = timeline.Discard
 	}
-	a := &Agent{group: cfg.Group}
+	a := &Controller{group: cfg.Group}
 	for _, l := range cfg.Ranks {
 		a.members = append(a.members, newMember(cfg, l, transport))
 	}
@@ -85,7 +85,7 @@
 
 // Handle processes an order. It is called by the transport and blocks while the
 // rank's engine is asked; orders for different ranks do not wait for each other.
-func (a *Agent) Handle(ctx context.Context, o groupmsg.Order) {
+func (a *Controller) Handle(ctx context.Context, o groupmsg.Order) {
 	if o.Group != a.group {
 		return
 	}
@@ -98,7 +98,7 @@
 
 // Tick reads every engine back and asserts what is wanted. It is called at an
 // interval and blocks until every engine of the host has answered or failed.
-func (a *Agent) Tick(ctx context.Context) {
+func (a *Controller) Tick(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, m := range a.members {
 		wg.Go(func() { m.tick(ctx) })
--- a/agent/rank/rank_test.go
+++ b/agent/rank/rank_test.go
@@ -55,7 +55,7 @@
 
 // fixture is an agent with one rank, formed on map 1.
 type fixture struct {
-	agent  *Agent
+	agent  *Controller
 	engine *recordingEngine
 	sent   *sent
 	ring   *timeline.Ring
@@ -75,7 +75,7 @@
 		ring: timeline.NewRing("agent", 16, timeline.NewClock(fixedTime)),
 	}
 	f.agent = New(Config{
-		Group: "g", Incarnation: "inc_1", Ranks: []Local{{Engine: f.engine}}, LoadTicks: 3, Recorder: f.ring,
+		Group: "g", Incarnation: "inc_1", Ranks: []LocalRank{{Engine: f.engine}}, LoadTicks: 3, Recorder: f.ring,
 	}, f.sent)
 	f.handle(lockstep.Join, lockstep.Decision{})
 	stage := lockstep.Command{Kind: lockstep.Stage, Incarnation: "inc_1", Epoch: f.epoch, Map: 1}
--- a/agent/ranklink/config.go
+++ b/agent/ranklink/config.go
@@ -92,9 +92,9 @@
 
 // Locals returns the configured ranks with clients of their engines. The
 // configuration must be valid.
-func (c Config) Locals() ([]rank.Local, error) {
+func (c Config) Locals() ([]rank.LocalRank, error) {
 	urls := split(c.URLs)
-	var out []rank.Local
+	var out []rank.LocalRank
 	for i, text := range split(c.Ranks) {
 		index, err := strconv.Atoi(text)
 		if err != nil {
@@ -104,7 +104,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, rank.Local{Index: index, Engine: e})
+		out = append(out, rank.LocalRank{Index: index, Engine: e})
 	}
 	return out, nil
 }
--- a/agent/ranklink/ranklink.go
+++ b/agent/ranklink/ranklink.go
@@ -38,7 +38,7 @@
 type Runner struct {
 	config   Config
 	recorder timeline.Recorder
-	agent    *rank.Agent
+	agent    *rank.Controller
 	// pending holds the orders that wait, by rank.
 	pending map[int]chan groupmsg.Order
 
--- a/agent/ranklink/ranklink_test.go
+++ b/agent/ranklink/ranklink_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := New(DefaultConfig(), rank.Config{Group: "g", Incarnation: "inc", Ranks: []rank.Local{{Index: 3}}})
+			r := New(DefaultConfig(), rank.Config{Group: "g", Incarnation: "inc", Ranks: []rank.LocalRank{{Index: 3}}})
 			s := &link.Session{Role: tt.role}
 			r.Order(s, &msg.Order{ID: 1, Group: &msg.Group{Payload: tt.payload}})
 			assert.Equal(t, len(r.pending[3]), tt.orders)
@@ -48,7 +48,7 @@
 func TestFullQueueDropsOrders(t *testing.T) {
 	payload, err := codec.Marshal(groupmsg.Order{Group: "g", Command: lockstep.Command{Kind: lockstep.Join, Rank: 3}})
 	assert.NilError(t, err)
-	r := New(DefaultConfig(), rank.Config{Group: "g", Incarnation: "inc", Ranks: []rank.Local{{Index: 3}}})
+	r := New(DefaultConfig(), rank.Config{Group: "g", Incarnation: "inc", Ranks: []rank.LocalRank{{Index: 3}}})
 	for range 2 * maxPending {
 		r.Order(&link.Session{Role: keys.RoleEntry}, &msg.Order{Group: &msg.Group{Payload: payload}})
 	}
--- a/itest/group/world_test.go
+++ b/itest/group/world_test.go
@@ -58,7 +58,7 @@
 	rand      *rand.Rand
 	cfg       expertmap.Config
 	processes []*process
-	agents    []*rank.Agent
+	agents    []*rank.Controller
 	engines   []*engine
 	witness   *witness
 	load      []expertmap.Load
@@ -104,12 +104,12 @@
 	return w
 }
 
-func (w *world) newAgent(a int) *rank.Agent {
+func (w *world) newAgent(a int) *rank.Controller {
 	w.starts++
 	cfg := rank.Config{Group: groupName, Incarnation: id.Incarnation(fmt.Sprintf("inc_%d", w.starts)), LoadTicks: 5}
 	for i := range ranksPerAgent {
 		r := a*ranksPerAgent + i
-		cfg.Ranks = append(cfg.Ranks, rank.Local{Index: r, Engine: w.engines[r]})
+		cfg.Ranks = append(cfg.Ranks, rank.LocalRank{Index: r, Engine: w.engines[r]})
 	}
 	return rank.New(cfg, statusQueue{w})
 }
