--- a/agent/ranklink/config.go
+++ b/agent/ranklink/config.go
@@ -90,9 +90,9 @@
 	return strings.Split(list, ",")
 }
 
-// Locals returns the configured ranks with clients of their engines. The
+// LocalRanks returns the configured ranks with clients of their engines. The
 // configuration must be valid.
-func (c Config) Locals() ([]rank.LocalRank, error) {
+func (c Config) LocalRanks() ([]rank.LocalRank, error) {
 	urls := split(c.URLs)
 	var out []rank.LocalRank
 	for i, text := range split(c.Ranks) {
@@ -115,7 +115,7 @@
 // Open returns a runner of the configured ranks in one incarnation of the agent.
 // The configuration must be valid.
 func Open(c Config, inc id.Incarnation, r timeline.Recorder) (*Runner, error) {
-	locals, err := c.Locals()
+	locals, err := c.LocalRanks()
 	if err != nil {
 		return nil, err
 	}
