--- a/agent/plain/plain.go
+++ b/agent/plain/plain.go
@@ -56,11 +56,11 @@
 
 // LimitError reports a message beyond its bound.
 type LimitError struct {
-	What  string
+	Part  string
 	Limit int64
 }
 
-func (e *LimitError) Error() string { return fmt.Sprintf("%s exceeds %d bytes", e.What, e.Limit) }
+func (e *LimitError) Error() string { return fmt.Sprintf("%s exceeds %d bytes", e.Part, e.Limit) }
 
 // Writer receives an answer. Head is called once, before any Write. The agent
 // calls both from the goroutine that called Do; both may block.
@@ -135,10 +135,10 @@
 
 func (c *Client) request(ctx context.Context, p *msg.Plain) (*http.Request, error) {
 	if len(p.Body) > c.config.MaxBodyBytes {
-		return nil, &LimitError{What: "request body", Limit: int64(c.config.MaxBodyBytes)}
+		return nil, &LimitError{Part: "request body", Limit: int64(c.config.MaxBodyBytes)}
 	}
 	if headerBytes(p.Header) > c.config.MaxHeaderBytes {
-		return nil, &LimitError{What: "request header", Limit: int64(c.config.MaxHeaderBytes)}
+		return nil, &LimitError{Part: "request header", Limit: int64(c.config.MaxHeaderBytes)}
 	}
 	if !strings.HasPrefix(p.Path, "/") {
 		return nil, fmt.Errorf("path %q must start with a slash", p.Path)
@@ -172,7 +172,7 @@
 	for {
 		n, err := limited.Read(buffer)
 		if limited.N <= 0 {
-			return &LimitError{What: "answer body", Limit: c.config.MaxAnswerBytes}
+			return &LimitError{Part: "answer body", Limit: c.config.MaxAnswerBytes}
 		}
 		if n > 0 {
 			if _, err := w.Write(buffer[:n]); err != nil {
