--- a/agent/ledger/config.go
+++ b/agent/ledger/config.go
@@ -8,21 +8,21 @@
 
 // Config bounds the ledger by time and memory.
 type Config struct {
-	// ActionRetention is how long a settled action is remembered. It must be
-	// at least the lifetime of tickets and of idempotency keys. Default: 1 h.
+	// ActionRetention is how long the record of a settled action is kept. It must
+	// be at least the lifetime of tickets and of idempotency keys. Default: 1 h.
 	ActionRetention time.Duration
-	// AttemptRetention is how long a settled attempt without an action is
-	// remembered. It must exceed the idle timeout of connections. Default: 1 min.
+	// AttemptRetention is how long the record of a settled attempt without an action
+	// is kept. It must exceed the idle timeout of connections. Default: 1 min.
 	AttemptRetention time.Duration
-	// OrphanTimeout is how long a started attempt without an action runs on
+	// OrphanTimeout is how long a started attempt without an action continues
 	// while no entry is attached to it. Default: 10 s.
 	OrphanTimeout time.Duration
 	// MaxAttempts bounds the recorded attempts. Default: 200,000.
 	MaxAttempts int
 	// MaxActions bounds the recorded actions. Default: 100,000.
 	MaxActions int
-	// MaxAnswerBytes bounds the kept answers. Answers of settled attempts
-	// without an action are dropped first. Default: 64 MiB.
+	// MaxAnswerBytes bounds the memory for stored responses. Those of settled
+	// attempts without an action are dropped first. Default: 64 MiB.
 	MaxAnswerBytes int
 }
 
--- a/agent/ledger/expire.go
+++ b/agent/ledger/expire.go
@@ -7,9 +7,9 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// Expire forgets what is older than its retention and drops answers above the
-// memory bound. It returns the started attempts that no entry has been attached
-// to for longer than the orphan timeout; the caller cancels them.
+// Expire removes the records older than their retention and drops responses above
+// the memory bound. It returns the started attempts without an action that had no
+// sink attached for longer than the orphan timeout; the caller cancels them.
 func (l *Ledger) Expire() (orphans []id.Attempt) {
 	now := l.now()
 	l.mu.Lock()
@@ -17,12 +17,12 @@
 	for _, r := range l.attempts {
 		switch {
 		case l.expired(r, now):
-			l.forget(r)
+			l.remove(r)
 		case l.orphaned(r, now):
 			orphans = append(orphans, r.attempt.ID)
 		}
 	}
-	l.dropAnswers()
+	l.dropResponses()
 	return orphans
 }
 
@@ -42,26 +42,26 @@
 		!r.orphanedAt.IsZero() && now.Sub(r.orphanedAt) > l.config.OrphanTimeout
 }
 
-func (l *Ledger) forget(r *record) {
+func (l *Ledger) remove(r *record) {
 	delete(l.attempts, r.attempt.ID)
 	if r.attempt.Action != "" && l.actions[r.attempt.key()] == r {
 		delete(l.actions, r.attempt.key())
 	}
 	l.counts[r.state]--
-	l.bytes -= r.bytes
+	l.responseBytes -= r.responseBytes
 }
 
-// dropAnswers frees the answers of settled attempts while the memory bound is
-// exceeded, those without an action first. Their outcome stays known.
-func (l *Ledger) dropAnswers() {
+// dropResponses frees the responses of settled attempts while the memory bound is
+// exceeded, those without an action first. It keeps their outcome.
+func (l *Ledger) dropResponses() {
 	for _, actions := range []bool{false, true} {
 		for _, r := range l.attempts {
-			if l.bytes <= l.config.MaxAnswerBytes {
+			if l.responseBytes <= l.config.MaxAnswerBytes {
 				return
 			}
 			if r.state == msg.StateDone && (r.attempt.Action != "") == actions {
-				l.bytes -= r.bytes
-				r.bytes = 0
+				l.responseBytes -= r.responseBytes
+				r.responseBytes = 0
 				r.frames = nil
 			}
 		}
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger records the attempts of one agent incarnation and guarantees
-// that no attempt and no action starts twice.
+// Package ledger records the attempts that one agent incarnation receives, with
+// their responses, and deduplicates them: each attempt and each action starts at
+// most once.
 package ledger
 
 import (
@@ -14,22 +15,22 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// Sink receives the frames of an attempt. Frame is called with the ledger's lock
-// held: it must not block and must not call the ledger.
+// Sink receives the frames of an attempt's response. Frame is called with the
+// ledger's lock held: it must not block and must not call the ledger.
 type Sink interface {
 	Frame(f *msg.Frame)
 }
 
-// ActionKey identifies an action. Actions of different teams never meet.
+// ActionKey identifies an action. Each team has its own namespace of actions.
 type ActionKey struct {
 	Team   id.Team
 	Action id.Action
 }
 
-// Attempt describes a new attempt.
+// Attempt identifies an attempt and the payload that it carries.
 type Attempt struct {
 	ID id.Attempt
-	// Action is empty if the request may be repeated or carries no key.
+	// Action is empty if the request is idempotent or carries no idempotency key.
 	Action      id.Action
 	Team        id.Team
 	PayloadHash uint64
@@ -37,17 +38,17 @@
 
 func (a Attempt) key() ActionKey { return ActionKey{Team: a.Team, Action: a.Action} }
 
-// record is the state of one attempt.
+// record is the state of one attempt with the frames of its response.
 type record struct {
-	attempt Attempt
-	state   msg.State
-	frames  []*msg.Frame
-	bytes   int
-	digest  *xxhash.Digest
-	sinks   []Sink
-	refusal *msg.Refusal
-	end     *msg.End
-	// settledAt is when the attempt was done or tombstoned.
+	attempt       Attempt
+	state         msg.State
+	frames        []*msg.Frame
+	responseBytes int
+	digest        *xxhash.Digest
+	sinks         []Sink
+	refusal       *msg.Refusal
+	end           *msg.End
+	// settledAt is when the attempt finished or was tombstoned.
 	settledAt time.Time
 	// orphanedAt is when the last sink was removed from a started attempt.
 	orphanedAt time.Time
@@ -59,11 +60,11 @@
 	now    func() time.Time
 
 	// mu is taken before the locks of sinks.
-	mu       sync.Mutex
-	attempts map[id.Attempt]*record
-	actions  map[ActionKey]*record
-	bytes    int
-	counts   map[msg.State]int
+	mu            sync.Mutex
+	attempts      map[id.Attempt]*record
+	actions       map[ActionKey]*record
+	responseBytes int
+	counts        map[msg.State]int
 }
 
 // New returns an empty ledger that reads the time from now.
@@ -81,16 +82,16 @@
 type Admission uint8
 
 const (
-	// AdmissionNew means that the attempt is queued and must be started by the caller.
+	// AdmissionNew means that the attempt is recorded as queued; the caller starts it.
 	AdmissionNew Admission = iota
-	// AdmissionJoined means that the sink was attached to an attempt that exists already.
+	// AdmissionJoined means that the sink was attached to a recorded attempt.
 	AdmissionJoined
-	// AdmissionRefused means that the attempt is not recorded and will not start.
+	// AdmissionRefused means that the attempt will not start.
 	AdmissionRefused
 )
 
-// Admit records an attempt as queued. If the attempt or its action is known, it
-// attaches the sink to the known attempt and replays its frames instead.
+// Admit records an attempt as queued. If the attempt or its action is already
+// recorded, it attaches the sink to that record and replays the frames instead.
 func (l *Ledger) Admit(a Attempt, sink Sink) (Admission, *msg.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +103,7 @@
 			return l.join(r, a, sink)
 		}
 	}
-	if refusal := l.full(a); refusal != nil {
+	if refusal := l.refuseIfFull(a); refusal != nil {
 		return AdmissionRefused, refusal
 	}
 	r := &record{attempt: a, digest: xxhash.New()}
@@ -115,7 +116,7 @@
 	return AdmissionNew, nil
 }
 
-func (l *Ledger) full(a Attempt) *msg.Refusal {
+func (l *Ledger) refuseIfFull(a Attempt) *msg.Refusal {
 	if len(l.attempts) >= l.config.MaxAttempts {
 		return &msg.Refusal{Code: msg.CodeLedgerFull, Detail: "the agent records too many attempts"}
 	}
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// join attaches sink to a known attempt. The payloads must be equal.
+// join attaches sink to a recorded attempt. Payload and team must be equal.
 func (l *Ledger) join(r *record, a Attempt, sink Sink) (Admission, *msg.Refusal) {
 	if r.state == msg.StateTombstoned {
 		return AdmissionRefused, r.refusal
@@ -138,7 +139,7 @@
 	return AdmissionJoined, nil
 }
 
-// Known reports whether an attempt or action is recorded and may be joined.
+// Known reports whether the attempt or its action is recorded.
 func (l *Ledger) Known(a Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,8 +157,8 @@
 	return ok
 }
 
-// Start moves a queued attempt to started. Only if it returns true may the
-// caller hand the attempt to the back end.
+// Start moves a queued attempt to started. The caller may hand the attempt to the
+// back end only if Start returns true.
 func (l *Ledger) Start(attempt id.Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +170,7 @@
 	return true
 }
 
-// Append adds data to the answer of a started attempt.
+// Append adds a frame to the response of a started attempt.
 func (l *Ledger) Append(attempt id.Attempt, f msg.Frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,10 +179,10 @@
 		return
 	}
 	_, _ = r.digest.Write(f.Data)
-	l.push(r, &f)
+	l.appendFrame(r, &f)
 }
 
-// Finish closes the answer of a started attempt. Count and Checksum are set by the ledger.
+// Finish ends the response of a started attempt. It sets Count and Checksum of end.
 func (l *Ledger) Finish(attempt id.Attempt, end msg.End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,13 +193,13 @@
 	end.Count = uint32(len(r.frames))
 	end.Checksum = r.digest.Sum64()
 	r.end = &end
-	l.push(r, &msg.Frame{End: &end})
+	l.appendFrame(r, &msg.Frame{End: &end})
 	l.settle(r, msg.StateDone)
 }
 
-// Refuse tombstones an attempt that was not handed to the back end. It reports
-// false if the attempt has started. An unknown attempt is recorded as
-// tombstoned, so that a dispatch that arrives later is refused.
+// Refuse tombstones an attempt that was not handed to the back end. It returns
+// false if the attempt has started. An unknown attempt is recorded as tombstoned,
+// so that a dispatch arriving later is refused.
 func (l *Ledger) Refuse(attempt id.Attempt, refusal msg.Refusal) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -217,13 +218,13 @@
 	return true
 }
 
-// RefuseNew records an attempt and its action as tombstoned without queueing
-// it. It reports false if attempt or action are known, or if there is no room;
-// an action is then not recorded.
+// RefuseNew records an attempt and its action as tombstoned without queueing it.
+// It returns false and records nothing if either is already recorded or the ledger
+// is full.
 func (l *Ledger) RefuseNew(a Attempt, refusal msg.Refusal) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.known(a) || l.full(a) != nil {
+	if l.known(a) || l.refuseIfFull(a) != nil {
 		return false
 	}
 	r := &record{attempt: a}
@@ -235,8 +236,8 @@
 	return true
 }
 
-// MarkNotStarted tombstones a started attempt of which the back end is known to
-// have received nothing.
+// MarkNotStarted tombstones a started attempt that certainly did not reach the
+// back end.
 func (l *Ledger) MarkNotStarted(attempt id.Attempt, refusal msg.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,8 +248,8 @@
 	l.tombstone(r, refusal)
 }
 
-// tombstone settles r. Its action stays bound to it: once an action was refused,
-// no attempt of it will run in this incarnation, also none that is still on its way.
+// tombstone settles r as refused. The action stays bound to r, so that no attempt
+// of it, including one still in transit, runs in this incarnation.
 func (l *Ledger) tombstone(r *record, refusal msg.Refusal) {
 	r.refusal = &refusal
 	for _, s := range r.sinks {
@@ -271,35 +272,35 @@
 	l.counts[s]++
 }
 
-// push stores a frame and hands it to the sinks.
-func (l *Ledger) push(r *record, f *msg.Frame) {
+// appendFrame stores a frame and sends it to the sinks.
+func (l *Ledger) appendFrame(r *record, f *msg.Frame) {
 	f.Attempt = r.attempt.ID
 	f.Seq = uint32(len(r.frames))
 	r.frames = append(r.frames, f)
-	r.bytes += len(f.Data)
-	l.bytes += len(f.Data)
+	r.responseBytes += len(f.Data)
+	l.responseBytes += len(f.Data)
 	for _, s := range r.sinks {
 		s.Frame(f)
 	}
 }
 
-// Attach replays the frames of an attempt from a sequence number on and keeps
-// the sink attached for later ones. An unknown attempt is tombstoned, unless its
-// action is known with the same payload: then the frames are those of the
-// action's attempt.
+// Attach replays the frames of an attempt starting at a sequence number and keeps
+// the sink attached for later ones. If only the action of the attempt is recorded,
+// with the same payload, it attaches to the action's attempt; otherwise an unknown
+// attempt is tombstoned.
 func (l *Ledger) Attach(a Attempt, from uint32, sink Sink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.attempts[a.ID]
 	if !ok {
-		r = l.attachUnknown(a)
+		r = l.recordForUnknown(a)
 	}
 	l.attach(r, from, sink)
 }
 
-// attachUnknown returns the record of the action of an attempt that is not
-// recorded, or a new tombstone.
-func (l *Ledger) attachUnknown(a Attempt) *record {
+// recordForUnknown returns the record of the attempt's action if the payload is
+// the same, else a new tombstone.
+func (l *Ledger) recordForUnknown(a Attempt) *record {
 	refusal := msg.Refusal{Code: msg.CodeUnknownAttempt, Detail: "the agent did not receive the attempt"}
 	if a.Action != "" {
 		r, ok := l.actions[a.key()]
@@ -340,15 +341,15 @@
 	}
 }
 
-// Detach removes the sinks for which gone returns true from all attempts.
-func (l *Ledger) Detach(gone func(Sink) bool) {
+// Detach removes the matching sinks from all attempts.
+func (l *Ledger) Detach(match func(Sink) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.attempts {
 		if len(r.sinks) == 0 {
 			continue
 		}
-		r.sinks = slices.DeleteFunc(r.sinks, gone)
+		r.sinks = slices.DeleteFunc(r.sinks, match)
 		if len(r.sinks) == 0 {
 			r.orphanedAt = l.now()
 		}
@@ -366,8 +367,8 @@
 	return r.state, r.attempt.Action != ""
 }
 
-// ActionVerdict returns what is known of an action. An unknown action may still be on
-// its way, so that its outcome is unknown too.
+// ActionVerdict returns the state and outcome of an action. An unknown action has
+// an unknown outcome, since a dispatch of it may still be in transit.
 func (l *Ledger) ActionVerdict(k ActionKey) msg.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// recorder is a Sink that keeps all frames.
+// recorder is a Sink that records all frames.
 type recorder struct{ frames []*msg.Frame }
 
 func (r *recorder) Frame(f *msg.Frame) { r.frames = append(r.frames, f) }
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestLedgerRefusesBeyondItsMemory(t *testing.T) {
+func TestAdmitRefusesAboveMaxActions(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxActions = 1
 	l := New(c, newClock().read)
@@ -195,8 +195,8 @@
 	assert.DeepEqual(t, l.Expire(), []id.Attempt{"a1"})
 }
 
-// TestNothingStartsTwice applies random operations in random order and checks
-// that no attempt and no action starts twice, and that a refused one never starts.
+// TestNothingStartsTwice applies random operations and checks that each action
+// starts at most once, and never after it was refused.
 func TestNothingStartsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(DefaultConfig(), newClock().read)
