--- a/agent/queue/class.go
+++ b/agent/queue/class.go
@@ -13,17 +13,17 @@
 	weights  map[id.Team]float64
 	teams    map[id.Team]*team
 	arrivals *list.List // of *entry, oldest first
-	// virtual is the start tag of the work that was taken last.
-	virtual float64
+	// virtualTime is the greatest start tag popped since the class was last empty.
+	virtualTime float64
 }
 
 // team holds the waiting entries of one team in one class.
 type team struct {
 	name   id.Team
 	weight float64
-	// start is the virtual time at which the team's next work starts.
-	start   float64
-	entries entryHeap
+	// startTag is the virtual time at which the team's next entry starts.
+	startTag float64
+	entries  entryHeap
 }
 
 func newClass(weights map[id.Team]float64) *class {
@@ -35,10 +35,10 @@
 func (c *class) add(e *entry) {
 	t := c.teamOf(e.item.Team)
 	if t.entries.Len() == 0 {
-		t.start = max(t.start, c.virtual)
+		t.startTag = max(t.startTag, c.virtualTime)
 	}
 	e.team = t
-	e.arrival = c.arrivals.PushBack(e)
+	e.arrivalElement = c.arrivals.PushBack(e)
 	t.entries.add(e)
 }
 
@@ -51,41 +51,42 @@
 	if weight <= 0 {
 		weight = 1
 	}
-	t = &team{name: name, weight: weight, entries: entryHeap{kind: byKey}}
+	t = &team{name: name, weight: weight, entries: entryHeap{kind: byAgedWork}}
 	c.teams[name] = t
 	return t
 }
 
-// remove takes an entry out without charging its team.
+// remove removes an entry without charging its team.
 func (c *class) remove(e *entry) {
 	e.team.entries.remove(e)
-	c.arrivals.Remove(e.arrival)
+	c.arrivals.Remove(e.arrivalElement)
 	if c.len() == 0 {
 		clear(c.teams)
-		c.virtual = 0
+		c.virtualTime = 0
 	}
 }
 
-// take removes the entry that goes next and charges its team. The class must
-// not be empty.
-func (c *class) take() *entry {
+// pop removes the entry to start next and charges its team. The class must not be
+// empty.
+func (c *class) pop() *entry {
 	var next *team
 	for name, t := range c.teams {
 		switch {
 		case t.entries.Len() > 0:
-			next = lesser(next, t)
-		case t.start <= c.virtual:
+			next = earlierTeam(next, t)
+		case t.startTag <= c.virtualTime:
 			delete(c.teams, name)
 		}
 	}
-	e := next.entries.first()
+	e := next.entries.min()
 	c.charge(e)
 	c.remove(e)
 	return e
 }
 
-// takeOldest removes the entry that has waited longest and charges its team.
-func (c *class) takeOldest() *entry {
+// popOldest removes the entry that has waited longest and charges its team. The
+// class must not be empty.
+func (c *class) popOldest() *entry {
 	e := c.oldest()
 	c.charge(e)
 	c.remove(e)
@@ -93,13 +94,13 @@
 }
 
 func (c *class) charge(e *entry) {
-	c.virtual = max(c.virtual, e.team.start)
-	e.team.start += max(float64(e.item.Work), 1) / e.team.weight
+	c.virtualTime = max(c.virtualTime, e.team.startTag)
+	e.team.startTag += max(float64(e.item.Work), 1) / e.team.weight
 }
 
-// lesser returns the team with the earlier start, by name if they are equal.
-func lesser(a, b *team) *team {
-	if a == nil || b.start < a.start || b.start == a.start && b.name < a.name {
+// earlierTeam returns the team with the smaller start tag, by name if they are equal.
+func earlierTeam(a, b *team) *team {
+	if a == nil || b.startTag < a.startTag || b.startTag == a.startTag && b.name < a.name {
 		return b
 	}
 	return a
@@ -113,17 +114,17 @@
 	return nil
 }
 
-// overdue reports whether the oldest entry has waited for the bound.
-func (c *class) overdue(now time.Time, bound time.Duration) bool {
+// oldestWaited reports whether the oldest entry has waited for at least a time.
+func (c *class) oldestWaited(now time.Time, atLeast time.Duration) bool {
 	e := c.oldest()
-	return e != nil && now.Sub(e.arrived) >= bound
+	return e != nil && now.Sub(e.arrived) >= atLeast
 }
 
-// countOverdue returns the number of entries that have waited for the bound, up to limit.
-func (c *class) countOverdue(now time.Time, bound time.Duration, limit int) int {
+// countWaited counts the entries that have waited for at least a time, up to limit.
+func (c *class) countWaited(now time.Time, atLeast time.Duration, limit int) int {
 	n := 0
 	for element := c.arrivals.Front(); element != nil && n < limit; element = element.Next() {
-		if now.Sub(element.Value.(*entry).arrived) < bound {
+		if now.Sub(element.Value.(*entry).arrived) < atLeast {
 			break
 		}
 		n++
--- a/agent/queue/fifo.go
+++ b/agent/queue/fifo.go
@@ -7,8 +7,8 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// FIFO starts items in the order of their arrival and never pauses one. It is
-// the baseline for ShortFirst.
+// FIFO starts items in order of arrival and never preempts. It is the baseline
+// against which ShortFirst is measured.
 type FIFO struct {
 	config Config
 	items  []Item
@@ -16,7 +16,7 @@
 
 var _ Queue = (*FIFO)(nil)
 
-// NewFIFO returns an empty queue. It uses only the slots and the bound of the configuration.
+// NewFIFO returns an empty queue. It uses only Slots and MaxItems of c.
 func NewFIFO(c Config) *FIFO {
 	return &FIFO{config: c.withDefaults()}
 }
@@ -75,7 +75,7 @@
 // Len implements Queue.
 func (q *FIFO) Len() int { return len(q.items) }
 
-// earlier returns the earlier of two times, of which zero means never.
+// earlier returns the earlier of two times; zero means never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/agent/queue/headofline_test.go
+++ b/agent/queue/headofline_test.go
@@ -12,7 +12,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// The setting of the measurement: 3 in 100 requests are 50 times longer.
+// The simulated workload: 3 % of the requests are 50 times longer.
 const (
 	longShare = 0.03
 	longTimes = 50
@@ -28,7 +28,7 @@
 	maxLongLoss       = 0.05
 )
 
-// rateFor returns the arrivals per second that load the engine to the given share.
+// rateFor returns the arrivals per second that use the given share of the engine's capacity.
 func rateFor(load float64) float64 {
 	step := simStep + simSlots*simPerSeq
 	capacity := simSlots / step.Seconds() // tokens per second
@@ -36,7 +36,8 @@
 	return load * capacity / meanTokens
 }
 
-// comparison holds one workload with and without long work, under FIFO and ShortFirst.
+// comparison holds the results of one workload under FIFO and ShortFirst, each with
+// and without ("alone") long work.
 type comparison struct {
 	fifo, fifoAlone, policy, policyAlone summary
 }
@@ -54,9 +55,9 @@
 		return summarize(jobs, duration)
 	}
 	return comparison{
-		fifo:        measure(queue.NewFIFO(config), fresh(all)),
+		fifo:        measure(queue.NewFIFO(config), copyJobs(all)),
 		fifoAlone:   measure(queue.NewFIFO(config), withoutLong(all)),
-		policy:      measure(queue.NewShortFirst(config), fresh(all)),
+		policy:      measure(queue.NewShortFirst(config), copyJobs(all)),
 		policyAlone: measure(queue.NewShortFirst(config), withoutLong(all)),
 	}
 }
@@ -70,8 +71,8 @@
 
 func ratio(a, b time.Duration) float64 { return float64(a) / float64(b) }
 
-// BenchmarkHeadOfLine reports the figures of an hour of virtual time for
-// several loads and seeds. Run it with -benchtime 1x.
+// BenchmarkHeadOfLine simulates an hour for several loads and seeds. Run it with
+// -benchtime 1x.
 func BenchmarkHeadOfLine(b *testing.B) {
 	for _, load := range []float64{0.6, 0.8, 0.9, 1.1} {
 		for _, resumeSteps := range []int{0, 2} {
@@ -112,8 +113,8 @@
 	}
 }
 
-// Long work has to start and end under short work that alone exceeds the
-// engine's capacity.
+// TestLongWorkIsNotStarved checks that long work starts and ends while short work
+// alone exceeds the engine's capacity.
 func TestLongWorkIsNotStarved(t *testing.T) {
 	const until = 2 * time.Minute
 	w := workload{seed: 1, duration: until, rate: 2 * rateFor(1) * (1 - longShare + longShare*longTimes), minTokens: minTokens, maxTokens: maxTokens}
--- a/agent/queue/heap.go
+++ b/agent/queue/heap.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// entry is an item in the structures of a ShortFirst.
+// entry is a waiting item of a ShortFirst queue.
 type entry struct {
 	item    Item
 	arrived time.Time
-	// key orders the entries of a team: predicted work, raised by the ageing
-	// rate times the arrival. Earlier arrivals gain on later ones as if the
-	// wait reduced the work, and the order never has to be computed anew.
-	key     float64
-	team    *team
-	arrival *list.Element
-	at      [heapKinds]int // index in each heap, or notInHeap
+	// agedWork orders the entries of a team: the predicted work plus the ageing rate
+	// times the arrival time. This gives the same order as reducing the work with
+	// the wait, but it does not change over time.
+	agedWork       float64
+	team           *team
+	arrivalElement *list.Element
+	indices        [heapKinds]int // index in each heap, or notInHeap
 }
 
 type heapKind int
 
 const (
-	byKey heapKind = iota
+	byAgedWork heapKind = iota
 	byDeadline
 	heapKinds
 )
 
 const notInHeap = -1
 
-// entryHeap is a heap of entries that knows the index of each.
+// entryHeap is a heap that stores in each entry its index, so that any entry can
+// be removed.
 type entryHeap struct {
 	kind    heapKind
 	entries []*entry
@@ -43,18 +44,18 @@
 	if h.kind == byDeadline {
 		return a.item.Deadline.Before(b.item.Deadline)
 	}
-	return a.key < b.key
+	return a.agedWork < b.agedWork
 }
 
 func (h *entryHeap) Swap(i, j int) {
 	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
-	h.entries[i].at[h.kind] = i
-	h.entries[j].at[h.kind] = j
+	h.entries[i].indices[h.kind] = i
+	h.entries[j].indices[h.kind] = j
 }
 
 func (h *entryHeap) Push(x any) {
 	e := x.(*entry)
-	e.at[h.kind] = len(h.entries)
+	e.indices[h.kind] = len(h.entries)
 	h.entries = append(h.entries, e)
 }
 
@@ -63,20 +64,20 @@
 	e := h.entries[last]
 	h.entries[last] = nil
 	h.entries = h.entries[:last]
-	e.at[h.kind] = notInHeap
+	e.indices[h.kind] = notInHeap
 	return e
 }
 
 func (h *entryHeap) add(e *entry) { heap.Push(h, e) }
 
 func (h *entryHeap) remove(e *entry) {
-	if i := e.at[h.kind]; i != notInHeap {
+	if i := e.indices[h.kind]; i != notInHeap {
 		heap.Remove(h, i)
 	}
 }
 
-// first returns the least entry, or nil.
-func (h *entryHeap) first() *entry {
+// min returns the first entry in heap order, or nil.
+func (h *entryHeap) min() *entry {
 	if len(h.entries) == 0 {
 		return nil
 	}
--- a/agent/queue/queue.go
+++ b/agent/queue/queue.go
@@ -1,8 +1,8 @@
-// Package queue decides which attempts an agent hands to its engine, and when.
+// Package queue schedules the attempts of one agent into the batch slots of its
+// engine, by class, team and predicted work.
 //
-// A Queue works on explicit state and an explicit clock. It is not safe for
-// concurrent use; the agent calls all methods under the lock of its ledger, and
-// none of them blocks.
+// A Queue gets the time as an argument and never blocks. It is not safe for
+// concurrent use; the agent serializes all calls with its own lock.
 package queue
 
 import (
@@ -14,24 +14,24 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// ErrFull refuses an item beyond the queue's bound.
+// ErrFull reports that the queue holds MaxItems already.
 var ErrFull = errors.New("run queue is full")
 
-// DuplicateError refuses an attempt that is already queued or started.
+// DuplicateError reports that an attempt is already queued or started.
 type DuplicateError struct{ Attempt id.Attempt }
 
 func (e *DuplicateError) Error() string {
 	return fmt.Sprintf("attempt %q is already in the run queue", e.Attempt)
 }
 
-// Item is one attempt that waits for its start.
+// Item is one waiting attempt.
 type Item struct {
 	Attempt id.Attempt
 	Team    id.Team
 	Class   msg.Class
 	// Work is the predicted number of tokens.
 	Work uint32
-	// Deadline is the latest start. Zero means none.
+	// Deadline is the latest time to start. Zero means none.
 	Deadline time.Time
 }
 
@@ -40,14 +40,14 @@
 	Attempt id.Attempt
 	// Remaining is the predicted number of tokens left.
 	Remaining uint32
-	// Paused is true from the decision to pause on, until the decision to
-	// resume or until the engine has refused the pause.
+	// Paused is true from the decision to pause until the decision to resume, or
+	// until the engine fails to pause the attempt.
 	Paused bool
 }
 
-// Decision is what the agent has to do, in the order of the fields.
+// Decision lists the changes that the agent applies, in the order of the fields.
 type Decision struct {
-	// Expired are items whose deadline has passed. They were not started.
+	// Expired are items that were not started by their deadline.
 	Expired []Item
 	// Pause are attempts to take out of the engine's batch.
 	Pause []id.Attempt
@@ -57,18 +57,18 @@
 	Start []Item
 }
 
-// Queue orders the attempts of one engine.
+// Queue schedules the attempts of one engine.
 type Queue interface {
 	// Push adds an item. The error is ErrFull or a *DuplicateError.
 	Push(item Item, now time.Time) error
-	// Next decides what happens now. The active attempts must be all those that
-	// were started and have not ended, paused ones included. The agent calls it
-	// after a Push, after the end of an attempt, and at the time of Wake.
+	// Next makes the scheduling decision at a time. Active must list all attempts
+	// that were started and have not ended, including paused ones. It is called
+	// after a Push, after the end of an attempt, and no later than NextWake.
 	Next(now time.Time, active []Active) Decision
-	// Remove takes a waiting item out and reports whether there was one.
+	// Remove removes a waiting item and reports whether there was one.
 	Remove(attempt id.Attempt) bool
-	// NextWake returns the next time at which Next may decide otherwise although
-	// nothing has happened, and false if there is none.
+	// NextWake returns the next time at which the passage of time alone may change
+	// the decision of Next, and false if there is none.
 	NextWake() (time.Time, bool)
 	// Len returns the number of waiting items.
 	Len() int
@@ -92,27 +92,25 @@
 	// MaxItems bounds the waiting items. Default 1024.
 	MaxItems int
 	// ReservedShortSlots are slots that long work cannot take. Default an eighth of
-	// Slots, at least one if there are two slots or more. A negative value
-	// means none.
+	// Slots, at least one if there are two or more slots. A negative value means none.
 	ReservedShortSlots int
-	// MinLongSlots are the slots that long work keeps or takes before short work
-	// once it is overdue, so that it is never starved. Default an eighth of
-	// Slots, at least one. A negative value means none.
+	// MinLongSlots are the slots below which long work is not preempted and, after
+	// MaxLongWait or MaxPauseTime, goes before short work, so that it is never
+	// starved. Default an eighth of Slots, at least one. A negative value means none.
 	MinLongSlots int
-	// MaxShortWait is the wait in the queue after which short work pauses long
-	// work. Default 0, at once.
+	// MaxShortWait is the wait after which short work preempts long work. Default 0.
 	MaxShortWait time.Duration
 	// MaxLongWait is the wait after which long work goes before short work. Default 10 s.
 	MaxLongWait time.Duration
 	// MaxPauseTime is the time after which paused work goes before short work. Default 5 s.
 	MaxPauseTime time.Duration
 	// MaxPauses bounds the pauses of one attempt. Default 64. A negative value
-	// means that no attempt is paused.
+	// disables preemption.
 	MaxPauses int
-	// AgeingRate is the number of tokens by which waiting work counts as shorter
-	// for each second of its wait. Default 200.
+	// AgeingRate is the number of tokens that each second of waiting subtracts from
+	// the predicted work in the order of a team's items. Default 200.
 	AgeingRate float64
-	// Weights are the shares of teams. A team without one has the weight 1.
+	// Weights are the relative shares of teams. The default of a team is 1.
 	Weights map[id.Team]float64
 }
 
@@ -137,7 +135,7 @@
 	}
 }
 
-// setOptional sets a default for zero, and zero for a negative value.
+// setOptional replaces zero by the default, and a negative value by zero.
 func setOptional(field *int, value int) {
 	switch {
 	case *field == 0:
--- a/agent/queue/queue_test.go
+++ b/agent/queue/queue_test.go
@@ -16,24 +16,24 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// TestMain fixes the seed of the property tests unless a flag names another.
+// TestMain fixes the seed of the property tests unless a flag sets another.
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // The flag exists.
+	_ = flag.Set("rapid.seed", "1") // fails only for an undefined flag
 	os.Exit(m.Run())
 }
 
-// fate is where an attempt is.
-type fate int
+// itemState is the stage that an attempt has reached.
+type itemState int
 
 const (
-	waiting fate = iota + 1
-	startedFate
+	waiting itemState = iota + 1
+	started
 	ended
 	expired
 	removed
 )
 
-// model follows a queue and checks what must hold after each step.
+// model mirrors the state of a queue and checks its invariants after each step.
 type model struct {
 	*rapid.T
 	queue  queue.Queue
@@ -41,14 +41,14 @@
 	policy bool
 	now    time.Time
 	items  map[id.Attempt]queue.Item
-	fates  map[id.Attempt]fate
+	states map[id.Attempt]itemState
 	pauses map[id.Attempt]int
 	active []queue.Active
 }
 
-func (m *model) count(f fate) int {
+func (m *model) count(f itemState) int {
 	n := 0
-	for _, other := range m.fates {
+	for _, other := range m.states {
 		if other == f {
 			n++
 		}
@@ -56,12 +56,12 @@
 	return n
 }
 
-// move changes the fate of an attempt that must be in another one before.
-func (m *model) move(attempt id.Attempt, from, to fate) {
-	if m.fates[attempt] != from {
-		m.Fatalf("attempt %q goes from %d to %d, expected it in %d", attempt, m.fates[attempt], to, from)
+// transition changes the state of an attempt, which must be in the state from.
+func (m *model) transition(attempt id.Attempt, from, to itemState) {
+	if m.states[attempt] != from {
+		m.Fatalf("attempt %q goes from %d to %d, expected it in %d", attempt, m.states[attempt], to, from)
 	}
-	m.fates[attempt] = to
+	m.states[attempt] = to
 }
 
 func (m *model) push() {
@@ -81,7 +81,7 @@
 	}
 	assert.NilError(m, err)
 	m.items[item.Attempt] = item
-	m.fates[item.Attempt] = waiting
+	m.states[item.Attempt] = waiting
 	var duplicate *queue.DuplicateError
 	assert.Assert(m, errors.As(m.queue.Push(item, m.now), &duplicate))
 }
@@ -91,10 +91,10 @@
 		return
 	}
 	attempt := id.Attempt(fmt.Sprintf("att_%d", rapid.IntRange(0, len(m.items)-1).Draw(m.T, "attempt")))
-	waits := m.fates[attempt] == waiting
+	waits := m.states[attempt] == waiting
 	assert.Equal(m, m.queue.Remove(attempt), waits)
 	if waits {
-		m.move(attempt, waiting, removed)
+		m.transition(attempt, waiting, removed)
 	}
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	i := rapid.IntRange(0, len(m.active)-1).Draw(m.T, "active")
-	m.move(m.active[i].Attempt, startedFate, ended)
+	m.transition(m.active[i].Attempt, started, ended)
 	m.active = append(m.active[:i], m.active[i+1:]...)
 }
 
@@ -112,7 +112,7 @@
 	d := m.queue.Next(m.now, m.active)
 	for _, item := range d.Expired {
 		assert.Assert(m, !item.Deadline.IsZero() && !m.now.Before(item.Deadline))
-		m.move(item.Attempt, waiting, expired)
+		m.transition(item.Attempt, waiting, expired)
 	}
 	for _, attempt := range d.Pause {
 		m.setPaused(attempt, true)
@@ -126,7 +126,7 @@
 	for _, item := range d.Start {
 		assert.DeepEqual(m, item, m.items[item.Attempt])
 		assert.Assert(m, item.Deadline.IsZero() || m.now.Before(item.Deadline))
-		m.move(item.Attempt, waiting, startedFate)
+		m.transition(item.Attempt, waiting, started)
 		m.active = append(m.active, queue.Active{Attempt: item.Attempt, Remaining: item.Work})
 	}
 	m.checkSlots()
@@ -143,7 +143,8 @@
 	m.Fatalf("attempt %q is not active", attempt)
 }
 
-// checkSlots verifies the bounds of the batch and that no slot is free for waiting work.
+// checkSlots verifies the limits of the batch and that no slot stays idle while work
+// that may use it waits.
 func (m *model) checkSlots() {
 	running, long, paused := 0, 0, 0
 	for _, a := range m.active {
@@ -158,7 +159,7 @@
 		}
 	}
 	waitingBy := map[msg.Class]int{}
-	for attempt, f := range m.fates {
+	for attempt, f := range m.states {
 		if f == waiting {
 			waitingBy[m.items[attempt].Class]++
 		}
@@ -210,7 +211,7 @@
 	}
 	m := &model{
 		T: r, config: config, policy: policy, now: simStart,
-		items: map[id.Attempt]queue.Item{}, fates: map[id.Attempt]fate{}, pauses: map[id.Attempt]int{},
+		items: map[id.Attempt]queue.Item{}, states: map[id.Attempt]itemState{}, pauses: map[id.Attempt]int{},
 	}
 	m.queue = queue.NewFIFO(config)
 	if policy {
@@ -220,23 +221,23 @@
 	return m
 }
 
-// drain ends all work without new arrivals; every attempt must come to an end.
+// drain runs the queue without new arrivals; every attempt must end.
 func (m *model) drain() {
 	for range 3 * len(m.items) {
 		m.next()
 		for i, a := range m.active {
 			if !a.Paused {
-				m.move(a.Attempt, startedFate, ended)
+				m.transition(a.Attempt, started, ended)
 				m.active = append(m.active[:i], m.active[i+1:]...)
 				break
 			}
 		}
 	}
 	assert.Equal(m, m.count(waiting), 0, "attempts were lost in the queue")
-	assert.Equal(m, m.count(startedFate), 0, "attempts stayed paused for good")
+	assert.Equal(m, m.count(started), 0, "attempts stayed paused for good")
 }
 
-// serve starts everything one by one in a queue of one slot and returns the order.
+// serve starts all items of a queue with one slot and returns their order.
 func serve(t *testing.T, q queue.Queue, now time.Time) []queue.Item {
 	t.Helper()
 	var order []queue.Item
@@ -268,7 +269,7 @@
 
 func TestTeamsShareByWeight(t *testing.T) {
 	q := queue.NewShortFirst(queue.Config{Slots: 1, Weights: map[id.Team]float64{"b": 3}})
-	for i := range 200 { // The greedy team comes first and asks for shorter work.
+	for i := range 200 { // Team a arrives first, with more and shorter work.
 		push(t, q, simStart, queue.Item{Attempt: id.Attempt(fmt.Sprintf("a%d", i)), Team: "a", Work: 10})
 	}
 	for i := range 60 {
@@ -310,7 +311,7 @@
 	_, ok = q.NextWake()
 	assert.Assert(t, !ok, "a queue that can do nothing must not ask to be called")
 
-	// Two short attempts end: the waiting ones take their slots, then paused work goes on.
+	// All short attempts end: the two waiting ones start, then a paused attempt resumes.
 	now := []queue.Active{
 		{Attempt: "long-0", Paused: true}, {Attempt: "long-1", Paused: true}, {Attempt: "long-2", Paused: true}, {Attempt: "long-3"},
 	}
@@ -318,10 +319,10 @@
 	assert.Equal(t, len(after.Start), 2)
 	assert.DeepEqual(t, after.Resume, []id.Attempt{"long-0"})
 
-	// A pause that the engine refused is corrected by the active list.
+	// The active list corrects pauses that the engine failed to carry out.
 	now[1].Paused = false
 	now[0].Paused = false
 	push(t, q, wake, queue.Item{Attempt: "short-9", Work: 10})
 	last := q.Next(wake.Add(bound), append(now, queue.Active{Attempt: after.Start[0].Attempt}))
-	assert.DeepEqual(t, last.Pause, []id.Attempt{"long-3"}) // The others have used their pause.
+	assert.DeepEqual(t, last.Pause, []id.Attempt{"long-3"}) // The others have reached MaxPauses.
 }
--- a/agent/queue/shortfirst.go
+++ b/agent/queue/shortfirst.go
@@ -9,32 +9,31 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// ShortFirst keeps short work from waiting behind long work. Short work goes
-// first; long work that has waited or been paused for its bound goes before
-// it, but only while it holds fewer slots than its own. Long work leaves
-// reserved slots free, and is paused down to its own slots when short work has
-// waited for its bound.
+// ShortFirst avoids head-of-line blocking of short work by long work. Short work
+// starts first, and after MaxShortWait it preempts long work down to MinLongSlots.
+// Long work never takes ReservedShortSlots. It goes before short work after
+// MaxLongWait, or MaxPauseTime if paused, while it holds fewer than MinLongSlots.
 type ShortFirst struct {
-	config    Config
-	epoch     time.Time // of the ageing keys
-	waiting   map[id.Attempt]*entry
-	started   map[id.Attempt]*started
-	short     *class
-	long      *class
-	deadlines entryHeap
-	decided   time.Time // of the last call of Next
+	config      Config
+	ageingEpoch time.Time // arrivals are aged relative to this time
+	waiting     map[id.Attempt]*entry
+	started     map[id.Attempt]*started
+	short       *class
+	long        *class
+	deadlines   entryHeap
+	lastNext    time.Time // last call of Next
 }
 
 var _ Queue = (*ShortFirst)(nil)
 
-// started is what the policy remembers of an attempt until it has ended.
+// started is the state of an attempt between its start and its end.
 type started struct {
 	class     msg.Class
 	pauses    int
 	paused    bool
 	pausedAt  time.Time
 	remaining uint32
-	seen      bool // in the current call of Next
+	seen      bool // listed as active in the current call of Next
 }
 
 // NewShortFirst returns an empty queue.
@@ -67,11 +66,11 @@
 	if len(q.waiting) >= q.config.MaxItems {
 		return ErrFull
 	}
-	if q.epoch.IsZero() {
-		q.epoch = now
+	if q.ageingEpoch.IsZero() {
+		q.ageingEpoch = now
 	}
-	aged := q.config.AgeingRate * now.Sub(q.epoch).Seconds()
-	e := &entry{item: item, arrived: now, key: float64(item.Work) + aged, at: [heapKinds]int{notInHeap, notInHeap}}
+	aged := q.config.AgeingRate * now.Sub(q.ageingEpoch).Seconds()
+	e := &entry{item: item, arrived: now, agedWork: float64(item.Work) + aged, indices: [heapKinds]int{notInHeap, notInHeap}}
 	q.waiting[item.Attempt] = e
 	q.class(item.Class).add(e)
 	if !item.Deadline.IsZero() {
@@ -87,12 +86,12 @@
 		return false
 	}
 	q.class(e.item.Class).remove(e)
-	q.forget(e)
+	q.removeWaiting(e)
 	return true
 }
 
-// forget removes an entry that is in no class any more.
-func (q *ShortFirst) forget(e *entry) {
+// removeWaiting removes an entry that has already left its class.
+func (q *ShortFirst) removeWaiting(e *entry) {
 	delete(q.waiting, e.item.Attempt)
 	q.deadlines.remove(e)
 }
@@ -102,22 +101,23 @@
 
 // Next implements Queue.
 func (q *ShortFirst) Next(now time.Time, active []Active) Decision {
-	q.observe(now, active)
-	r := round{ShortFirst: q, now: now}
-	r.count()
+	q.updateStarted(now, active)
+	r := pass{ShortFirst: q, now: now}
+	r.countRunning()
 	r.expire()
-	r.fill()
+	r.fillSlots()
 	r.preempt()
-	q.decided = now
+	q.lastNext = now
 	return r.decision
 }
 
-// observe takes over which attempts run, are paused or have ended.
-func (q *ShortFirst) observe(now time.Time, active []Active) {
+// updateStarted updates the started attempts from the active ones and drops those
+// that have ended.
+func (q *ShortFirst) updateStarted(now time.Time, active []Active) {
 	for _, a := range active {
 		s, ok := q.started[a.Attempt]
 		if !ok {
-			s = &started{class: msg.Long} // Started by an earlier queue.
+			s = &started{class: msg.Long} // Not started by this queue; its class is unknown.
 			q.started[a.Attempt] = s
 		}
 		if a.Paused && !s.paused {
@@ -135,8 +135,8 @@
 	}
 }
 
-// round is one call of Next.
-type round struct {
+// pass is one call of Next.
+type pass struct {
 	*ShortFirst
 	now      time.Time
 	decision Decision
@@ -144,7 +144,7 @@
 	running, longRunning int
 }
 
-func (r *round) count() {
+func (r *pass) countRunning() {
 	for _, s := range r.started {
 		if s.paused {
 			continue
@@ -156,44 +156,43 @@
 	}
 }
 
-func (r *round) expire() {
-	for e := r.deadlines.first(); e != nil && !r.now.Before(e.item.Deadline); e = r.deadlines.first() {
+func (r *pass) expire() {
+	for e := r.deadlines.min(); e != nil && !r.now.Before(e.item.Deadline); e = r.deadlines.min() {
 		r.class(e.item.Class).remove(e)
-		r.forget(e)
+		r.removeWaiting(e)
 		r.decision.Expired = append(r.decision.Expired, e.item)
 	}
 }
 
-// fill gives free slots away until nothing is left that may run.
-func (r *round) fill() {
+// fillSlots assigns free slots until no attempt may run.
+func (r *pass) fillSlots() {
 	for r.running < r.config.Slots {
 		switch {
-		case r.longBelowShare() && r.resume(r.config.MaxPauseTime):
-		case r.longBelowShare() && r.long.overdue(r.now, r.config.MaxLongWait):
-			r.start(r.long.takeOldest())
+		case r.longBelowMin() && r.resumeLongestPaused(r.config.MaxPauseTime):
+		case r.longBelowMin() && r.long.oldestWaited(r.now, r.config.MaxLongWait):
+			r.start(r.long.popOldest())
 		case r.short.len() > 0:
-			r.start(r.short.take())
-		case r.longMayRun() && r.resume(0):
-		case r.longMayRun() && r.long.len() > 0:
-			r.start(r.long.take())
+			r.start(r.short.pop())
+		case r.longSlotFree() && r.resumeLongestPaused(0):
+		case r.longSlotFree() && r.long.len() > 0:
+			r.start(r.long.pop())
 		default:
 			return
 		}
 	}
 }
 
-func (r *round) longMayRun() bool {
+func (r *pass) longSlotFree() bool {
 	return r.longRunning < r.config.Slots-r.config.ReservedShortSlots
 }
 
-// longBelowShare reports whether long work has fewer slots than it may claim
-// from short work.
-func (r *round) longBelowShare() bool {
+// longBelowMin reports whether long work holds fewer slots than it is guaranteed.
+func (r *pass) longBelowMin() bool {
 	return r.longRunning < r.config.MinLongSlots
 }
 
-func (r *round) start(e *entry) {
-	r.forget(e)
+func (r *pass) start(e *entry) {
+	r.removeWaiting(e)
 	r.started[e.item.Attempt] = &started{class: e.item.Class, remaining: e.item.Work}
 	r.decision.Start = append(r.decision.Start, e.item)
 	r.running++
@@ -202,11 +201,11 @@
 	}
 }
 
-// resume continues the attempt that has been paused longest, if that is at
-// least for the given time.
-func (r *round) resume(least time.Duration) bool {
+// resumeLongestPaused resumes the attempt that has been paused longest if it was
+// paused for at least minPause. It reports whether it did.
+func (r *pass) resumeLongestPaused(minPause time.Duration) bool {
 	attempt, s := r.longestPaused()
-	if s == nil || r.now.Sub(s.pausedAt) < least {
+	if s == nil || r.now.Sub(s.pausedAt) < minPause {
 		return false
 	}
 	s.paused = false
@@ -230,11 +229,11 @@
 	return attempt, longest
 }
 
-// preempt pauses long work for short work that has waited for its bound. The
-// batch is full if short work still waits.
-func (r *round) preempt() {
+// preempt replaces long work by short work that has waited for MaxShortWait. It
+// runs after fillSlots, so the batch is full if short work still waits.
+func (r *pass) preempt() {
 	limit := min(r.longRunning-r.config.MinLongSlots, r.config.Slots-r.pausedCount())
-	overdue := r.short.countOverdue(r.now, r.config.MaxShortWait, limit)
+	overdue := r.short.countWaited(r.now, r.config.MaxShortWait, limit)
 	if overdue <= 0 {
 		return
 	}
@@ -246,7 +245,7 @@
 		r.decision.Pause = append(r.decision.Pause, attempt)
 		r.running--
 		r.longRunning--
-		r.start(r.short.take())
+		r.start(r.short.pop())
 	}
 }
 
@@ -260,12 +259,12 @@
 	return n
 }
 
-// pausable returns up to n long attempts, those with most remaining work
-// first. Attempts of this round and those with all their pauses used stay.
-func (r *round) pausable(n int) []id.Attempt {
+// pausable returns up to n long attempts, those with most remaining work first. It
+// skips attempts that this pass started or resumed, or that reached MaxPauses.
+func (r *pass) pausable(n int) []id.Attempt {
 	var attempts []id.Attempt
 	for attempt, s := range r.started {
-		if s.class != msg.Short && !s.paused && s.pauses < r.config.MaxPauses && !r.moved(attempt) {
+		if s.class != msg.Short && !s.paused && s.pauses < r.config.MaxPauses && !r.changed(attempt) {
 			attempts = append(attempts, attempt)
 		}
 	}
@@ -275,22 +274,23 @@
 	return attempts[:min(n, len(attempts))]
 }
 
-// moved reports whether an attempt was started or resumed in this round.
-func (r *round) moved(attempt id.Attempt) bool {
+// changed reports whether an attempt was started or resumed in this pass.
+func (r *pass) changed(attempt id.Attempt) bool {
 	return slices.Contains(r.decision.Resume, attempt) ||
 		slices.ContainsFunc(r.decision.Start, func(item Item) bool { return item.Attempt == attempt })
 }
 
-// NextWake implements Queue. Short work whose bound has passed already waits for an
-// event, since Next found no long work to pause for it.
+// NextWake implements Queue. Short work that exceeded MaxShortWait before the last
+// Next is left out: Next found no long work to pause for it, and only an event
+// changes that.
 func (q *ShortFirst) NextWake() (time.Time, bool) {
 	var wake time.Time
-	if e := q.deadlines.first(); e != nil {
+	if e := q.deadlines.min(); e != nil {
 		wake = e.item.Deadline
 	}
 	if e := q.short.oldest(); e != nil {
 		overdue := e.arrived.Add(q.config.MaxShortWait)
-		if overdue.After(q.decided) {
+		if overdue.After(q.lastNext) {
 			wake = earlier(wake, overdue)
 		}
 	}
--- a/agent/queue/sim_test.go
+++ b/agent/queue/sim_test.go
@@ -12,8 +12,8 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// simulation runs one engine in virtual time behind a queue. In each step
-// every sequence of the batch produces one token.
+// simulation runs a queue and an engine in virtual time. In each step every
+// sequence of the batch produces one token.
 type simulation struct {
 	slots       int
 	step        time.Duration // of an empty batch
@@ -21,23 +21,23 @@
 	resumeSteps int // steps without a token after a resume
 }
 
-// job is one arrival and what became of it.
+// job is one arrival with its progress.
 type job struct {
-	item             queue.Item
-	arrival          time.Duration
-	started, ended   time.Duration // negative before
-	remaining, setup int
-	paused           bool
-	pauses           int
+	item                   queue.Item
+	arrival                time.Duration
+	started, ended         time.Duration // notYet before that
+	remaining, resumeDelay int
+	paused                 bool
+	pauses                 int
 }
 
 const notYet = -1
 
-// workload describes Poisson arrivals of which a share is many times longer.
+// workload describes Poisson arrivals; the share longShare has longTimes as many tokens.
 type workload struct {
 	seed      uint64
 	duration  time.Duration
-	rate      float64 // arrivals for each second
+	rate      float64 // arrivals per second
 	longShare float64
 	longTimes int
 	minTokens int
@@ -67,12 +67,12 @@
 	}
 }
 
-// withoutLong returns fresh copies of the short jobs.
+// withoutLong returns copies of the short jobs.
 func withoutLong(jobs []*job) []*job {
-	return slices.DeleteFunc(fresh(jobs), func(j *job) bool { return j.item.Class == msg.Long })
+	return slices.DeleteFunc(copyJobs(jobs), func(j *job) bool { return j.item.Class == msg.Long })
 }
 
-func fresh(jobs []*job) []*job {
+func copyJobs(jobs []*job) []*job {
 	copies := make([]*job, len(jobs))
 	for i, j := range jobs {
 		copied := *j
@@ -81,8 +81,8 @@
 	return copies
 }
 
-// state is a running simulation.
-type state struct {
+// simRun is the state of one simulation.
+type simRun struct {
 	simulation
 	queue    queue.Queue
 	now      time.Duration
@@ -93,17 +93,17 @@
 
 var simStart = time.Unix(1_000_000, 0)
 
-// run simulates until the time until or until all work is done.
+// run simulates up to the time until, or until all work is done.
 func (s simulation) run(q queue.Queue, jobs []*job, until time.Duration) {
-	st := &state{simulation: s, queue: q, arrivals: jobs, jobs: make(map[id.Attempt]*job)}
+	st := &simRun{simulation: s, queue: q, arrivals: jobs, jobs: make(map[id.Attempt]*job)}
 	for st.now < until && st.arrive() {
 		st.decide()
 		st.advance()
 	}
 }
 
-// arrive pushes what has arrived and reports whether anything is left to do.
-func (s *state) arrive() bool {
+// arrive pushes the jobs that have arrived and reports whether any work is left.
+func (s *simRun) arrive() bool {
 	if len(s.active)+s.queue.Len() == 0 {
 		if len(s.arrivals) == 0 {
 			return false
@@ -121,7 +121,7 @@
 	return true
 }
 
-func (s *state) decide() {
+func (s *simRun) decide() {
 	active := make([]queue.Active, len(s.active))
 	for i, j := range s.active {
 		active[i] = queue.Active{Attempt: j.item.Attempt, Remaining: uint32(j.remaining), Paused: j.paused}
@@ -133,7 +133,7 @@
 	}
 	for _, attempt := range d.Resume {
 		s.jobs[attempt].paused = false
-		s.jobs[attempt].setup = s.resumeSteps
+		s.jobs[attempt].resumeDelay = s.resumeSteps
 	}
 	for _, item := range d.Start {
 		j := s.jobs[item.Attempt]
@@ -143,7 +143,7 @@
 }
 
 // advance runs one step.
-func (s *state) advance() {
+func (s *simRun) advance() {
 	running := 0
 	for _, j := range s.active {
 		if !j.paused {
@@ -166,24 +166,24 @@
 	s.active = kept
 }
 
-func (s *state) token(j *job) {
+func (s *simRun) token(j *job) {
 	switch {
 	case j.paused:
-	case j.setup > 0:
-		j.setup--
+	case j.resumeDelay > 0:
+		j.resumeDelay--
 	default:
 		j.remaining--
 	}
 }
 
-// summary is what a run measured.
+// summary holds the measurements of one run.
 type summary struct {
 	shortP95   time.Duration // wait until the start
 	longMax    time.Duration // wait until the start
 	longTokens int
 	longMean   time.Duration // from arrival to end, of ended jobs
 	maxPauses  int
-	pauseRate  float64 // for each second
+	pauseRate  float64 // per second
 }
 
 func summarize(jobs []*job, until time.Duration) summary {
