--- a/agent/engine/client.go
+++ b/agent/engine/client.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	defaultCallTimeout  = 2 * time.Second
-	defaultDialTimeout  = time.Second
-	defaultMaxIdle      = 64
-	defaultMaxLineBytes = 64 << 10
-	maxControlBytes     = 1 << 20
-	finishCancelled     = "cancelled"
+	defaultCallTimeout      = 2 * time.Second
+	defaultDialTimeout      = time.Second
+	defaultMaxIdleConns     = 64
+	defaultMaxLineBytes     = 64 << 10
+	maxControlResponseBytes = 1 << 20
+	finishCancelled         = "cancelled"
 )
 
 // ErrCancelled reports that the engine ended a completion because of a cancel.
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("engine answered status %d: %s", e.Status, e.Detail)
 }
 
-// Config sets up an HTTP client for an engine.
+// Config configures a client.
 type Config struct {
 	// URL is the engine's base address, for instance http://127.0.0.1:8000.
 	URL string
@@ -57,7 +57,7 @@
 	MaxLineBytes int
 }
 
-// Client is an Engine behind the engine's Client protocol.
+// Client is the HTTP client of an engine. It implements Engine.
 type Client struct {
 	base         string
 	callTimeout  time.Duration
@@ -82,7 +82,7 @@
 		maxLineBytes: orDefault(c.MaxLineBytes, defaultMaxLineBytes),
 		client: oneshot.New(oneshot.Config{
 			DialTimeout:  orDefault(c.DialTimeout, defaultDialTimeout),
-			MaxIdleConns: orDefault(c.MaxIdleConns, defaultMaxIdle),
+			MaxIdleConns: orDefault(c.MaxIdleConns, defaultMaxIdleConns),
 		}),
 	}, nil
 }
@@ -120,7 +120,7 @@
 	return readStream(response.Body, h.maxLineBytes, emit)
 }
 
-// post sends a request once.
+// post sends a request with a JSON body, without retries.
 func (h *Client) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -142,11 +142,11 @@
 	return response, errors.Wrapf(err, "%s %s", method, path)
 }
 
-// statusError reads an error answer. The engine's word that it did not start
-// the request is taken.
+// statusError converts an error response. If the engine reports that it did not
+// start the request, the error is a *NotStartedError.
 func statusError(response *http.Response) error {
 	var body ErrorBody
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxControlBytes))
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxControlResponseBytes))
 	if json.Unmarshal(text, &body) != nil {
 		body = ErrorBody{Error: http.StatusText(response.StatusCode)}
 	}
@@ -157,7 +157,8 @@
 	return err
 }
 
-// call sends a control request and decodes the answer unless into is nil.
+// call sends a request other than a completion, bounded by the call timeout, and
+// decodes the response unless into is nil.
 func (h *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.callTimeout)
 	defer cancel()
@@ -172,7 +173,7 @@
 	if into == nil {
 		return nil
 	}
-	decoder := json.NewDecoder(io.LimitReader(response.Body, maxControlBytes))
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxControlResponseBytes))
 	return errors.Wrapf(decoder.Decode(into), "answer to %s %s", method, path)
 }
 
@@ -215,12 +216,12 @@
 func (h *Client) Order(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
-		return errors.Wrap(err, "order")
+		return errors.Wrap(err, "encode order")
 	}
 	return h.call(ctx, http.MethodPost, PathOrders, body, nil)
 }
 
-// State returns what the engine's orders have led to.
+// State returns the engine's state.
 func (h *Client) State(ctx context.Context) (State, error) {
 	var state State
 	err := h.call(ctx, http.MethodGet, PathState, nil, &state)
--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -1,4 +1,5 @@
-// Package engine is the agent's client for the model engine on its host.
+// Package engine implements the agent's HTTP clients for a model engine on its host:
+// one for completions, and one for the expert maps of a rank.
 package engine
 
 import (
@@ -8,15 +9,15 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Request is one completion for the engine.
+// Request is a completion request.
 type Request struct {
 	Attempt   id.Attempt
 	Model     string
 	Prompt    string
 	MaxTokens int
-	// Priority orders work at the engine; greater values run first.
+	// Priority orders requests at the engine; greater values run first.
 	Priority int
-	// Epoch is the fencing number of the order. Some engines refuse old ones.
+	// Epoch is a fencing token. Some engines refuse old ones.
 	Epoch uint64
 }
 
@@ -33,18 +34,18 @@
 	FinishReason string
 }
 
-// Load is the engine's own, lagging load report.
+// Load is the load that the engine reported at an earlier time.
 type Load struct {
 	Running      int           `json:"running"`
 	Waiting      int           `json:"waiting"`
 	CachedBlocks int           `json:"cached_blocks"`
 	StepTime     time.Duration `json:"step_time"`
 	Slots        int           `json:"slots"`
-	// Age is the time since the engine took the report.
+	// Age is the time since the engine measured the load.
 	Age time.Duration `json:"age"`
 }
 
-// CacheEvent tells that the engine stored or evicted a block of a prompt prefix.
+// CacheEvent reports that the engine stored or evicted a block of a prompt prefix.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Block   uint64 `json:"block"`
@@ -52,7 +53,7 @@
 	Cleared bool   `json:"cleared,omitempty"`
 }
 
-// NotStartedError reports that the engine did not start a request, with certainty.
+// NotStartedError reports that the engine certainly did not start a request.
 type NotStartedError struct{ Cause error }
 
 func (e *NotStartedError) Error() string {
@@ -65,8 +66,8 @@
 // Engine runs completions. Implementations are safe for concurrent use.
 type Engine interface {
 	// Run streams a completion to emit and blocks until it ends. It never
-	// repeats a request. The error is a *NotStartedError only if no byte of the
-	// request can have reached the engine, or if the engine said so.
+	// retries a request. The error is a *NotStartedError only if no byte of the
+	// request can have reached the engine, or if the engine reported it.
 	Run(ctx context.Context, r Request, emit func(Token) error) (Usage, error)
 	// Pause takes a running completion out of the batch and keeps its progress.
 	Pause(ctx context.Context, attempt id.Attempt) error
@@ -74,8 +75,9 @@
 	Resume(ctx context.Context, attempt id.Attempt) error
 	// Cancel ends a completion.
 	Cancel(ctx context.Context, attempt id.Attempt) error
-	// Load returns the lagging load report.
+	// Load returns the engine's last load report.
 	Load(ctx context.Context) (Load, error)
-	// CacheEvents returns events after a sequence number, late and possibly with gaps.
+	// CacheEvents returns the events after a sequence number. They come late and may
+	// have gaps.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 }
--- a/agent/engine/protocol.go
+++ b/agent/engine/protocol.go
@@ -16,11 +16,11 @@
 	PathState       = "/v1/state"
 )
 
-// StreamEnd is the data of the last server-sent event of a complete stream.
+// StreamEnd is the data of the last event of a complete stream.
 const StreamEnd = "[DONE]"
 
-// CompletionRequest is the body of a completion call. Attempt, Priority and
-// Epoch extend the usual form.
+// CompletionRequest is the body of a completion request. Attempt, Priority and
+// Epoch extend the common completions API.
 type CompletionRequest struct {
 	Model     string     `json:"model"`
 	Prompt    string     `json:"prompt"`
@@ -38,14 +38,14 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// CompletionUsage counts tokens in the usual form.
+// CompletionUsage holds the token counts of a completion.
 type CompletionUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// Chunk is the data of one server-sent event, and the whole answer if the
+// Chunk is the data of one server-sent event, or the whole response if the
 // completion is not streamed. The last chunk carries Usage and a finish reason.
 type Chunk struct {
 	ID      string           `json:"id"`
@@ -58,14 +58,14 @@
 	return len(c.Choices) == 1 && c.Choices[0].FinishReason == "" && c.Usage == nil
 }
 
-// ErrorBody is the body of an answer with an error status.
+// ErrorBody is the body of a response with an error status.
 type ErrorBody struct {
 	Error string `json:"error"`
 	// NotStarted is true if the engine did not and will not run the request.
 	NotStarted bool `json:"not_started,omitempty"`
 }
 
-// OrderKind tells what an order changes.
+// OrderKind is the kind of change that an order makes.
 type OrderKind string
 
 const (
@@ -75,15 +75,15 @@
 	OrderRole OrderKind = "role"
 	// OrderMap sets the expert map version for all later steps.
 	OrderMap OrderKind = "map"
-	// OrderSteps permits the steps From to Through on a map version. Only
-	// engines that wait for permits need it.
+	// OrderSteps permits the steps From to Through on a map version. Only engines
+	// that wait for permission need it.
 	OrderSteps OrderKind = "steps"
 )
 
-// Order tells the engine to change its state.
+// Order changes the state of the engine.
 type Order struct {
 	Kind OrderKind `json:"kind"`
-	// Epoch is the fencing number of the order.
+	// Epoch is the fencing token of the order.
 	Epoch   uint64 `json:"epoch"`
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
@@ -94,9 +94,9 @@
 	Through    uint64 `json:"through,omitempty"`
 }
 
-// State is what the engine's orders have led to.
+// State is the engine's state after the orders it has carried out.
 type State struct {
-	// Epoch is the greatest fencing number seen.
+	// Epoch is the greatest fencing token seen.
 	Epoch uint64 `json:"epoch"`
 	// Models maps the names of loaded models and adapters to their version.
 	Models     map[string]string `json:"models"`
@@ -106,7 +106,7 @@
 	Step uint64 `json:"step"`
 }
 
-// LoadBody is the load report as the engine sends it. Durations are in microseconds.
+// LoadBody is the body of a load report. Durations are in microseconds.
 type LoadBody struct {
 	Running      int   `json:"running"`
 	Waiting      int   `json:"waiting"`
@@ -116,7 +116,7 @@
 	Age          int64 `json:"age_us"`
 }
 
-// Load converts the body.
+// Load returns the report with typed durations.
 func (b LoadBody) Load() Load {
 	return Load{
 		Running:      b.Running,
--- a/agent/engine/rank.go
+++ b/agent/engine/rank.go
@@ -12,22 +12,22 @@
 	"github.com/siskinford/siskinford/balance/lockstep"
 )
 
-// Paths of the interface of one rank's engine. Bodies are JSON.
+// Paths of the HTTP API of one rank's engine. Bodies are JSON.
 const (
 	// PathRankState returns a lockstep.EngineState.
 	PathRankState = "/rank/state"
-	// PathRankOrder takes a lockstep.EngineOrder.
+	// PathRankOrder accepts a lockstep.EngineOrder.
 	PathRankOrder = "/rank/order"
-	// PathRankWeights takes a groupmsg.Weights.
+	// PathRankWeights accepts a groupmsg.Weights.
 	PathRankWeights = "/rank/weights"
 	// PathRankLayouts returns a groupmsg.Layout. The map version is appended.
 	PathRankLayouts = "/rank/layouts/"
-	// PathRankLoads returns a groupmsg.Loads, and takes it out of the engine's counts.
+	// PathRankLoads returns a groupmsg.Loads and resets the engine's counters.
 	PathRankLoads = "/rank/loads/take"
 )
 
-// RankClient is the client of one rank's engine. It implements rank.Engine and is
-// safe for concurrent use.
+// RankClient is the HTTP client of one rank's engine. It implements rank.Engine and
+// is safe for concurrent use.
 type RankClient struct{ http *Client }
 
 // NewRankClient returns a client of the engine at the base URL in c.
@@ -73,7 +73,7 @@
 func (r *RankClient) post(ctx context.Context, path string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return errors.Wrapf(err, "body for %s", path)
+		return errors.Wrapf(err, "encode body for %s", path)
 	}
 	return r.http.call(ctx, http.MethodPost, path, data, nil)
 }
--- a/agent/engine/stream.go
+++ b/agent/engine/stream.go
@@ -15,11 +15,11 @@
 	emit     func(Token) error
 	usage    Usage
 	finished bool
-	form     chunkForm
+	template chunkTemplate
 }
 
-// readStream emits the tokens of a stream. Only a stream with a finish reason
-// and its last event is complete.
+// readStream emits the tokens of a stream. A stream is complete only if it has a
+// finish reason and ends with StreamEnd.
 func readStream(body io.Reader, maxLineBytes int, emit func(Token) error) (Usage, error) {
 	reader := streamReader{emit: emit}
 	lines := bufio.NewScanner(body)
@@ -29,37 +29,37 @@
 		if !ok {
 			continue
 		}
-		end, err := reader.event(bytes.TrimSpace(data))
+		end, err := reader.handleEvent(bytes.TrimSpace(data))
 		if end || err != nil {
 			return reader.usage, err
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return reader.usage, incomplete(err)
+		return reader.usage, wrapIncomplete(err)
 	}
 	return reader.usage, ErrIncomplete
 }
 
-// event handles the data of one event and reports whether it was the last.
-func (s *streamReader) event(data []byte) (end bool, err error) {
+// handleEvent processes the data of one event and reports whether it was the last.
+func (s *streamReader) handleEvent(data []byte) (end bool, err error) {
 	if string(data) == StreamEnd {
 		return true, s.result()
 	}
-	if text, ok := s.form.text(data); ok {
-		return false, s.text(string(text))
+	if text, ok := s.template.match(data); ok {
+		return false, s.emitText(string(text))
 	}
-	return false, s.decode(data)
+	return false, s.handleChunk(data)
 }
 
-// decode handles a chunk of any form.
-func (s *streamReader) decode(data []byte) error {
+// handleChunk decodes a chunk that does not match the template.
+func (s *streamReader) handleChunk(data []byte) error {
 	var chunk Chunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return incomplete(err)
+		return wrapIncomplete(err)
 	}
-	s.form = chunkForm{}
+	s.template = chunkTemplate{}
 	if chunk.isText() {
-		s.form.learn(data, chunk.Choices[0].Text)
+		s.template.set(data, chunk.Choices[0].Text)
 	}
 	if chunk.Usage != nil {
 		s.usage.PromptTokens = chunk.Usage.PromptTokens
@@ -67,22 +67,22 @@
 		s.usage.CachedTokens = chunk.Usage.CachedTokens
 	}
 	for _, choice := range chunk.Choices {
-		if err := s.choice(choice); err != nil {
+		if err := s.handleChoice(choice); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *streamReader) choice(c Choice) error {
+func (s *streamReader) handleChoice(c Choice) error {
 	if c.FinishReason != "" {
 		s.finished = true
 		s.usage.FinishReason = c.FinishReason
 	}
-	return s.text(c.Text)
+	return s.emitText(c.Text)
 }
 
-func (s *streamReader) text(text string) error {
+func (s *streamReader) emitText(text string) error {
 	if text == "" {
 		return nil
 	}
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// incomplete states the cause for which a stream is incomplete.
-func incomplete(cause error) error {
+// wrapIncomplete returns ErrIncomplete with its cause.
+func wrapIncomplete(cause error) error {
 	return fmt.Errorf("%w: %w", ErrIncomplete, cause)
 }
