--- a/agent/oneshot/conn.go
+++ b/agent/oneshot/conn.go
@@ -9,21 +9,20 @@
 
 var errSealed = errors.New("connection carries no more requests")
 
-// sealedConn is a connection that knows what was written to it and can be
-// sealed against later writes.
-type sealedConn struct {
+// sealableConn counts the bytes written to a connection and can reject later writes.
+type sealableConn struct {
 	net.Conn
 
 	// mu is a leaf lock. It is not held during a write.
 	mu      sync.Mutex
-	written int64 // bytes taken by the operating system
+	written int64 // bytes accepted by the operating system
 	writing int   // writes in progress
 	sealed  bool
 }
 
 // Write implements net.Conn.
-func (c *sealedConn) Write(data []byte) (int, error) {
-	if !c.begin() {
+func (c *sealableConn) Write(data []byte) (int, error) {
+	if !c.beginWrite() {
 		return 0, errSealed
 	}
 	n, err := c.Conn.Write(data)
@@ -34,7 +33,7 @@
 	return n, err
 }
 
-func (c *sealedConn) begin() bool {
+func (c *sealableConn) beginWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -44,32 +43,32 @@
 	return true
 }
 
-func (c *sealedConn) position() int64 {
+func (c *sealableConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal refuses all later writes and closes the connection if nothing was or is
-// being written since the position. It reports whether that is so.
-func (c *sealedConn) seal(position int64) bool {
+// sealIfUnused rejects all later writes and closes the connection if no write has
+// begun since the given number of bytes was written. It reports whether it did so.
+func (c *sealableConn) sealIfUnused(written int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writing > 0 || c.written != position {
+	if c.writing > 0 || c.written != written {
 		return false
 	}
 	c.sealed = true
-	_ = c.Conn.Close() // The connection is unusable either way.
+	_ = c.Conn.Close() // The connection cannot be used any more even if Close fails.
 	return true
 }
 
-// dialSealed wraps the connections of a dialer.
-func dialSealed(dialer *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
+// dialSealable returns a dial function that wraps the dialer's connections.
+func dialSealable(dialer *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &sealedConn{Conn: conn}, nil
+		return &sealableConn{Conn: conn}, nil
 	}
 }
--- a/agent/oneshot/conn_test.go
+++ b/agent/oneshot/conn_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSealedConn(t *testing.T) {
+func TestSealableConn(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	conn := &sealedConn{Conn: near}
+	conn := &sealableConn{Conn: near}
 
 	// A pipe's write ends only with the read, so the write is in progress after one byte.
 	done := make(chan error, 1)
@@ -22,14 +22,14 @@
 	}()
 	_, err := io.ReadFull(far, make([]byte, 1))
 	assert.NilError(t, err)
-	assert.Assert(t, !conn.seal(0), "sealed during a write")
+	assert.Assert(t, !conn.sealIfUnused(0), "sealed during a write")
 	_, err = io.ReadFull(far, make([]byte, 1))
 	assert.NilError(t, err)
 	assert.NilError(t, <-done)
 
-	assert.Assert(t, !conn.seal(0), "sealed although two bytes were written")
-	assert.Equal(t, conn.position(), int64(2))
-	assert.Assert(t, conn.seal(2))
+	assert.Assert(t, !conn.sealIfUnused(0), "sealed although two bytes were written")
+	assert.Equal(t, conn.bytesWritten(), int64(2))
+	assert.Assert(t, conn.sealIfUnused(2))
 	_, err = conn.Write([]byte("c"))
 	assert.Assert(t, errors.Is(err, errSealed), "%v", err)
 }
--- a/agent/oneshot/oneshot.go
+++ b/agent/oneshot/oneshot.go
@@ -7,9 +7,9 @@
 // if the request has no body or its body can be rewound by GetBody. The
 // standard client also sends a request again after a redirect. This package
 // gives each request a body without GetBody, follows no redirect, speaks only
-// HTTP/1, and reports whether a request can have been sent: it counts the bytes
-// written to a connection, and refuses later writes before it says that there
-// was none.
+// HTTP/1, and reports whether any byte of a failed request may have been sent: it
+// counts the bytes written to a connection, and rejects later writes to it before
+// it reports that there were none.
 package oneshot
 
 import (
@@ -24,18 +24,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// idleTimeout closes idle connections before servers usually do, which keeps
-// requests from failing on connections that are being closed.
+// idleTimeout is shorter than the idle timeout of most servers, so that requests
+// rarely fail on a connection that the server is closing.
 const idleTimeout = 15 * time.Second
 
-// Config sets up a Client.
+// Config configures a Client.
 type Config struct {
 	// DialTimeout bounds the time to connect.
 	DialTimeout time.Duration
 	// MaxIdleConns bounds the idle connections that are kept. A negative value
 	// keeps none, so that each request uses a fresh connection.
 	MaxIdleConns int
-	// MaxHeaderBytes bounds the header of an answer. Default as in net/http.
+	// MaxHeaderBytes bounds the header of a response. Default as in net/http.
 	MaxHeaderBytes int64
 }
 
@@ -44,13 +44,13 @@
 	transport *http.Transport
 }
 
-// notSentError reports that no byte of a request has left.
+// notSentError reports that no byte of a request was sent.
 type notSentError struct{ cause error }
 
 func (e *notSentError) Error() string { return fmt.Sprintf("request was not sent: %v", e.cause) }
 func (e *notSentError) Unwrap() error { return e.cause }
 
-// NotSent reports whether err is certain that no byte of the request has left.
+// NotSent reports whether err guarantees that no byte of the request was sent.
 func NotSent(err error) bool {
 	var notSent *notSentError
 	return errors.As(err, &notSent)
@@ -62,7 +62,7 @@
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &Client{transport: &http.Transport{
-		DialContext:            dialSealed(dialer),
+		DialContext:            dialSealable(dialer),
 		DisableCompression:     true,
 		DisableKeepAlives:      c.MaxIdleConns < 0,
 		MaxIdleConns:           max(c.MaxIdleConns, 0),
@@ -76,35 +76,35 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// use is the connection that the transport took for a request, and how much
-// was written to it before.
-type use struct {
-	conn     *sealedConn
-	position int64
+// connUse is the connection that the transport chose for a request, with the number
+// of bytes written to it before.
+type connUse struct {
+	conn    *sealableConn
+	written int64
 }
 
-// Do sends the request once and returns the answer, redirects included.
+// Do sends the request once and returns the response, which may be a redirect.
 func (c *Client) Do(r *http.Request) (*http.Response, error) {
-	var used atomic.Pointer[use]
+	var used atomic.Pointer[connUse]
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		conn := info.Conn.(*sealedConn)
-		used.Store(&use{conn: conn, position: conn.position()})
+		conn := info.Conn.(*sealableConn)
+		used.Store(&connUse{conn: conn, written: conn.bytesWritten()})
 	}}
 	r = r.WithContext(httptrace.WithClientTrace(r.Context(), trace))
-	protect(r)
+	preventRewind(r)
 	response, err := c.transport.RoundTrip(r)
 	if err == nil {
 		return response, nil
 	}
-	if u := used.Load(); u != nil && !u.conn.seal(u.position) {
+	if u := used.Load(); u != nil && !u.conn.sealIfUnused(u.written) {
 		return nil, err
 	}
 	return nil, &notSentError{cause: err}
 }
 
-// protect gives the request a body that the transport cannot rewind. An empty
-// body keeps a request from being treated as one without a body.
-func protect(r *http.Request) {
+// preventRewind gives the request a body that the transport cannot rewind. A request
+// without a body gets an empty one, since the transport may send it again otherwise.
+func preventRewind(r *http.Request) {
 	r.GetBody = nil
 	if r.Body == nil || r.Body == http.NoBody {
 		r.Body = emptyBody{}
@@ -112,7 +112,8 @@
 	}
 }
 
-// emptyBody is an empty body that the transport does not recognise as such.
+// emptyBody is an empty body that, unlike http.NoBody, the transport does not
+// recognise as empty.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
--- a/agent/oneshot/oneshot_test.go
+++ b/agent/oneshot/oneshot_test.go
@@ -18,14 +18,14 @@
 	"github.com/siskinford/siskinford/agent/oneshot"
 )
 
-// notCut is no request's number.
-const notCut = 0
+// neverCut makes a cutServer answer all requests, which are counted from 1.
+const neverCut = 0
 
-// cutServer answers the first request and cuts its connection at the second
-// one. It counts the requests that reached it, whole or in part.
+// cutServer closes its first connection at request cutAt, by calling cut, and answers
+// all other requests. It counts the requests that reached it, complete or in part.
 type cutServer struct {
 	listener net.Listener
-	cutAt    int // request of the first connection
+	cutAt    int // number of a request on the first connection
 	cut      func(conn net.Conn, reader *bufio.Reader)
 	seen     atomic.Int64
 	conns    sync.WaitGroup
@@ -54,7 +54,7 @@
 	}
 }
 
-// serve answers all requests but the second of the first connection.
+// serve answers all requests but number cutAt of the first connection.
 func (s *cutServer) serve(conn net.Conn, first bool) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -94,8 +94,8 @@
 	_ = conn.(*net.TCPConn).SetLinger(0)
 }
 
-// sendTwice sends a request twice over a kept-alive connection and returns the
-// number of requests that the server saw and the error of the second one.
+// sendTwice sends a request twice over a kept-alive connection. It returns the number
+// of requests that the server received and the error of the second one.
 func sendTwice(t *testing.T, s *cutServer, send func(*http.Request) (*http.Response, error), build func(url string) *http.Request) (int64, error) {
 	t.Helper()
 	url := "http://" + s.listener.Addr().String() + "/tags"
@@ -172,8 +172,8 @@
 	assert.Assert(t, oneshot.NotSent(err), "%v", err)
 }
 
-// A request that fails between the choice of a connection and the first write
-// was not sent, and must not be sent afterwards.
+// TestNotSentOnReusedConnection checks that a request that fails between the choice
+// of a connection and the first write is not sent afterwards.
 func TestNotSentOnReusedConnection(t *testing.T) {
 	const rounds = 200
 	faults := map[string]func(conn net.Conn, cancel func()){
@@ -182,27 +182,27 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			server := startCutServer(t, notCut, cutAfterRead)
+			server := startCutServer(t, neverCut, cutAfterRead)
 			client := oneshot.New(oneshot.Config{DialTimeout: time.Second, MaxIdleConns: 4})
-			certain := int64(0)
+			notSent := int64(0)
 			for range rounds {
 				_, err := sendOnce(t, client, server, nil)
 				assert.NilError(t, err)
-				certain += countNotSent(t, client, server, fault)
+				notSent += countNotSent(t, client, server, fault)
 			}
 			client.Close()
 			_ = server.listener.Close()
 			server.conns.Wait()
-			sent := int64(rounds) + (rounds - certain)
+			sent := int64(rounds) + (rounds - notSent)
 			assert.Assert(t, server.seen.Load() <= sent, "%d requests arrived, %d can have been sent", server.seen.Load(), sent)
 			if name == "connection closed" {
-				assert.Equal(t, certain, int64(rounds))
+				assert.Equal(t, notSent, int64(rounds))
 			}
 		})
 	}
 }
 
-// sendOnce sends a request with a hook for the chosen connection.
+// sendOnce sends a request and calls gotConn with the chosen connection.
 func sendOnce(t *testing.T, client *oneshot.Client, s *cutServer, gotConn func(net.Conn, func())) (*http.Response, error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -222,7 +222,7 @@
 	return response, response.Body.Close()
 }
 
-// countNotSent returns 1 if a request with a fault is certain not to have been sent.
+// countNotSent sends a request with a fault and returns 1 if it was reported as not sent.
 func countNotSent(t *testing.T, client *oneshot.Client, s *cutServer, fault func(net.Conn, func())) int64 {
 	t.Helper()
 	_, err := sendOnce(t, client, s, fault)
