--- a/agent/plain/plain.go
+++ b/agent/plain/plain.go
@@ -1,4 +1,5 @@
-// Package plain forwards requests to the plain service on the agent's host.
+// Package plain forwards requests to the plain HTTP service on the agent's host. Like a
+// reverse proxy, it drops hop-by-hop header fields, but it never retries.
 package plain
 
 import (
@@ -27,17 +28,17 @@
 	copyBufferBytes       = 32 << 10
 )
 
-// Config sets up a Client.
+// Config configures a Client.
 type Config struct {
 	// URL is the service's base address, for instance http://127.0.0.1:8080.
 	URL string
 	// DialTimeout bounds the time to connect. Default 1 s.
 	DialTimeout time.Duration
-	// MaxHeaderBytes bounds the header of a request and of an answer. Default 64 KiB.
+	// MaxHeaderBytes bounds the header of a request and of a response. Default 64 KiB.
 	MaxHeaderBytes int
 	// MaxBodyBytes bounds the body of a request. Default 4 MiB.
 	MaxBodyBytes int
-	// MaxAnswerBytes bounds the body of an answer. Default 64 MiB.
+	// MaxAnswerBytes bounds the body of a response. Default 64 MiB.
 	MaxAnswerBytes int64
 	// MaxIdleConns bounds the idle connections that are kept. A negative value
 	// uses a fresh connection for each request. Default 64.
@@ -54,7 +55,7 @@
 // Unwrap returns the cause.
 func (e *NotStartedError) Unwrap() error { return e.Cause }
 
-// LimitError reports a message beyond its bound.
+// LimitError reports that a part of a message exceeds its limit.
 type LimitError struct {
 	Part  string
 	Limit int64
@@ -62,14 +63,14 @@
 
 func (e *LimitError) Error() string { return fmt.Sprintf("%s exceeds %d bytes", e.Part, e.Limit) }
 
-// Writer receives an answer. Head is called once, before any Write. The agent
-// calls both from the goroutine that called Do; both may block.
+// Writer receives a response. Head is called once, before any Write. Both are called
+// from the goroutine that called Do, and may block.
 type Writer interface {
 	Head(head msg.Head) error
 	io.Writer
 }
 
-// Client forwards requests and never repeats one. It is safe for concurrent use.
+// Client forwards requests without retries. It is safe for concurrent use.
 type Client struct {
 	config Config
 	base   *url.URL
@@ -109,12 +110,12 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.client.Close() }
 
-// Do sends the request once and streams the answer to w. The error is a
-// *NotStartedError only if no byte of the request can have left.
+// Do sends the request once and streams the response to w. The error is a
+// *NotStartedError only if no byte of the request can have been sent.
 func (c *Client) Do(ctx context.Context, p *msg.Plain, w Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	request, err := c.request(ctx, p)
+	request, err := c.newRequest(ctx, p)
 	if err != nil {
 		return &NotStartedError{Cause: err}
 	}
@@ -126,14 +127,14 @@
 		return errors.Wrapf(err, "%s %s", p.Method, p.Path)
 	}
 	defer response.Body.Close()
-	head := msg.Head{Status: response.StatusCode, Header: answerHeader(response.Header)}
+	head := msg.Head{Status: response.StatusCode, Header: responseHeader(response.Header)}
 	if err := w.Head(head); err != nil {
 		return err
 	}
 	return c.copyBody(w, response.Body)
 }
 
-func (c *Client) request(ctx context.Context, p *msg.Plain) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, p *msg.Plain) (*http.Request, error) {
 	if len(p.Body) > c.config.MaxBodyBytes {
 		return nil, &LimitError{Part: "request body", Limit: int64(c.config.MaxBodyBytes)}
 	}
@@ -165,7 +166,7 @@
 	return total
 }
 
-// copyBody streams the body and reports a longer one than allowed as an error.
+// copyBody streams the body, and fails if it exceeds MaxAnswerBytes.
 func (c *Client) copyBody(w io.Writer, body io.Reader) error {
 	limited := &io.LimitedReader{R: body, N: c.config.MaxAnswerBytes + 1}
 	buffer := make([]byte, copyBufferBytes)
@@ -188,8 +189,8 @@
 	}
 }
 
-// hopByHop lists the header fields that belong to one connection only. Expect
-// is left out of requests because the body is always sent.
+// hopByHop lists the header fields that apply to one connection only. It includes
+// Expect because the body is always sent at once.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Expect":              true,
@@ -217,7 +218,7 @@
 	return header
 }
 
-func answerHeader(header http.Header) []msg.Header {
+func responseHeader(header http.Header) []msg.Header {
 	removeHopByHop(header)
 	var fields []msg.Header
 	for name, values := range header {
@@ -228,8 +229,8 @@
 	return fields
 }
 
-// removeHopByHop removes the fields of one connection, with those that the
-// Connection field names.
+// removeHopByHop removes the hop-by-hop fields, including those that the Connection
+// field lists.
 func removeHopByHop(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/agent/plain/plain_test.go
+++ b/agent/plain/plain_test.go
@@ -16,7 +16,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// recorder is a plain.Writer that keeps the answer.
+// recorder is a plain.Writer that records the response.
 type recorder struct {
 	head msg.Head
 	body bytes.Buffer
@@ -110,7 +110,7 @@
 	assert.Equal(t, runs, 0)
 }
 
-func TestAnswerBeyondItsBoundIsAnError(t *testing.T) {
+func TestResponseAboveItsLimitIsAnError(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Long", r.URL.Query().Get("header"))
 		_, _ = w.Write(make([]byte, 10+len(r.URL.Query().Get("more"))))
