--- a/agent/ranklink/config.go
+++ b/agent/ranklink/config.go
@@ -15,15 +15,15 @@
 
 // Config describes the ranks of one host.
 type Config struct {
-	// Group is the group that the ranks belong to. Default: none, and no ranks.
+	// Group is the group of the ranks. Default: none, and no ranks.
 	Group id.Group
 	// Ranks are the indices of the ranks in the group, separated by commas.
 	Ranks string
 	// URLs are the base URLs of the ranks' engines in the same order, separated by commas.
 	URLs string
-	// Tick is the time between readings of the engines. Default: 100 ms.
+	// Tick is the interval at which the engines are reconciled. Default: 100 ms.
 	Tick time.Duration
-	// EngineTimeout bounds one pass over an engine. Default: 1 s.
+	// EngineTimeout bounds all engine calls of one tick or order. Default: 1 s.
 	EngineTimeout time.Duration
 	// LoadInterval is the time between reports of the experts' loads. Default: 30 s.
 	LoadInterval time.Duration
@@ -53,7 +53,7 @@
 		}
 		return l
 	}
-	ranks, urls := split(c.Ranks), split(c.URLs)
+	ranks, urls := splitList(c.Ranks), splitList(c.URLs)
 	if len(ranks) == 0 {
 		l.Addf("ranks", "is not set")
 	}
@@ -83,7 +83,7 @@
 	return l
 }
 
-func split(list string) []string {
+func splitList(list string) []string {
 	if list == "" {
 		return nil
 	}
@@ -93,9 +93,9 @@
 // LocalRanks returns the configured ranks with clients of their engines. The
 // configuration must be valid.
 func (c Config) LocalRanks() ([]rank.LocalRank, error) {
-	urls := split(c.URLs)
+	urls := splitList(c.URLs)
 	var out []rank.LocalRank
-	for i, text := range split(c.Ranks) {
+	for i, text := range splitList(c.Ranks) {
 		index, err := strconv.Atoi(text)
 		if err != nil {
 			return nil, err
@@ -112,7 +112,7 @@
 // loadTicks returns the number of ticks between two load reports.
 func (c Config) loadTicks() int { return max(1, int(c.LoadInterval/c.Tick)) }
 
-// Open returns a runner of the configured ranks in one incarnation of the agent.
+// Open returns a runner of the configured ranks, with an HTTP client for each engine.
 // The configuration must be valid.
 func Open(c Config, inc id.Incarnation, r timeline.Recorder) (*Runner, error) {
 	locals, err := c.LocalRanks()
--- a/agent/ranklink/ranklink.go
+++ b/agent/ranklink/ranklink.go
@@ -1,6 +1,6 @@
-// Package ranklink connects the ranks of an agent's host with the coordinators
-// of their group: it takes orders from the sessions of entries, drives the ranks
-// at an interval and sends their status to every entry that has asked.
+// Package ranklink connects the ranks of an agent's host with the coordinators of their
+// group: it queues the orders that entries send over their links, reconciles the ranks
+// periodically and sends their status to all subscribed entries.
 package ranklink
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// maxPending bounds the orders of one rank that wait for its engine. The
+// maxPendingOrders bounds the orders of one rank that wait for its engine. The
 // coordinator repeats those that are dropped.
-const maxPending = 32
+const maxPendingOrders = 32
 
-// EventRefused tells that an order came from a peer that is not an entry.
+// EventRefused is recorded when an order comes from a peer that is not an entry.
 const EventRefused timeline.Kind = "rank.refused"
 
 var (
@@ -36,36 +36,37 @@
 
 // Runner runs the ranks of one host. It is safe for concurrent use.
 type Runner struct {
-	config   Config
-	recorder timeline.Recorder
-	agent    *rank.Controller
-	// pending holds the orders that wait, by rank.
-	pending map[int]chan groupmsg.Order
+	config     Config
+	recorder   timeline.Recorder
+	controller *rank.Controller
+	// pendingOrders holds the queued orders by rank index. It is not changed after New.
+	pendingOrders map[int]chan groupmsg.Order
 
 	// mu is a leaf lock.
 	mu sync.Mutex
-	// sessions holds the ID of the first order of each session.
-	sessions map[*link.Session]uint64
+	// subscribers holds the ID of each session's first order, under which statuses
+	// are sent.
+	subscribers map[*link.Session]uint64
 }
 
-// New returns a runner of the given ranks. Run must be called for it to work.
+// New returns a runner of the given ranks. Orders are processed while Run runs.
 func New(c Config, ranks rank.Config) *Runner {
-	r := &Runner{config: c, recorder: ranks.Recorder, pending: map[int]chan groupmsg.Order{}, sessions: map[*link.Session]uint64{}}
+	r := &Runner{config: c, recorder: ranks.Recorder, pendingOrders: map[int]chan groupmsg.Order{}, subscribers: map[*link.Session]uint64{}}
 	if r.recorder == nil {
 		r.recorder = timeline.Discard
 	}
-	r.agent = rank.New(ranks, r)
+	r.controller = rank.New(ranks, r)
 	for _, l := range ranks.Ranks {
-		r.pending[l.Index] = make(chan groupmsg.Order, maxPending)
+		r.pendingOrders[l.Index] = make(chan groupmsg.Order, maxPendingOrders)
 	}
 	return r
 }
 
-// Run drives the ranks until ctx ends.
+// Run processes orders and reconciles the ranks until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, orders := range r.pending {
-		wg.Go(func() { r.handle(ctx, orders) })
+	for _, orders := range r.pendingOrders {
+		wg.Go(func() { r.processOrders(ctx, orders) })
 	}
 	ticker := time.NewTicker(r.config.Tick)
 	defer ticker.Stop()
@@ -73,31 +74,32 @@
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-			r.withTimeout(ctx, r.agent.Tick)
+			r.withTimeout(ctx, r.controller.Tick)
 		}
 	}
 	wg.Wait()
 }
 
-func (r *Runner) handle(ctx context.Context, orders <-chan groupmsg.Order) {
+func (r *Runner) processOrders(ctx context.Context, orders <-chan groupmsg.Order) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case o := <-orders:
-			r.withTimeout(ctx, func(ctx context.Context) { r.agent.Handle(ctx, o) })
+			r.withTimeout(ctx, func(ctx context.Context) { r.controller.Handle(ctx, o) })
 		}
 	}
 }
 
-// withTimeout bounds the time for which an engine that does not answer holds up its rank.
+// withTimeout bounds the time for which an unresponsive engine blocks the caller.
 func (r *Runner) withTimeout(ctx context.Context, do func(context.Context)) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.EngineTimeout)
 	defer cancel()
 	do(ctx)
 }
 
-// Order takes an order of a session. It does not block.
+// Order queues an order, or drops it if the queue of its rank is full, and subscribes
+// the session. It does not block.
 func (r *Runner) Order(s *link.Session, o *msg.Order) {
 	if s.Role != keys.RoleEntry {
 		r.recorder.Record(timeline.Event{Kind: EventRefused, Detail: string(s.Role) + " " + string(s.Host)})
@@ -110,7 +112,7 @@
 	if len(o.Group.Payload) == 0 || codec.Unmarshal(o.Group.Payload, &order) != nil {
 		return
 	}
-	orders, ok := r.pending[order.Command.Rank]
+	orders, ok := r.pendingOrders[order.Command.Rank]
 	if !ok {
 		return
 	}
@@ -124,16 +126,16 @@
 func (r *Runner) subscribe(s *link.Session, order uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.sessions[s]; !ok {
-		r.sessions[s] = order
+	if _, ok := r.subscribers[s]; !ok {
+		r.subscribers[s] = order
 	}
 }
 
-// Closed forgets a session that has ended.
+// Closed unsubscribes a session that has ended.
 func (r *Runner) Closed(s *link.Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.sessions, s)
+	delete(r.subscribers, s)
 }
 
 // Send implements rank.Transport.
@@ -144,7 +146,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for session, order := range r.sessions {
+	for session, order := range r.subscribers {
 		messagesSent.Inc()
 		bytesSent.Add(len(payload))
 		session.Reply(&msg.Reply{ID: order, Group: &msg.Group{Payload: payload}})
--- a/agent/ranklink/ranklink_test.go
+++ b/agent/ranklink/ranklink_test.go
@@ -14,7 +14,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-func TestOrdersOfEntriesOnly(t *testing.T) {
+func TestOrderAcceptsOnlyEntries(t *testing.T) {
 	payload, err := codec.Marshal(groupmsg.Order{Group: "g", Command: lockstep.Command{Kind: lockstep.Join, Rank: 3}})
 	assert.NilError(t, err)
 	foreign, err := codec.Marshal(groupmsg.Order{Group: "g", Command: lockstep.Command{Kind: lockstep.Join, Rank: 4}})
@@ -35,22 +35,22 @@
 			r := New(DefaultConfig(), rank.Config{Group: "g", Incarnation: "inc", Ranks: []rank.LocalRank{{Index: 3}}})
 			s := &link.Session{Role: tt.role}
 			r.Order(s, &msg.Order{ID: 1, Group: &msg.Group{Payload: tt.payload}})
-			assert.Equal(t, len(r.pending[3]), tt.orders)
-			assert.Equal(t, len(r.sessions), tt.subscribed)
+			assert.Equal(t, len(r.pendingOrders[3]), tt.orders)
+			assert.Equal(t, len(r.subscribers), tt.subscribed)
 			r.Closed(s)
-			assert.Equal(t, len(r.sessions), 0)
+			assert.Equal(t, len(r.subscribers), 0)
 		})
 	}
 }
 
-// TestFullQueueDropsOrders verifies that orders for an engine that does not answer
-// neither block nor pile up.
+// TestFullQueueDropsOrders checks that orders for an unresponsive engine neither block
+// nor accumulate.
 func TestFullQueueDropsOrders(t *testing.T) {
 	payload, err := codec.Marshal(groupmsg.Order{Group: "g", Command: lockstep.Command{Kind: lockstep.Join, Rank: 3}})
 	assert.NilError(t, err)
 	r := New(DefaultConfig(), rank.Config{Group: "g", Incarnation: "inc", Ranks: []rank.LocalRank{{Index: 3}}})
-	for range 2 * maxPending {
+	for range 2 * maxPendingOrders {
 		r.Order(&link.Session{Role: keys.RoleEntry}, &msg.Order{Group: &msg.Group{Payload: payload}})
 	}
-	assert.Equal(t, len(r.pending[3]), maxPending)
+	assert.Equal(t, len(r.pendingOrders[3]), maxPendingOrders)
 }
