--- a/agent/relay/relay.go
+++ b/agent/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay runs beside an endpoint whose engine is a rank of a group. It
-// samples the rank for the entries that ask and passes their orders on, so that
-// both cost no way over the network.
+// Package relay implements the server that runs on the host of a rank of a group. It
+// polls the rank's engine on behalf of entries and forwards their orders to it, over
+// loopback instead of the network.
 package relay
 
 import (
@@ -16,53 +16,54 @@
 )
 
 const (
-	// callTimeout bounds a question to the engine on the same host.
+	// callTimeout bounds the calls of one poll or order, most of which stay on the host.
 	callTimeout = 500 * time.Millisecond
-	// minInterval bounds the rate at which a client lets the engine be asked.
-	minInterval = 5 * time.Millisecond
-	// repeatLooks is the number of looks after which a state is sent again, within
-	// minRepeat and maxRepeat.
-	repeatLooks = 3
-	minRepeat   = 200 * time.Millisecond
-	maxRepeat   = time.Second
-	// changeTime is the time after an order for which the rank is looked at as
-	// during a change. Changes of maps take 150 ms, most of it to copy weights.
-	changeTime = 500 * time.Millisecond
-	// maxLine bounds a message of an entry. A map of 72 ranks with 12 sets takes 20 KB.
-	maxLine = 1 << 20
-	// writeTimeout ends a connection whose other end no longer reads.
+	// minPollInterval bounds the rate at which an entry may have the engine polled.
+	minPollInterval = 5 * time.Millisecond
+	// resendPolls is the number of polls after which an unchanged state is sent again,
+	// within minResendInterval and maxResendInterval.
+	resendPolls       = 3
+	minResendInterval = 200 * time.Millisecond
+	maxResendInterval = time.Second
+	// changeWindow is the time after an order during which the rank is polled at the
+	// change interval. Changes of maps take 150 ms, most of it to copy weights.
+	changeWindow = 500 * time.Millisecond
+	// maxLineBytes bounds a message from an entry. A map of 72 ranks with 12 sets takes 20 KB.
+	maxLineBytes = 1 << 20
+	// writeTimeout closes a connection whose peer no longer reads.
 	writeTimeout = 2 * time.Second
-	// keepAlive is the time between probes of a silent connection, three of which end it.
-	keepAlive       = time.Second
-	keepAliveProbes = 3
+	// keepAliveInterval is the time between TCP keep-alive probes. A connection is closed
+	// after keepAliveProbes lost ones.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 3
 )
 
-// Server serves entries. Use New.
+// Server serves entries. It must be created by New.
 type Server struct {
 	engine relay.Engine
-	// other returns a client for another rank.
-	other func(address string) relay.Engine
-	// Report is told of what an operator should see. It must not block.
+	// newClient returns a client for the rank at an address.
+	newClient func(address string) relay.Engine
+	// Report logs an event for operators. It must not block.
 	Report func(event string, err error)
 
-	mu     sync.Mutex // leaf lock
-	others map[string]relay.Engine
+	mu      sync.Mutex // leaf lock
+	clients map[string]relay.Engine
 }
 
-// maxOthers bounds the clients that are kept for other ranks. Few are in use: each
+// maxClients bounds the cached clients for other ranks. Few are in use at a time: each
 // lease has one rank that holds steps.
-const maxOthers = 8
+const maxClients = 8
 
-// New returns a server for an engine. Other returns a client for another rank, at which
-// orders are carried out that name its address.
-func New(e relay.Engine, other func(address string) relay.Engine, report func(event string, err error)) *Server {
-	return &Server{engine: e, other: other, others: make(map[string]relay.Engine), Report: report}
+// New returns a server for an engine. Orders with an address are sent through the client
+// that newClient returns for it.
+func New(e relay.Engine, newClient func(address string) relay.Engine, report func(event string, err error)) *Server {
+	return &Server{engine: e, newClient: newClient, clients: make(map[string]relay.Engine), Report: report}
 }
 
 // Listen accepts connections at an address until ctx ends.
 func (s *Server) Listen(ctx context.Context, address string) error {
 	lc := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: keepAlive, Interval: keepAlive, Count: keepAliveProbes,
+		Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes,
 	}}
 	l, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
@@ -88,8 +89,8 @@
 
 	mu sync.Mutex // guards writes
 
-	watch chan relay.Watch
-	// ordered tells the sampler that an order came.
+	watches chan relay.Watch
+	// ordered signals the sampler that an order was received.
 	ordered chan struct{}
 }
 
@@ -99,15 +100,15 @@
 	defer func() { _ = c.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
 	s.Report("entry.connected", nil)
-	x := &session{server: s, conn: c, watch: make(chan relay.Watch, 1), ordered: make(chan struct{}, 1)}
-	go x.sample(ctx)
-	s.Report("entry.disconnected", x.read(ctx))
+	x := &session{server: s, conn: c, watches: make(chan relay.Watch, 1), ordered: make(chan struct{}, 1)}
+	go x.runSampler(ctx)
+	s.Report("entry.disconnected", x.readMessages(ctx))
 }
 
-// read handles messages until the connection ends.
-func (x *session) read(ctx context.Context) error {
+// readMessages handles messages until the connection ends.
+func (x *session) readMessages(ctx context.Context) error {
 	lines := bufio.NewScanner(x.conn)
-	lines.Buffer(make([]byte, 0, 2048), maxLine)
+	lines.Buffer(make([]byte, 0, 2048), maxLineBytes)
 	for lines.Scan() {
 		var m relay.ToRelay
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
@@ -117,54 +118,54 @@
 		case m.Order != nil:
 			select {
 			case x.ordered <- struct{}{}:
-			default: // It was told and has not looked yet.
+			default: // A signal is already pending.
 			}
-			go x.order(ctx, *m.Order)
+			go x.handleOrder(ctx, *m.Order)
 		case m.Watch != nil:
 			select {
-			case <-x.watch: // An earlier one that was not taken yet is replaced.
+			case <-x.watches: // Replace an earlier watch that the sampler has not received.
 			default:
 			}
-			x.watch <- *m.Watch
+			x.watches <- *m.Watch
 		}
 	}
 	return lines.Err()
 }
 
-func (x *session) order(ctx context.Context, o relay.Order) {
+func (x *session) handleOrder(ctx context.Context, o relay.Order) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	r := x.server.carryOut(ctx, o)
+	r := x.server.execute(ctx, o)
 	r.ID = o.ID
 	x.send(relay.FromRelay{Result: &r})
 }
 
-func (s *Server) carryOut(ctx context.Context, o relay.Order) relay.Result {
+func (s *Server) execute(ctx context.Context, o relay.Order) relay.Result {
 	switch {
 	case o.Op == relay.Ping:
 		return relay.Result{Outcome: relay.Done}
 	case o.Address != "":
-		return s.at(o.Address).Order(ctx, o)
+		return s.clientFor(o.Address).Order(ctx, o)
 	}
 	return s.engine.Order(ctx, o)
 }
 
-// at returns the client for another rank.
-func (s *Server) at(address string) relay.Engine {
+// clientFor returns the cached client for an address, or a new one.
+func (s *Server) clientFor(address string) relay.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.others[address]; e != nil {
+	if e := s.clients[address]; e != nil {
 		return e
 	}
-	if len(s.others) >= maxOthers {
-		clear(s.others)
+	if len(s.clients) >= maxClients {
+		clear(s.clients)
 	}
-	e := s.other(address)
-	s.others[address] = e
+	e := s.newClient(address)
+	s.clients[address] = e
 	return e
 }
 
-// send writes one line. A connection that cannot be written to is closed.
+// send writes a message as one line, and closes the connection if that fails.
 func (x *session) send(m relay.FromRelay) {
 	line, err := json.Marshal(m)
 	if err != nil {
--- a/agent/relay/relay_test.go
+++ b/agent/relay/relay_test.go
@@ -17,71 +17,71 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// engine is a rank that a test moves.
-type engine struct {
+// fakeEngine is a rank whose state the test sets.
+type fakeEngine struct {
 	mu     sync.Mutex
 	state  relay.State
 	counts relay.Counts
 	err    error
 	orders []relay.Order
 	// other is the rank at any other address.
-	other *engine
-	// counted is the number of times that the counts were asked for.
-	counted int
+	other *fakeEngine
+	// countsCalls is the number of calls of Counts.
+	countsCalls int
 }
 
-// awaitCounts waits until the counts were asked for n times.
-func (e *engine) awaitCounts(t *testing.T, n int) {
+// awaitCounts waits until Counts was called n times.
+func (e *fakeEngine) awaitCounts(t *testing.T, n int) {
 	t.Helper()
-	asked := 0
-	for end := time.Now().Add(3 * time.Second); asked < n; time.Sleep(5 * time.Millisecond) {
-		e.set(func() { asked = e.counted })
+	calls := 0
+	for end := time.Now().Add(3 * time.Second); calls < n; time.Sleep(5 * time.Millisecond) {
+		e.set(func() { calls = e.countsCalls })
 		if time.Now().After(end) {
-			t.Fatalf("the counts were asked for %d times", asked)
+			t.Fatalf("Counts was called %d times", calls)
 		}
 	}
 }
 
-func (e *engine) set(change func()) {
+func (e *fakeEngine) set(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-func (e *engine) State(context.Context) (relay.State, error) {
+func (e *fakeEngine) State(context.Context) (relay.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state, e.err
 }
 
-func (e *engine) Counts(context.Context) (relay.Counts, error) {
+func (e *fakeEngine) Counts(context.Context) (relay.Counts, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counted++
+	e.countsCalls++
 	return e.counts, e.err
 }
 
-func (e *engine) Layout(context.Context) (relay.Layout, error) {
+func (e *fakeEngine) Layout(context.Context) (relay.Layout, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return relay.Layout{Epoch: e.state.Epoch, Version: e.state.Map, Experts: [][]int{{0, 1}}}, e.err
 }
 
-func (e *engine) Order(_ context.Context, o relay.Order) relay.Result {
+func (e *fakeEngine) Order(_ context.Context, o relay.Order) relay.Result {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
 	return relay.Result{Outcome: relay.Done, Detail: string(o.Op)}
 }
 
-// entry is a connection of an entry to the relay.
-type entry struct {
+// entryConn is the connection of an entry to the relay.
+type entryConn struct {
 	t     *testing.T
 	conn  net.Conn
 	lines *bufio.Scanner
 }
 
-func connect(t *testing.T, e *engine) *entry {
+func connect(t *testing.T, e *fakeEngine) *entryConn {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -105,16 +105,16 @@
 	}
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	return &entry{t: t, conn: conn, lines: bufio.NewScanner(conn)}
+	return &entryConn{t: t, conn: conn, lines: bufio.NewScanner(conn)}
 }
 
-func (x *entry) send(m relay.ToRelay) {
+func (x *entryConn) send(m relay.ToRelay) {
 	x.t.Helper()
 	assert.NilError(x.t, json.NewEncoder(x.conn).Encode(m))
 }
 
 // next returns the next message for which ok is true.
-func (x *entry) next(what string, ok func(relay.FromRelay) bool) relay.FromRelay {
+func (x *entryConn) next(name string, ok func(relay.FromRelay) bool) relay.FromRelay {
 	x.t.Helper()
 	assert.NilError(x.t, x.conn.SetReadDeadline(time.Now().Add(3*time.Second)))
 	for x.lines.Scan() {
@@ -124,12 +124,12 @@
 			return m
 		}
 	}
-	x.t.Fatalf("no %s: %v", what, x.lines.Err())
+	x.t.Fatalf("no %s: %v", name, x.lines.Err())
 	return relay.FromRelay{}
 }
 
 func TestStatesAndSamples(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Group: "g", Epoch: 2, Step: 5, Open: true}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10, 20}}}
+	e := &fakeEngine{state: relay.State{Born: 1, Group: "g", Epoch: 2, Step: 5, Open: true}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10, 20}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
@@ -146,10 +146,10 @@
 	assert.DeepEqual(t, sample.Levels, []byte{relay.Level(0), relay.Level(64)})
 }
 
-// TestRestartedRankIsNoSample names the pattern "a rank begins anew": its counts
-// are smaller than those before, or of another run.
-func TestRestartedRankIsNoSample(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
+// TestNoSampleAcrossRankRestart checks that counts from before and after a restart of
+// the rank, which resets them, are not subtracted from each other.
+func TestNoSampleAcrossRankRestart(t *testing.T) {
+	e := &fakeEngine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
@@ -168,10 +168,10 @@
 	assert.Equal(t, sample.From, uint64(1))
 }
 
-// TestLooksAreCloserAfterAnOrder: outside of changes few states are sent, and what an
-// order does is told soon.
-func TestLooksAreCloserAfterAnOrder(t *testing.T) {
-	e := &engine{state: relay.State{Step: 5}}
+// TestPollsAtChangeIntervalAfterOrder checks that the effects of an order are reported at
+// the change interval, and that polling slows down again after the change window.
+func TestPollsAtChangeIntervalAfterOrder(t *testing.T) {
+	e := &fakeEngine{state: relay.State{Step: 5}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 60000, ChangeMillis: 10}})
 	x.next("state", func(m relay.FromRelay) bool { return m.State != nil })
@@ -179,26 +179,26 @@
 	x.next("result", func(m relay.FromRelay) bool { return m.Result != nil })
 	e.set(func() { e.state.Prepared = 3 })
 	x.next("state of the change", func(m relay.FromRelay) bool { return m.State != nil && m.State.Prepared == 3 })
-	time.Sleep(changeTime)
+	time.Sleep(changeWindow)
 	e.set(func() { e.state.Step = 9 })
 	assert.NilError(t, x.conn.SetReadDeadline(time.Now().Add(300*time.Millisecond)))
 	for x.lines.Scan() {
-		assert.Assert(t, !strings.Contains(x.lines.Text(), `"step":9`), "looked at as during a change")
+		assert.Assert(t, !strings.Contains(x.lines.Text(), `"step":9`), "still polled at the change interval")
 	}
 }
 
-// TestSamplesAfterAPauseBeginAnew: what was counted while nobody asked is of an older demand.
-func TestSamplesAfterAPauseBeginAnew(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
+// TestNoSampleAcrossSamplingPause guards against counting the demand before sampling resumed.
+func TestNoSampleAcrossSamplingPause(t *testing.T) {
+	e := &fakeEngine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
 	x := connect(t, e)
-	asked := &relay.Watch{StateMillis: 10, SampleMillis: 10}
-	x.send(relay.ToRelay{Watch: asked})
+	sampling := &relay.Watch{StateMillis: 10, SampleMillis: 10}
+	x.send(relay.ToRelay{Watch: sampling})
 	e.awaitCounts(t, 1)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10}})
 	time.Sleep(50 * time.Millisecond)
 	e.set(func() { e.state.Step, e.counts = 90, relay.Counts{Step: 90, Epoch: 2, Tokens: []uint64{1000}} })
 	x.next("state", func(m relay.FromRelay) bool { return m.State != nil && m.State.Step == 90 })
-	x.send(relay.ToRelay{Watch: asked})
+	x.send(relay.ToRelay{Watch: sampling})
 	e.awaitCounts(t, 2)
 	e.set(func() { e.state.Step, e.counts = 91, relay.Counts{Step: 91, Epoch: 2, Tokens: []uint64{1002}} })
 	sample := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil }).Sample
@@ -206,50 +206,50 @@
 	assert.DeepEqual(t, sample.Levels, []byte{relay.Level(2)})
 }
 
-// TestOrdersDoNotKeepFromLooking names the pattern "orders that come faster than looks".
-func TestOrdersDoNotKeepFromLooking(t *testing.T) {
-	e := &engine{state: relay.State{Step: 5}}
+// TestFrequentOrdersDoNotPreventPolls guards against orders that keep restarting the poll timer.
+func TestFrequentOrdersDoNotPreventPolls(t *testing.T) {
+	e := &fakeEngine{state: relay.State{Step: 5}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 60, ChangeMillis: 50}})
 	x.next("state", func(m relay.FromRelay) bool { return m.State != nil })
 	e.set(func() { e.state.Step = 9 })
-	told := false
-	for n := uint64(1); n <= 40 && !told; n++ {
+	polled := false
+	for n := uint64(1); n <= 40 && !polled; n++ {
 		x.send(relay.ToRelay{Order: &relay.Order{ID: n, Op: relay.Release, Step: 3}})
 		m := x.next("message", func(relay.FromRelay) bool { return true })
-		told = m.State != nil && m.State.Step == 9
+		polled = m.State != nil && m.State.Step == 9
 		time.Sleep(5 * time.Millisecond)
 	}
-	assert.Assert(t, told, "no look in 200 ms of orders")
+	assert.Assert(t, polled, "no poll in 200 ms of orders")
 }
 
-// TestLookIsOneMessage: each message wakes the entry.
-func TestLookIsOneMessage(t *testing.T) {
-	e := &engine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{1}}}
+// TestPollResultIsOneMessage guards against waking the entry more than once per poll.
+func TestPollResultIsOneMessage(t *testing.T) {
+	e := &fakeEngine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{1}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
-	first := x.next("look", func(relay.FromRelay) bool { return true })
+	first := x.next("poll result", func(relay.FromRelay) bool { return true })
 	assert.Assert(t, first.Layout != nil && first.State != nil)
 	e.set(func() { e.state.Step, e.counts = 9, relay.Counts{Step: 9, Epoch: 2, Tokens: []uint64{3}} })
-	look := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil })
-	assert.Assert(t, look.State != nil && look.State.Step == 9)
+	message := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil })
+	assert.Assert(t, message.State != nil && message.State.Step == 9)
 }
 
-// TestStandingStateIsRepeated lets an entry tell a standing group from a silent relay.
-func TestStandingStateIsRepeated(t *testing.T) {
-	x := connect(t, &engine{state: relay.State{Step: 5}})
+// TestUnchangedStateIsResent checks that a stopped group differs from a silent relay.
+func TestUnchangedStateIsResent(t *testing.T) {
+	x := connect(t, &fakeEngine{state: relay.State{Step: 5}})
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 20}})
 	began := time.Now()
 	for range 3 {
 		x.next("state", func(m relay.FromRelay) bool { return m.State != nil })
 	}
-	assert.Assert(t, time.Since(began) >= 2*minRepeat)
-	assert.Assert(t, time.Since(began) < 4*maxRepeat)
+	assert.Assert(t, time.Since(began) >= 2*minResendInterval)
+	assert.Assert(t, time.Since(began) < 4*maxResendInterval)
 }
 
 func TestOrders(t *testing.T) {
-	e := &engine{}
+	e := &fakeEngine{}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Order: &relay.Order{ID: 7, Op: relay.Hold, Step: 12}})
 	r := x.next("result", func(m relay.FromRelay) bool { return m.Result != nil }).Result
@@ -257,9 +257,10 @@
 	e.set(func() { assert.Equal(t, e.orders[0].Step, uint64(12)) })
 }
 
-// TestOrderForAnotherRank: it is carried out there, and a ping reaches no rank at all.
-func TestOrderForAnotherRank(t *testing.T) {
-	e := &engine{other: &engine{}}
+// TestOrderForOtherRankAndPing checks that an order goes to the rank at its address, and a
+// ping to none.
+func TestOrderForOtherRankAndPing(t *testing.T) {
+	e := &fakeEngine{other: &fakeEngine{}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Order: &relay.Order{ID: 1, Op: relay.Hold, Endpoint: "b", Address: "127.0.0.1:1", Step: 12}})
 	x.next("result", func(m relay.FromRelay) bool { return m.Result != nil && m.Result.Outcome == relay.Done })
@@ -273,11 +274,11 @@
 	})
 }
 
-func TestUnreachableRankIsToldOnce(t *testing.T) {
-	e := &engine{err: errors.New("connection refused")}
+func TestUnreachableRankIsReportedOnce(t *testing.T) {
+	e := &fakeEngine{err: errors.New("connection refused")}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10}})
-	x.next("word of it", func(m relay.FromRelay) bool { return m.Unreachable != "" })
+	x.next("unreachable message", func(m relay.FromRelay) bool { return m.Unreachable != "" })
 	time.Sleep(100 * time.Millisecond)
 	e.set(func() { e.err = nil })
 	x.next("state", func(m relay.FromRelay) bool {
@@ -286,8 +287,8 @@
 	})
 }
 
-func TestMessageThatCannotBeReadEndsTheConnection(t *testing.T) {
-	x := connect(t, &engine{})
+func TestInvalidMessageClosesConnection(t *testing.T) {
+	x := connect(t, &fakeEngine{})
 	_, err := x.conn.Write([]byte("{\n"))
 	assert.NilError(t, err)
 	assert.NilError(t, x.conn.SetReadDeadline(time.Now().Add(3*time.Second)))
