--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -77,7 +77,6 @@
 	Cancel(ctx context.Context, attempt id.Attempt) error
 	// Load returns the engine's last load report.
 	Load(ctx context.Context) (Load, error)
-	// CacheEvents returns the events after a sequence number. They come late and may
-	// have gaps.
+	// CacheEvents returns events after a sequence number, late and possibly with gaps.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 }
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -1,6 +1,5 @@
-// Package ledger records the attempts that one agent incarnation receives, with
-// their responses, and deduplicates them: each attempt and each action starts at
-// most once.
+// Package ledger records the attempts of one agent incarnation with their responses,
+// and ensures that each attempt and each action starts at most once.
 package ledger
 
 import (
@@ -236,8 +235,7 @@
 	return true
 }
 
-// MarkNotStarted tombstones a started attempt that certainly did not reach the
-// back end.
+// MarkNotStarted tombstones a started attempt of which the back end received nothing.
 func (l *Ledger) MarkNotStarted(attempt id.Attempt, refusal msg.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/queue/class.go
+++ b/agent/queue/class.go
@@ -84,8 +84,7 @@
 	return e
 }
 
-// popOldest removes the entry that has waited longest and charges its team. The
-// class must not be empty.
+// popOldest is like pop for the entry that has waited longest.
 func (c *class) popOldest() *entry {
 	e := c.oldest()
 	c.charge(e)
--- a/agent/queue/heap.go
+++ b/agent/queue/heap.go
@@ -29,8 +29,7 @@
 
 const notInHeap = -1
 
-// entryHeap is a heap that stores in each entry its index, so that any entry can
-// be removed.
+// entryHeap is a heap that keeps each entry's index, so that any entry can be removed.
 type entryHeap struct {
 	kind    heapKind
 	entries []*entry
--- a/agent/queue/queue_test.go
+++ b/agent/queue/queue_test.go
@@ -143,8 +143,7 @@
 	m.Fatalf("attempt %q is not active", attempt)
 }
 
-// checkSlots verifies the limits of the batch and that no slot stays idle while work
-// that may use it waits.
+// checkSlots verifies the limits of the batch and that no slot is idle that waiting work may use.
 func (m *model) checkSlots() {
 	running, long, paused := 0, 0, 0
 	for _, a := range m.active {
