--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -1,5 +1,5 @@
-// Package gate is the agent of one endpoint: the only way to the model engine or
-// plain service on its host. It answers the orders of entries.
+// Package gate implements the agent of one endpoint: it queues the requests that entries
+// dispatch and is the only client of the model engine or plain service on its host.
 package gate
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/siskinford/siskinford/wire/link"
 )
 
-// Config describes one agent.
+// Config configures an Agent.
 type Config struct {
-	// Endpoint is the name of the endpoint as configured by the operators. Required.
+	// Endpoint is the name of the endpoint in the operators' configuration. Required.
 	Endpoint id.Endpoint
 	// Host is the name of this machine. Required.
 	Host id.Host
@@ -27,16 +27,16 @@
 	MaxQueue int
 	// QueuePolicy is the order in which waiting attempts start. Default: short-first.
 	QueuePolicy QueuePolicy
-	// TicketLifetime is how long a ticket may be used. It must not exceed the
-	// ledger's retention of actions. Default: 15 min.
+	// TicketLifetime is how long a ticket is valid. It must not exceed
+	// Ledger.ActionRetention. Default: 15 min.
 	TicketLifetime time.Duration
-	// ReportInterval is the shortest time between load reports to one entry. Default: 250 ms.
+	// ReportInterval is the minimum interval of load reports to one entry. Default: 250 ms.
 	ReportInterval time.Duration
-	// EnginePoll is the time between readings of the engine's load. Default: 100 ms.
+	// EnginePoll is the interval at which the engine's load is polled. Default: 100 ms.
 	EnginePoll time.Duration
-	// Ledger bounds the record of attempts.
+	// Ledger configures the ledger of attempts.
 	Ledger ledger.Config
-	// Link bounds the connections of entries.
+	// Link configures the connections from entries.
 	Link link.Config
 }
 
--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -21,38 +21,37 @@
 	"github.com/siskinford/siskinford/wire/ticket"
 )
 
-// housekeepingInterval is the time between passes over queue and ledger.
+// housekeepingInterval bounds the delay with which queue deadlines take effect.
 const housekeepingInterval = 20 * time.Millisecond
 
 // PlainBackend runs HTTP requests at a plain service.
 type PlainBackend interface {
-	// Do forwards p and blocks until the answer has ended. It never repeats a
-	// request. The error is a *plain.NotStartedError only if no byte of the
-	// request can have reached the service.
+	// Do forwards p without retries and blocks until the response has ended. The
+	// error is a *plain.NotStartedError only if no byte of the request can have
+	// reached the service.
 	Do(ctx context.Context, p *msg.Plain, w plain.Writer) error
 }
 
-// Deps are the parts that an agent works with. Exactly one of Engine and Plain is set.
+// Deps are the dependencies of an agent. Exactly one of Engine and Plain is set.
 type Deps struct {
 	Engine engine.Engine
 	Plain  PlainBackend
 	Keys   *keys.Ring
 	Ring   *timeline.Ring
 	Log    zerolog.Logger
-	// Incarnation is that of the process. Default: a new one.
+	// Incarnation identifies this run of the process. Default: a new one.
 	Incarnation id.Incarnation
-	// Ranks runs the ranks on the host, if there are any.
+	// Ranks controls the ranks on the host. It is nil if there are none.
 	Ranks Ranks
 }
 
-// Ranks is the part of the host's ranks that the agent serves. It is implemented
-// by *ranklink.Runner.
+// Ranks controls the ranks on the host. It is implemented by *ranklink.Runner.
 type Ranks interface {
-	// Order takes an order with Group set. It must not block.
+	// Order handles an order with Group set. It must not block.
 	Order(s *link.Session, o *msg.Order)
-	// Closed tells that a session has ended. It must not block.
+	// Closed is called when a session has ended. It must not block.
 	Closed(s *link.Session)
-	// Run drives the ranks until ctx ends.
+	// Run controls the ranks until ctx ends.
 	Run(ctx context.Context)
 }
 
@@ -66,24 +65,24 @@
 	server      *link.Server
 	operator    operatorServer
 	now         func() time.Time
-	awake       *pauseClock
+	ledgerClock *pauseClock
 
-	ctx     context.Context // ends when running attempts are cut off
+	ctx     context.Context // cancelled when shutdown cuts off running attempts
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 	reports reporter
 
 	// mu is taken before the ledger's lock.
-	mu       sync.Mutex
-	queue    queue.Queue
-	waiting  map[id.Attempt]*msg.Dispatch
-	running  map[id.Attempt]*run
-	draining bool
-	drainSet uint64 // version of the last obeyed DrainOrder
-	leaving  bool   // set by shutdown, never cleared
+	mu           sync.Mutex
+	queue        queue.Queue
+	waiting      map[id.Attempt]*msg.Dispatch
+	running      map[id.Attempt]*run
+	draining     bool
+	drainVersion uint64 // version of the last applied DrainOrder
+	shuttingDown bool   // never cleared
 }
 
-// Reload reads the key material again.
+// Reload reloads the TLS keys and certificates.
 func (a *Agent) Reload() error { return a.deps.Keys.Reload() }
 
 // run is one attempt that was handed to the back end.
@@ -92,8 +91,8 @@
 	cancel   context.CancelFunc
 	produced atomic.Uint32 // tokens
 	paused   bool          // guarded by Agent.mu
-	// orders is closed when the last order to pause or resume was carried out.
-	orders chan struct{}
+	// lastOrderDone is closed when the engine has completed the last pause or resume.
+	lastOrderDone chan struct{}
 }
 
 // remaining returns the predicted number of tokens left.
@@ -105,7 +104,7 @@
 	return r.dispatch.Work - produced
 }
 
-// New returns an agent with a new incarnation. Start must be called to serve.
+// New returns an agent. Start must be called to serve.
 func New(c Config, d Deps) (*Agent, error) {
 	if err := c.Validate().Err(); err != nil {
 		return nil, err
@@ -115,7 +114,7 @@
 	}
 	c.Link.Clock = d.Ring.Clock()
 	now := monotonicClock()
-	awake := newPauseClock(now)
+	ledgerClock := newPauseClock(now)
 	inc := d.Incarnation
 	if inc == "" {
 		inc = id.NewIncarnation()
@@ -125,10 +124,10 @@
 		config:      c,
 		deps:        d,
 		incarnation: inc,
-		ledger:      ledger.New(c.Ledger, awake.read),
+		ledger:      ledger.New(c.Ledger, ledgerClock.read),
 		tickets:     ticket.NewIssuer(c.Endpoint, inc, c.TicketLifetime, now),
 		now:         now,
-		awake:       awake,
+		ledgerClock: ledgerClock,
 		ctx:         ctx,
 		cancel:      cancel,
 		queue:       newQueue(c),
@@ -139,14 +138,14 @@
 	return a, nil
 }
 
-// monotonicClock returns a clock that starts at the wall time and then advances
-// steadily, also when the wall clock is set back.
+// monotonicClock returns a clock that starts at the wall time and is not affected by
+// later changes of the wall clock.
 func monotonicClock() func() time.Time {
 	start := time.Now()
 	return func() time.Time { return start.Add(time.Since(start)) }
 }
 
-// Start listens for entries and begins to serve.
+// Start starts listening and serving.
 func (a *Agent) Start() error {
 	server, err := link.Listen(a.config.Listen, a.deps.Keys.Server(keys.RoleEntry), a.config.Link, (*handler)(a))
 	if err != nil {
@@ -158,7 +157,7 @@
 		return err
 	}
 	a.wg.Go(a.housekeeping)
-	a.wg.Go(func() { a.reports.poll(a.ctx) })
+	a.wg.Go(func() { a.reports.run(a.ctx) })
 	if a.deps.Ranks != nil {
 		a.wg.Go(func() { a.deps.Ranks.Run(a.ctx) })
 	}
@@ -170,20 +169,20 @@
 // Address returns the UDP address on which the agent listens.
 func (a *Agent) Address() string { return a.server.Address() }
 
-// Incarnation returns the incarnation of this agent.
+// Incarnation returns the agent's incarnation.
 func (a *Agent) Incarnation() id.Incarnation { return a.incarnation }
 
-// Unsettled returns the number of attempts that wait or run.
+// Unsettled returns the number of waiting and running attempts.
 func (a *Agent) Unsettled() int { return a.ledger.Unsettled() }
 
-// Shutdown refuses new work, waits for all attempts in flight and closes the
-// listener. When ctx ends first, running attempts are cut off and reported as such.
+// Shutdown refuses new work, waits for all attempts in flight and closes the listener.
+// If ctx ends first, it cancels running attempts and returns an error.
 func (a *Agent) Shutdown(ctx context.Context) error {
 	a.mu.Lock()
-	a.leaving = true
+	a.shuttingDown = true
 	a.mu.Unlock()
 	a.record(timeline.Event{Kind: "agent.draining", Detail: "shutdown"})
-	a.reports.changed()
+	a.reports.reportNow()
 	err := a.awaitIdle(ctx)
 	a.cancel()
 	_ = a.awaitCancelled()
@@ -194,11 +193,11 @@
 	return err
 }
 
-// cancelWait bounds the time that cancelled attempts have to record their end.
-const cancelWait = time.Second
+// cancelTimeout bounds the time for cancelled attempts to record their end.
+const cancelTimeout = time.Second
 
 func (a *Agent) awaitCancelled() error {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelWait)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	return a.awaitIdle(ctx)
 }
@@ -216,14 +215,14 @@
 	return nil
 }
 
-// setDrain obeys an operator's drain state if version is greater than the last one obeyed.
+// setDrain applies an operator's drain state if its version is newer than the last one.
 func (a *Agent) setDrain(drain bool, version uint64) {
 	a.mu.Lock()
-	if version <= a.drainSet {
+	if version <= a.drainVersion {
 		a.mu.Unlock()
 		return
 	}
-	a.drainSet = version
+	a.drainVersion = version
 	changed := a.draining != drain
 	a.draining = drain
 	a.mu.Unlock()
@@ -235,13 +234,13 @@
 		kind = "agent.draining"
 	}
 	a.record(timeline.Event{Kind: kind, Detail: "configuration"})
-	a.reports.changed()
+	a.reports.reportNow()
 }
 
-// refusesNew reports whether new work is refused. The caller holds a.mu.
-func (a *Agent) refusesNew() bool { return a.draining || a.leaving }
+// rejectsNewWork reports whether new work is refused. The caller holds a.mu.
+func (a *Agent) rejectsNewWork() bool { return a.draining || a.shuttingDown }
 
-// housekeeping removes what has expired until the agent stops.
+// housekeeping schedules attempts and expires ledger records until the agent stops.
 func (a *Agent) housekeeping() {
 	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
@@ -252,7 +251,7 @@
 			return
 		case <-ticker.C:
 		}
-		a.awake.tick()
+		a.ledgerClock.tick()
 		a.reschedule()
 		if a.now().Sub(lastExpire) > time.Second {
 			lastExpire = a.now()
--- a/agent/gate/handler.go
+++ b/agent/gate/handler.go
@@ -14,7 +14,7 @@
 	"github.com/siskinford/siskinford/wire/ticket"
 )
 
-// handler answers the orders of entries.
+// handler handles the orders of entries.
 type handler Agent
 
 // Incarnation implements link.Handler.
@@ -58,7 +58,7 @@
 	}
 }
 
-// sink sends the frames of an attempt as replies to one order.
+// sink sends the frames of a response as replies to one order.
 type sink struct {
 	session *link.Session
 	order   uint64
@@ -82,9 +82,9 @@
 	to.refuse(d.Attempt, refusal)
 }
 
-// admit puts a dispatch into the queue or joins it to a known attempt.
+// admit queues a dispatch or joins it to a recorded attempt.
 func (a *Agent) admit(d *msg.Dispatch, to sink) *msg.Refusal {
-	if refusal := a.check(d); refusal != nil {
+	if refusal := a.validate(d); refusal != nil {
 		return refusal
 	}
 	attempt := ledger.Attempt{ID: d.Attempt, Action: d.Action, Team: d.Team, PayloadHash: d.PayloadHash}
@@ -100,8 +100,8 @@
 	return refusal
 }
 
-// refuseNew refuses an attempt that is not known while no new work is taken. A
-// refused action is recorded, so that no other attempt of it runs. The caller
+// refuseNew refuses an unrecorded attempt while the agent rejects new work or the queue
+// is full. A refused action is recorded, so that no other attempt of it runs. The caller
 // holds a.mu.
 func (a *Agent) refuseNew(attempt ledger.Attempt) *msg.Refusal {
 	if a.ledger.Known(attempt) {
@@ -109,7 +109,7 @@
 	}
 	var refusal *msg.Refusal
 	switch {
-	case a.refusesNew():
+	case a.rejectsNewWork():
 		refusal = &msg.Refusal{Code: msg.CodeDraining, Detail: "the endpoint takes no new work"}
 	case a.queue.Len() >= a.config.MaxQueue:
 		refusal = &msg.Refusal{Code: msg.CodeQueueFull, Detail: fmt.Sprintf("%d attempts wait", a.queue.Len())}
@@ -122,8 +122,8 @@
 	return refusal
 }
 
-// check verifies that the dispatch is meant for this incarnation and well formed.
-func (a *Agent) check(d *msg.Dispatch) *msg.Refusal {
+// validate checks that a dispatch is well formed and addressed to this incarnation.
+func (a *Agent) validate(d *msg.Dispatch) *msg.Refusal {
 	switch {
 	case d.Incarnation != a.incarnation:
 		return &msg.Refusal{Code: msg.CodeIncarnation, Detail: "the agent was restarted"}
@@ -161,8 +161,8 @@
 	a.ledger.Attach(attempt, o.From, to)
 }
 
-// withdraw tombstones an attempt before its start. Afterwards it is cancelled
-// unless it is a non-idempotent action, which runs to its end.
+// withdraw tombstones an attempt that has not started. A started one is cancelled unless
+// it is a non-idempotent action, which always completes.
 func (a *Agent) withdraw(o *msg.Withdraw) *msg.Verdict {
 	v := &msg.Verdict{Incarnation: a.incarnation, Attempt: o.Attempt, Outcome: outcome.Unknown}
 	if o.Incarnation != a.incarnation {
@@ -191,8 +191,8 @@
 	return v
 }
 
-// withdrawnOutcome returns what is known of the action of a withdrawn attempt
-// over all its attempts. An action that is not recorded may still be tried again.
+// withdrawnOutcome returns the outcome of a withdrawn attempt, or of its action over all
+// its attempts. An action that is not recorded may still be attempted again.
 func (a *Agent) withdrawnOutcome(o *msg.Withdraw) outcome.Outcome {
 	if o.Action == "" {
 		return outcome.NotRun
@@ -202,7 +202,7 @@
 
 func (a *Agent) issueTicket(o *msg.TicketOrder) *msg.Ticket {
 	a.mu.Lock()
-	refuses := a.refusesNew()
+	refuses := a.rejectsNewWork()
 	a.mu.Unlock()
 	if refuses {
 		return &msg.Ticket{Refused: &msg.Refusal{Code: msg.CodeDraining, Detail: "the endpoint takes no new work"}}
@@ -214,7 +214,7 @@
 	return &msg.Ticket{Ticket: text, ExpiresUnixMS: claims.ExpiresUnixMS}
 }
 
-// inquire reports what is known of an action of this incarnation.
+// inquire returns the state and outcome of an action of this incarnation.
 func (a *Agent) inquire(o *msg.Inquire) *msg.Verdict {
 	if o.Incarnation != a.incarnation {
 		return &msg.Verdict{Incarnation: a.incarnation, State: msg.StateUnknown, Outcome: outcome.Unknown}
@@ -224,7 +224,7 @@
 	return &v
 }
 
-// maxEvents bounds the events of one answer.
+// maxEvents bounds the events of one reply.
 const maxEvents = 5000
 
 func (a *Agent) events(o *msg.EventsOrder) *msg.Events {
--- a/agent/gate/operator.go
+++ b/agent/gate/operator.go
@@ -12,10 +12,10 @@
 	"github.com/siskinford/siskinford/core/ops"
 )
 
-// operatorTimeout bounds the time in which an operator's request arrives.
-const operatorTimeout = 5 * time.Second
+// operatorHeaderTimeout bounds the time to read the header of an operator's request.
+const operatorHeaderTimeout = 5 * time.Second
 
-// operatorServer serves health, readiness and metrics of the agent.
+// operatorServer serves the agent's health, readiness and metrics.
 type operatorServer struct {
 	listener net.Listener
 	server   *http.Server
@@ -29,8 +29,8 @@
 	set := metrics.NewSet()
 	set.NewGauge("siskinford_attempts_unsettled", func() float64 { return float64(a.Unsettled()) })
 	r := chi.NewRouter()
-	ops.Routes(r, set, a.unready)
-	a.operator = operatorServer{listener: listener, server: &http.Server{Handler: r, ReadHeaderTimeout: operatorTimeout}}
+	ops.Routes(r, set, a.unreadyReason)
+	a.operator = operatorServer{listener: listener, server: &http.Server{Handler: r, ReadHeaderTimeout: operatorHeaderTimeout}}
 	a.wg.Go(func() { _ = a.operator.server.Serve(listener) })
 	return nil
 }
@@ -38,11 +38,11 @@
 // OperatorAddress returns the TCP address for operators.
 func (a *Agent) OperatorAddress() string { return a.operator.listener.Addr().String() }
 
-// unready returns why the agent takes no new work, or the empty text.
-func (a *Agent) unready() string {
+// unreadyReason returns why the agent rejects new work, or "".
+func (a *Agent) unreadyReason() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.refusesNew() {
+	if a.rejectsNewWork() {
 		return "draining"
 	}
 	return ""
--- a/agent/gate/pause_test.go
+++ b/agent/gate/pause_test.go
@@ -10,28 +10,28 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-type frames struct{ last *msg.Frame }
+type frameSink struct{ last *msg.Frame }
 
-func (f *frames) Frame(frame *msg.Frame) { f.last = frame }
+func (f *frameSink) Frame(frame *msg.Frame) { f.last = frame }
 
-// TestTombstoneOutlivesPause checks that a dispatch that waited through a pause
-// of the agent is refused after its attempt was said to be not run.
+// TestTombstoneOutlivesPause guards against running an attempt that was reported as not
+// run, when its dispatch is read only after a suspension of the agent.
 func TestTombstoneOutlivesPause(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	clock := newPauseClock(func() time.Time { return now })
 	l := ledger.New(ledger.DefaultConfig(), clock.read)
 	attempt := ledger.Attempt{ID: "a1"}
-	var told frames
-	l.Attach(attempt, 0, &told)
-	assert.Equal(t, told.last.Refused.Code, msg.CodeUnknownAttempt)
+	var sink frameSink
+	l.Attach(attempt, 0, &sink)
+	assert.Equal(t, sink.last.Refused.Code, msg.CodeUnknownAttempt)
 	now = now.Add(time.Hour)
 	clock.tick()
 	l.Expire()
-	admission, _ := l.Admit(attempt, &frames{})
+	admission, _ := l.Admit(attempt, &frameSink{})
 	assert.Equal(t, admission, ledger.AdmissionRefused)
 }
 
-func TestPauseClockRunsWithItsTicks(t *testing.T) {
+func TestPauseClockExcludesTimeBetweenDistantTicks(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	start := now
 	clock := newPauseClock(func() time.Time { return now })
--- a/agent/gate/report.go
+++ b/agent/gate/report.go
@@ -12,17 +12,17 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// reporter sends load reports to the entries that subscribed. Reports serve as heartbeats.
+// reporter sends load reports to subscribed entries. Reports serve as heartbeats.
 type reporter struct {
 	agent *Agent
 	wake  chan struct{}
 
-	// mu is taken after Agent.mu is released, never while it is held.
+	// mu must not be held together with Agent.mu.
 	mu          sync.Mutex
 	subscribers map[*link.Session]subscriber
 	seq         uint64
 	load        engine.Load
-	loadAt      time.Time
+	loadReadAt  time.Time
 	healthy     bool
 	// events are the engine's latest cache events, oldest first.
 	events []msg.CacheEvent
@@ -32,14 +32,14 @@
 	order    uint64
 	interval time.Duration
 	next     time.Time
-	// cacheSeq is the last cache event that was sent.
+	// cacheSeq is the sequence number of the last cache event sent.
 	cacheSeq uint64
-	// introduced is true once a report named endpoint and incarnation.
-	introduced bool
+	// identified is true once a report with endpoint and incarnation was sent.
+	identified bool
 }
 
 const (
-	// maxCacheEvents bounds the cache events that are kept for subscribers.
+	// maxCacheEvents bounds the cache events stored for subscribers.
 	maxCacheEvents = 4096
 	// maxReportEvents bounds the cache events of one report.
 	maxReportEvents = 256
@@ -52,13 +52,13 @@
 	r.healthy = true
 }
 
-// add subscribes a session and sends it a first report.
+// add subscribes a session, which gets a first report at once.
 func (r *reporter) add(s *link.Session, o *msg.Order) {
 	interval := time.Duration(o.Reports.Interval) * time.Microsecond
 	r.mu.Lock()
 	r.subscribers[s] = subscriber{order: o.ID, interval: max(interval, r.agent.config.ReportInterval)}
 	r.mu.Unlock()
-	r.changed()
+	r.reportNow()
 }
 
 func (r *reporter) remove(s *link.Session) {
@@ -67,8 +67,8 @@
 	delete(r.subscribers, s)
 }
 
-// changed makes every subscriber receive a report at once.
-func (r *reporter) changed() {
+// reportNow makes run send a report to every subscriber immediately.
+func (r *reporter) reportNow() {
 	r.mu.Lock()
 	for s, sub := range r.subscribers {
 		sub.next = time.Time{}
@@ -81,8 +81,8 @@
 	}
 }
 
-// poll reads the engine's load and sends reports until ctx ends.
-func (r *reporter) poll(ctx context.Context) {
+// run polls the engine and sends reports until ctx ends.
+func (r *reporter) run(ctx context.Context) {
 	ticker := time.NewTicker(r.agent.config.EnginePoll)
 	defer ticker.Stop()
 	for {
@@ -97,7 +97,7 @@
 	}
 }
 
-// readEngine asks the engine for its load and cache events.
+// readEngine reads the engine's load and cache events.
 func (r *reporter) readEngine(ctx context.Context) {
 	e := r.agent.deps.Engine
 	if e == nil {
@@ -106,21 +106,21 @@
 	ctx, cancel := context.WithTimeout(ctx, r.agent.config.EnginePoll*5)
 	defer cancel()
 	load, err := e.Load(ctx)
-	events, eventsErr := e.CacheEvents(ctx, r.lastEvent())
+	events, eventsErr := e.CacheEvents(ctx, r.lastEventSeq())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.healthy = err == nil
 	if err == nil {
 		r.load = load
-		r.loadAt = r.agent.now()
+		r.loadReadAt = r.agent.now()
 	}
 	if eventsErr == nil {
-		r.keep(events)
+		r.storeEvents(events)
 	}
 }
 
-// lastEvent returns the sequence number of the last cache event that was read.
-func (r *reporter) lastEvent() uint64 {
+// lastEventSeq returns the sequence number of the last cache event read.
+func (r *reporter) lastEventSeq() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.events) == 0 {
@@ -129,8 +129,8 @@
 	return r.events[len(r.events)-1].Seq
 }
 
-// keep adds cache events and drops the oldest beyond the bound. The caller holds r.mu.
-func (r *reporter) keep(events []engine.CacheEvent) {
+// storeEvents appends cache events and drops the oldest excess. The caller holds r.mu.
+func (r *reporter) storeEvents(events []engine.CacheEvent) {
 	for _, e := range events {
 		r.events = append(r.events, msg.CacheEvent{Seq: e.Seq, Block: e.Block, Evicted: e.Evicted, Cleared: e.Cleared})
 	}
@@ -146,7 +146,7 @@
 	return slices.Clone(r.events[first:last])
 }
 
-// send sends a report to each subscriber whose interval has passed.
+// send sends a report to each subscriber that is due.
 func (r *reporter) send() {
 	report := r.agent.snapshot()
 	now := r.agent.now()
@@ -156,8 +156,8 @@
 	report.Seq = r.seq
 	report.Healthy = r.healthy
 	report.StepTime = r.load.StepTime.Microseconds()
-	if !r.loadAt.IsZero() {
-		report.EngineLag = (now.Sub(r.loadAt) + r.load.Age).Microseconds()
+	if !r.loadReadAt.IsZero() {
+		report.EngineLag = (now.Sub(r.loadReadAt) + r.load.Age).Microseconds()
 	}
 	for s, sub := range r.subscribers {
 		if now.Before(sub.next) {
@@ -169,23 +169,23 @@
 		if n := len(own.CacheEvents); n > 0 {
 			sub.cacheSeq = own.CacheEvents[n-1].Seq
 		}
-		if sub.introduced {
+		if sub.identified {
 			own.Endpoint, own.Incarnation = "", ""
 		}
-		sub.introduced = true
+		sub.identified = true
 		r.subscribers[s] = sub
 		s.Reply(&msg.Reply{ID: sub.order, Report: &own})
 	}
 }
 
-// snapshot returns the parts of a report that the agent itself knows.
+// snapshot returns a report with the fields that come from the agent's own state.
 func (a *Agent) snapshot() *msg.Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	report := &msg.Report{
 		Endpoint:    a.config.Endpoint,
 		Incarnation: a.incarnation,
-		Draining:    a.refusesNew(),
+		Draining:    a.rejectsNewWork(),
 		Queued:      uint32(a.queue.Len()),
 		Running:     uint32(len(a.running)),
 		Slots:       uint32(a.config.Slots),
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// execute hands an attempt to the back end and records its answer.
+// execute runs an attempt at the back end and records its response.
 func (a *Agent) execute(ctx context.Context, r *run) {
 	d := r.dispatch
 	a.record(timeline.Event{Kind: "attempt.started", Request: d.Request, Attempt: d.Attempt})
@@ -92,26 +92,26 @@
 }
 
 func (a *Agent) runPlain(ctx context.Context, d *msg.Dispatch) error {
-	return a.deps.Plain.Do(ctx, d.Plain, &plainAnswer{agent: a, attempt: d.Attempt})
+	return a.deps.Plain.Do(ctx, d.Plain, &plainResponse{agent: a, attempt: d.Attempt})
 }
 
-// plainAnswer records the answer of a plain service. It implements plain.Writer.
-type plainAnswer struct {
+// plainResponse records the response of a plain service. It implements plain.Writer.
+type plainResponse struct {
 	agent   *Agent
 	attempt id.Attempt
 }
 
-func (p *plainAnswer) Head(h msg.Head) error {
+func (p *plainResponse) Head(h msg.Head) error {
 	p.agent.ledger.Append(p.attempt, msg.Frame{Head: &h})
 	return nil
 }
 
-func (p *plainAnswer) Write(b []byte) (int, error) {
+func (p *plainResponse) Write(b []byte) (int, error) {
 	p.agent.ledger.Append(p.attempt, msg.Frame{Data: bytes.Clone(b)})
 	return len(b), nil
 }
 
-// notStarted reports whether the back end is known to have received nothing.
+// notStarted reports whether err guarantees that the back end received nothing.
 func notStarted(err error) bool {
 	var byEngine *engine.NotStartedError
 	var byPlain *plain.NotStartedError
--- a/agent/gate/schedule.go
+++ b/agent/gate/schedule.go
@@ -16,13 +16,13 @@
 type QueuePolicy string
 
 const (
-	// ShortFirst keeps short work from waiting behind long work.
+	// ShortFirst starts short work first; see queue.ShortFirst.
 	ShortFirst QueuePolicy = "short-first"
 	// FirstInFirstOut starts attempts in order of arrival.
 	FirstInFirstOut QueuePolicy = "fifo"
 )
 
-// newQueue returns the queue that the configuration names.
+// newQueue returns a queue with the configured policy.
 func newQueue(c Config) queue.Queue {
 	settings := queue.Config{Slots: c.Slots, MaxItems: max(c.MaxQueue, 1)}
 	if c.QueuePolicy == FirstInFirstOut {
@@ -31,7 +31,7 @@
 	return queue.NewShortFirst(settings)
 }
 
-// pauseTimeout bounds an order to the engine to pause or resume an attempt.
+// pauseTimeout bounds a call of the engine to pause or resume an attempt.
 const pauseTimeout = 2 * time.Second
 
 // enqueue adds an admitted attempt to the queue. The caller holds a.mu.
@@ -44,23 +44,23 @@
 	if err := a.queue.Push(item, now); err != nil {
 		refusal := msg.Refusal{Code: msg.CodeQueueFull, Detail: err.Error()}
 		a.ledger.Refuse(d.Attempt, refusal)
-		return nil // the ledger has told the sinks
+		return nil // the ledger has sent the refusal to the sinks
 	}
 	a.waiting[d.Attempt] = d
 	a.schedule()
 	return nil
 }
 
-// reschedule lets the queue decide what happens now.
+// reschedule is schedule for callers that do not hold a.mu.
 func (a *Agent) reschedule() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.schedule()
 }
 
-// schedule carries out the decisions of the queue. The caller holds a.mu.
+// schedule applies the decision of the queue. The caller holds a.mu.
 func (a *Agent) schedule() {
-	decision := a.queue.Next(a.now(), a.active())
+	decision := a.queue.Next(a.now(), a.activeAttempts())
 	for _, item := range decision.Expired {
 		a.refuseWaiting(item.Attempt, msg.CodeDeadline, "the attempt did not start in time")
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// active returns the started attempts for the queue. The caller holds a.mu.
-func (a *Agent) active() []queue.Active {
+// activeAttempts returns the started attempts for the queue. The caller holds a.mu.
+func (a *Agent) activeAttempts() []queue.Active {
 	out := make([]queue.Active, 0, len(a.running))
 	for attempt, r := range a.running {
 		out = append(out, queue.Active{Attempt: attempt, Remaining: r.remaining(), Paused: r.paused})
@@ -96,42 +96,42 @@
 	}
 }
 
-// setPaused takes a running attempt out of the engine's batch or puts it back.
-// The order is given on its own goroutine. The caller holds a.mu.
+// setPaused takes a running attempt out of the engine's batch or puts it back. It calls
+// the engine on a new goroutine, after earlier calls for the attempt. The caller holds a.mu.
 func (a *Agent) setPaused(attempt id.Attempt, paused bool) {
 	r, ok := a.running[attempt]
 	if !ok || a.deps.Engine == nil {
 		return
 	}
 	r.paused = paused
-	kind, order := timeline.Kind("attempt.resumed"), a.deps.Engine.Resume
+	kind, call := timeline.Kind("attempt.resumed"), a.deps.Engine.Resume
 	if paused {
-		kind, order = "attempt.paused", a.deps.Engine.Pause
+		kind, call = "attempt.paused", a.deps.Engine.Pause
 	}
 	a.record(timeline.Event{Kind: kind, Request: r.dispatch.Request, Attempt: attempt})
-	previous := r.orders
+	previous := r.lastOrderDone
 	done := make(chan struct{})
-	r.orders = done
+	r.lastOrderDone = done
 	a.wg.Go(func() {
 		defer close(done)
 		if previous != nil {
 			<-previous
 		}
-		a.orderEngine(attempt, paused, order)
+		a.callEngine(attempt, paused, call)
 	})
 }
 
-// orderEngine gives one order. An attempt that could not be paused counts as running.
-func (a *Agent) orderEngine(attempt id.Attempt, paused bool, order func(context.Context, id.Attempt) error) {
+// callEngine pauses or resumes an attempt. After a failed pause it counts as running.
+func (a *Agent) callEngine(attempt id.Attempt, paused bool, call func(context.Context, id.Attempt) error) {
 	ctx, cancel := context.WithTimeout(a.ctx, pauseTimeout)
 	defer cancel()
-	err := order(ctx, attempt)
+	err := call(ctx, attempt)
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
 	a.deps.Log.Warn().Err(err).Str("event", "engine.order_failed").Str("attempt", string(attempt)).Msg("pause or resume failed")
 	if !paused {
-		a.cancelRunning(attempt) // a paused attempt that cannot be resumed would never end
+		a.cancelRunning(attempt) // otherwise it would stay paused and never end
 		return
 	}
 	a.mu.Lock()
