--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -1,5 +1,4 @@
-// Package engine implements the agent's HTTP clients for a model engine on its host:
-// one for completions, and one for the expert maps of a rank.
+// Package engine implements HTTP clients for the model engines on the agent's host.
 package engine
 
 import (
--- a/agent/plain/plain.go
+++ b/agent/plain/plain.go
@@ -1,5 +1,4 @@
-// Package plain forwards requests to the plain HTTP service on the agent's host. Like a
-// reverse proxy, it drops hop-by-hop header fields, but it never retries.
+// Package plain is the agent's reverse proxy for the plain HTTP service on its host.
 package plain
 
 import (
--- a/agent/ranklink/ranklink.go
+++ b/agent/ranklink/ranklink.go
@@ -44,8 +44,7 @@
 
 	// mu is a leaf lock.
 	mu sync.Mutex
-	// subscribers holds the ID of each session's first order, under which statuses
-	// are sent.
+	// subscribers holds the ID of each session's first order, used to send statuses.
 	subscribers map[*link.Session]uint64
 }
 
@@ -98,8 +97,7 @@
 	do(ctx)
 }
 
-// Order queues an order, or drops it if the queue of its rank is full, and subscribes
-// the session. It does not block.
+// Order subscribes the session and queues its order. It does not block.
 func (r *Runner) Order(s *link.Session, o *msg.Order) {
 	if s.Role != keys.RoleEntry {
 		r.recorder.Record(timeline.Event{Kind: EventRefused, Detail: string(s.Role) + " " + string(s.Host)})
--- a/agent/relay/relay.go
+++ b/agent/relay/relay.go
@@ -32,8 +32,7 @@
 	maxLineBytes = 1 << 20
 	// writeTimeout closes a connection whose peer no longer reads.
 	writeTimeout = 2 * time.Second
-	// keepAliveInterval is the time between TCP keep-alive probes. A connection is closed
-	// after keepAliveProbes lost ones.
+	// keepAliveInterval is the time between TCP keep-alive probes of an idle connection.
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 3
 )
