--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -367,14 +367,14 @@
 
 // ActionVerdict returns the state and outcome of an action. An unknown action has
 // an unknown outcome, since a dispatch of it may still be in transit.
-func (l *Ledger) ActionVerdict(k ActionKey) msg.Verdict {
+func (l *Ledger) ActionVerdict(k ActionKey) msg.AttemptStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.actions[k]
 	if !ok {
-		return msg.Verdict{State: msg.StateUnknown, Outcome: outcome.Unknown}
+		return msg.AttemptStatus{State: msg.StateUnknown, Outcome: outcome.Unknown}
 	}
-	v := msg.Verdict{State: r.state, Outcome: outcome.Unknown, Attempt: r.attempt.ID}
+	v := msg.AttemptStatus{State: r.state, Outcome: outcome.Unknown, Attempt: r.attempt.ID}
 	switch r.state {
 	case msg.StateDone:
 		v.Outcome = r.end.Outcome
--- a/agent/plain/plain.go
+++ b/agent/plain/plain.go
@@ -65,7 +65,7 @@
 // Writer receives a response. Head is called once, before any Write. Both are called
 // from the goroutine that called Do, and may block.
 type Writer interface {
-	Head(head msg.Head) error
+	Head(head msg.ResponseHead) error
 	io.Writer
 }
 
@@ -111,7 +111,7 @@
 
 // Do sends the request once and streams the response to w. The error is a
 // *NotStartedError only if no byte of the request can have been sent.
-func (c *Client) Do(ctx context.Context, p *msg.Plain, w Writer) error {
+func (c *Client) Do(ctx context.Context, p *msg.HTTPRequest, w Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	request, err := c.newRequest(ctx, p)
@@ -126,14 +126,14 @@
 		return errors.Wrapf(err, "%s %s", p.Method, p.Path)
 	}
 	defer response.Body.Close()
-	head := msg.Head{Status: response.StatusCode, Header: responseHeader(response.Header)}
+	head := msg.ResponseHead{Status: response.StatusCode, Header: responseHeader(response.Header)}
 	if err := w.Head(head); err != nil {
 		return err
 	}
 	return c.copyBody(w, response.Body)
 }
 
-func (c *Client) newRequest(ctx context.Context, p *msg.Plain) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, p *msg.HTTPRequest) (*http.Request, error) {
 	if len(p.Body) > c.config.MaxBodyBytes {
 		return nil, &LimitError{Part: "request body", Limit: int64(c.config.MaxBodyBytes)}
 	}
--- a/agent/queue/shortfirst.go
+++ b/agent/queue/shortfirst.go
@@ -50,7 +50,7 @@
 }
 
 func (q *ShortFirst) class(c msg.Class) *class {
-	if c == msg.Short {
+	if c == msg.ClassShort {
 		return q.short
 	}
 	return q.long
@@ -117,7 +117,7 @@
 	for _, a := range active {
 		s, ok := q.started[a.Attempt]
 		if !ok {
-			s = &started{class: msg.Long} // Not started by this queue; its class is unknown.
+			s = &started{class: msg.ClassLong} // Not started by this queue; its class is unknown.
 			q.started[a.Attempt] = s
 		}
 		if a.Paused && !s.paused {
@@ -150,7 +150,7 @@
 			continue
 		}
 		r.running++
-		if s.class != msg.Short {
+		if s.class != msg.ClassShort {
 			r.longRunning++
 		}
 	}
@@ -196,7 +196,7 @@
 	r.started[e.item.Attempt] = &started{class: e.item.Class, remaining: e.item.Work}
 	r.decision.Start = append(r.decision.Start, e.item)
 	r.running++
-	if e.item.Class != msg.Short {
+	if e.item.Class != msg.ClassShort {
 		r.longRunning++
 	}
 }
@@ -264,7 +264,7 @@
 func (r *pass) pausable(n int) []id.Attempt {
 	var attempts []id.Attempt
 	for attempt, s := range r.started {
-		if s.class != msg.Short && !s.paused && s.pauses < r.config.MaxPauses && !r.changed(attempt) {
+		if s.class != msg.ClassShort && !s.paused && s.pauses < r.config.MaxPauses && !r.changed(attempt) {
 			attempts = append(attempts, attempt)
 		}
 	}
--- a/agent/relay/relay_test.go
+++ b/agent/relay/relay_test.go
@@ -64,7 +64,7 @@
 func (e *fakeEngine) Layout(context.Context) (relay.Layout, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return relay.Layout{Epoch: e.state.Epoch, Version: e.state.Map, Experts: [][]int{{0, 1}}}, e.err
+	return relay.Layout{Epoch: e.state.Epoch, Version: e.state.MapVersion, Experts: [][]int{{0, 1}}}, e.err
 }
 
 func (e *fakeEngine) Order(_ context.Context, o relay.Order) relay.Result {
@@ -129,7 +129,7 @@
 }
 
 func TestStatesAndSamples(t *testing.T) {
-	e := &fakeEngine{state: relay.State{Born: 1, Group: "g", Epoch: 2, Step: 5, Open: true}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10, 20}}}
+	e := &fakeEngine{state: relay.State{StartMillis: 1, Group: "g", Epoch: 2, Step: 5, Open: true}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10, 20}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
@@ -143,24 +143,24 @@
 	sample := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil }).Sample
 	assert.Equal(t, sample.From, uint64(5))
 	assert.Equal(t, sample.To, uint64(9))
-	assert.DeepEqual(t, sample.Levels, []byte{relay.Level(0), relay.Level(64)})
+	assert.DeepEqual(t, sample.Levels, []byte{relay.EncodeLevel(0), relay.EncodeLevel(64)})
 }
 
 // TestNoSampleAcrossRankRestart checks that counts from before and after a restart of
 // the rank, which resets them, are not subtracted from each other.
 func TestNoSampleAcrossRankRestart(t *testing.T) {
-	e := &fakeEngine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
+	e := &fakeEngine{state: relay.State{StartMillis: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
 	e.set(func() {
-		e.state = relay.State{Born: 7, Epoch: 3, Step: 1}
+		e.state = relay.State{StartMillis: 7, Epoch: 3, Step: 1}
 		e.counts = relay.Counts{Step: 1, Epoch: 3, Tokens: []uint64{4}}
 	})
 	e.awaitCounts(t, 2)
 	x.next("state of the new run", func(m relay.FromRelay) bool {
 		assert.Assert(t, m.Sample == nil, "%v", m.Sample)
-		return m.State != nil && m.State.Born == 7
+		return m.State != nil && m.State.StartMillis == 7
 	})
 	e.set(func() { e.state.Step, e.counts = 3, relay.Counts{Step: 3, Epoch: 3, Tokens: []uint64{9}} })
 	sample := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil }).Sample
@@ -189,7 +189,7 @@
 
 // TestNoSampleAcrossSamplingPause guards against counting the demand before sampling resumed.
 func TestNoSampleAcrossSamplingPause(t *testing.T) {
-	e := &fakeEngine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
+	e := &fakeEngine{state: relay.State{StartMillis: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{10}}}
 	x := connect(t, e)
 	sampling := &relay.Watch{StateMillis: 10, SampleMillis: 10}
 	x.send(relay.ToRelay{Watch: sampling})
@@ -203,7 +203,7 @@
 	e.set(func() { e.state.Step, e.counts = 91, relay.Counts{Step: 91, Epoch: 2, Tokens: []uint64{1002}} })
 	sample := x.next("sample", func(m relay.FromRelay) bool { return m.Sample != nil }).Sample
 	assert.Equal(t, sample.From, uint64(90))
-	assert.DeepEqual(t, sample.Levels, []byte{relay.Level(2)})
+	assert.DeepEqual(t, sample.Levels, []byte{relay.EncodeLevel(2)})
 }
 
 // TestFrequentOrdersDoNotPreventPolls guards against orders that keep restarting the poll timer.
@@ -225,7 +225,7 @@
 
 // TestPollResultIsOneMessage guards against waking the entry more than once per poll.
 func TestPollResultIsOneMessage(t *testing.T) {
-	e := &fakeEngine{state: relay.State{Born: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{1}}}
+	e := &fakeEngine{state: relay.State{StartMillis: 1, Epoch: 2, Step: 5}, counts: relay.Counts{Step: 5, Epoch: 2, Tokens: []uint64{1}}}
 	x := connect(t, e)
 	x.send(relay.ToRelay{Watch: &relay.Watch{StateMillis: 10, SampleMillis: 10}})
 	e.awaitCounts(t, 1)
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func newKeyRing(t *testing.T, a *keys.Authority, role keys.Role) *keys.Ring {
+func newKeyRing(t *testing.T, a *keys.Authority, role keys.Role) *keys.Credentials {
 	t.Helper()
 	material, err := a.Issue(role, "host", time.Hour)
 	assert.NilError(t, err)
@@ -119,7 +119,7 @@
 	var agents []*scriptedAgent
 	for i, script := range scripts {
 		agent := &scriptedAgent{respond: script}
-		server, err := link.Listen("127.0.0.1:0", agentKeys.Server(keys.RoleEntry), link.DefaultConfig(), agent)
+		server, err := link.Listen("127.0.0.1:0", agentKeys.ServerConfig(keys.RoleEntry), link.DefaultConfig(), agent)
 		assert.NilError(t, err)
 		t.Cleanup(server.Close)
 		name := id.Endpoint([]string{"e0", "e1", "e2"}[i])
@@ -129,7 +129,7 @@
 	}
 	linkConfig := link.DefaultConfig()
 	linkConfig.DialTimeout = 10 * time.Second
-	pool := link.NewPool(linkConfig, func() *tls.Config { return entryKeys.Client(keys.RoleAgent) })
+	pool := link.NewPool(linkConfig, func() *tls.Config { return entryKeys.ClientConfig(keys.RoleAgent) })
 	t.Cleanup(pool.Close)
 	c := DefaultConfig()
 	c.RecoveryTimeout = 300 * time.Millisecond
@@ -166,7 +166,7 @@
 }
 
 func newCall(idempotent bool) *Call {
-	return &Call{Request: "req", Team: "puno", Service: "s", Idempotent: idempotent, Deadline: time.Now().Add(20 * time.Second), Plain: &msg.Plain{}}
+	return &Call{Request: "req", Team: "puno", Service: "s", Idempotent: idempotent, Deadline: time.Now().Add(20 * time.Second), Plain: &msg.HTTPRequest{}}
 }
 
 func newActionCall() *Call {
@@ -293,13 +293,13 @@
 func TestWithdrawal(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
-		verdict         *msg.Verdict
+		verdict         *msg.AttemptStatus
 		request, action outcome.Outcome
 	}{
-		{"attempt and action tombstoned", &msg.Verdict{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.NotRun, outcome.NotRun},
-		{"only the attempt tombstoned", &msg.Verdict{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.Unknown}, outcome.NotRun, outcome.Unknown},
-		{"tombstoned by another incarnation", &msg.Verdict{Incarnation: "new", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.Unknown, ""},
-		{"started", &msg.Verdict{Incarnation: "inc", State: msg.StateStarted, Outcome: outcome.Unknown}, outcome.Unknown, ""},
+		{"attempt and action tombstoned", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.NotRun, outcome.NotRun},
+		{"only the attempt tombstoned", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.Unknown}, outcome.NotRun, outcome.Unknown},
+		{"tombstoned by another incarnation", &msg.AttemptStatus{Incarnation: "new", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.Unknown, ""},
+		{"started", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateStarted, Outcome: outcome.Unknown}, outcome.Unknown, ""},
 		{"no verdict", nil, outcome.Unknown, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -310,7 +310,7 @@
 				case o.Dispatch != nil:
 					cancel()
 				case o.Withdraw != nil && tc.verdict != nil:
-					s.Reply(&msg.Reply{ID: o.ID, Verdict: tc.verdict})
+					s.Reply(&msg.Reply{ID: o.ID, Status: tc.verdict})
 				}
 			})
 			d.config.WithdrawTimeout = 100 * time.Millisecond
--- a/lab/platform/claim_test.go
+++ b/lab/platform/claim_test.go
@@ -37,7 +37,7 @@
 			assert.NilError(t, p.SetFaults(faults))
 			first, err := a.Claim(context.Background(), claimRequest(key, "mostrador", "e1"))
 			assert.NilError(t, err)
-			assert.Assert(t, first.Mine)
+			assert.Assert(t, first.Owned)
 			second, err := b.Claim(context.Background(), claimRequest(key, "mostrador", "e2"))
 			assert.NilError(t, err)
 			assert.Equal(t, second, claim.Result{Record: first.Record})
@@ -90,7 +90,7 @@
 	for _, faults := range []lab.Faults{{}, {LoseAnswers: 1}, {HoldWrites: 1}, {StaleVersions: 1}} {
 		assert.NilError(t, p.SetFaults(faults))
 		now = now.Add(5 * time.Second)
-		assert.NilError(t, l.Step(context.Background()))
+		assert.NilError(t, l.AcquireOrRenew(context.Background()))
 		epoch, ok := l.Valid(now.Add(5 * time.Second))
 		assert.Assert(t, ok)
 		assert.Equal(t, epoch, uint64(1))
