--- a/agent/engine/chunktemplate.go
+++ b/agent/engine/chunktemplate.go
@@ -16,8 +16,8 @@
 
 var textKey = []byte(`"text":"`)
 
-// set derives the template from a chunk that carries only the given text. The
-// template is empty and matches nothing if that isn't safe.
+// set derives the template from a chunk that carries only the given text. If the text
+// cannot be located reliably, the template becomes empty and matches nothing.
 func (t *chunkTemplate) set(data []byte, text string) {
 	*t = chunkTemplate{}
 	at := bytes.Index(data, textKey)
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -49,7 +49,7 @@
 	end           *msg.End
 	// settledAt is when the attempt finished or was tombstoned.
 	settledAt time.Time
-	// orphanedAt is when the last sink was removed from a started attempt.
+	// orphanedAt is when the last sink was detached. It is zero while one is attached.
 	orphanedAt time.Time
 }
 
--- a/agent/oneshot/oneshot.go
+++ b/agent/oneshot/oneshot.go
@@ -1,7 +1,7 @@
 // Package oneshot sends HTTP requests at most once.
 //
 // The standard transport sends a request again on another connection if a
-// reused connection fails before the first byte of the answer and either
+// reused connection fails before the first byte of the response and either
 // nothing was written, or the method is GET, HEAD, OPTIONS or TRACE, or the
 // request has an Idempotency-Key or X-Idempotency-Key header. It does so only
 // if the request has no body or its body can be rewound by GetBody. The
--- a/agent/relay/sample.go
+++ b/agent/relay/sample.go
@@ -120,7 +120,7 @@
 }
 
 // sampleSinceBase returns the difference between c and base, and makes c the base. It
-// returns nil if no step was counted or the rank restarted.
+// returns nil if no step was counted, or if the rank restarted or changed its epoch.
 func (s *sampler) sampleSinceBase(born int64, c relay.Counts) *relay.Sample {
 	old := s.base
 	same := born == s.baseBorn && c.Epoch == old.Epoch && len(c.Tokens) == len(old.Tokens)
