--- a/agent/queue/queue_test.go
+++ b/agent/queue/queue_test.go
@@ -16,24 +16,24 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// TestMain fixes the seed of the property tests unless a flag names another.
+// TestMain fixes the seed of the property tests unless a flag sets another.
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // The flag exists.
+	_ = flag.Set("rapid.seed", "1") // fails only for an undefined flag
 	os.Exit(m.Run())
 }
 
-// fate is where an attempt is.
-type fate int
+// itemState is the stage that an attempt has reached.
+type itemState int
 
 const (
-	waiting fate = iota + 1
-	startedFate
+	waiting itemState = iota + 1
+	started
 	ended
 	expired
 	removed
 )
 
-// model follows a queue and checks what must hold after each step.
+// model mirrors the state of a queue and checks its invariants after each step.
 type model struct {
 	*rapid.T
 	queue  queue.Queue
@@ -41,14 +41,14 @@
 	policy bool
 	now    time.Time
 	items  map[id.Attempt]queue.Item
-	fates  map[id.Attempt]fate
+	states map[id.Attempt]itemState
 	pauses map[id.Attempt]int
 	active []queue.Active
 }
 
-func (m *model) count(f fate) int {
+func (m *model) count(f itemState) int {
 	n := 0
-	for _, other := range m.fates {
+	for _, other := range m.states {
 		if other == f {
 			n++
 		}
@@ -56,19 +56,19 @@
 	return n
 }
 
-// move changes the fate of an attempt that must be in another one before.
-func (m *model) move(attempt id.Attempt, from, to fate) {
-	if m.fates[attempt] != from {
-		m.Fatalf("attempt %q goes from %d to %d, expected it in %d", attempt, m.fates[attempt], to, from)
+// transition changes the state of an attempt, which must be in the state from.
+func (m *model) transition(attempt id.Attempt, from, to itemState) {
+	if m.states[attempt] != from {
+		m.Fatalf("attempt %q goes from %d to %d, expected it in %d", attempt, m.states[attempt], to, from)
 	}
-	m.fates[attempt] = to
+	m.states[attempt] = to
 }
 
 func (m *model) push() {
 	item := queue.Item{
 		Attempt: id.Attempt(fmt.Sprintf("att_%d", len(m.items))),
 		Team:    id.Team(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.T, "team")),
-		Class:   rapid.SampledFrom([]msg.Class{msg.Short, msg.Long}).Draw(m.T, "class"),
+		Class:   rapid.SampledFrom([]msg.Class{msg.ClassShort, msg.ClassLong}).Draw(m.T, "class"),
 		Work:    rapid.Uint32Range(0, 1000).Draw(m.T, "work"),
 	}
 	if rapid.Bool().Draw(m.T, "has deadline") {
@@ -81,7 +81,7 @@
 	}
 	assert.NilError(m, err)
 	m.items[item.Attempt] = item
-	m.fates[item.Attempt] = waiting
+	m.states[item.Attempt] = waiting
 	var duplicate *queue.DuplicateError
 	assert.Assert(m, errors.As(m.queue.Push(item, m.now), &duplicate))
 }
@@ -91,10 +91,10 @@
 		return
 	}
 	attempt := id.Attempt(fmt.Sprintf("att_%d", rapid.IntRange(0, len(m.items)-1).Draw(m.T, "attempt")))
-	waits := m.fates[attempt] == waiting
+	waits := m.states[attempt] == waiting
 	assert.Equal(m, m.queue.Remove(attempt), waits)
 	if waits {
-		m.move(attempt, waiting, removed)
+		m.transition(attempt, waiting, removed)
 	}
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	i := rapid.IntRange(0, len(m.active)-1).Draw(m.T, "active")
-	m.move(m.active[i].Attempt, startedFate, ended)
+	m.transition(m.active[i].Attempt, started, ended)
 	m.active = append(m.active[:i], m.active[i+1:]...)
 }
 
@@ -112,13 +112,13 @@
 	d := m.queue.Next(m.now, m.active)
 	for _, item := range d.Expired {
 		assert.Assert(m, !item.Deadline.IsZero() && !m.now.Before(item.Deadline))
-		m.move(item.Attempt, waiting, expired)
+		m.transition(item.Attempt, waiting, expired)
 	}
 	for _, attempt := range d.Pause {
 		m.setPaused(attempt, true)
 		m.pauses[attempt]++
 		assert.Assert(m, m.pauses[attempt] <= m.config.MaxPauses)
-		assert.Equal(m, m.items[attempt].Class, msg.Long)
+		assert.Equal(m, m.items[attempt].Class, msg.ClassLong)
 	}
 	for _, attempt := range d.Resume {
 		m.setPaused(attempt, false)
@@ -126,7 +126,7 @@
 	for _, item := range d.Start {
 		assert.DeepEqual(m, item, m.items[item.Attempt])
 		assert.Assert(m, item.Deadline.IsZero() || m.now.Before(item.Deadline))
-		m.move(item.Attempt, waiting, startedFate)
+		m.transition(item.Attempt, waiting, started)
 		m.active = append(m.active, queue.Active{Attempt: item.Attempt, Remaining: item.Work})
 	}
 	m.checkSlots()
@@ -143,14 +143,14 @@
 	m.Fatalf("attempt %q is not active", attempt)
 }
 
-// checkSlots verifies the bounds of the batch and that no slot is free for waiting work.
+// checkSlots verifies the limits of the batch and that no slot is idle that waiting work may use.
 func (m *model) checkSlots() {
 	running, long, paused := 0, 0, 0
 	for _, a := range m.active {
 		switch {
 		case a.Paused:
 			paused++
-		case m.items[a.Attempt].Class == msg.Long:
+		case m.items[a.Attempt].Class == msg.ClassLong:
 			long++
 			running++
 		default:
@@ -158,21 +158,21 @@
 		}
 	}
 	waitingBy := map[msg.Class]int{}
-	for attempt, f := range m.fates {
+	for attempt, f := range m.states {
 		if f == waiting {
 			waitingBy[m.items[attempt].Class]++
 		}
 	}
-	assert.Equal(m, m.queue.Len(), waitingBy[msg.Short]+waitingBy[msg.Long])
+	assert.Equal(m, m.queue.Len(), waitingBy[msg.ClassShort]+waitingBy[msg.ClassLong])
 	assert.Assert(m, running <= m.config.Slots)
 	if !m.policy {
 		assert.Assert(m, running == m.config.Slots || m.queue.Len() == 0)
 		return
 	}
-	longSlots := m.config.Slots - m.config.ReservedSlots
+	longSlots := m.config.Slots - m.config.ReservedShortSlots
 	assert.Assert(m, long <= longSlots && paused <= m.config.Slots)
-	assert.Assert(m, running == m.config.Slots || waitingBy[msg.Short] == 0, "short work waits beside a free slot")
-	assert.Assert(m, running == m.config.Slots || long == longSlots || waitingBy[msg.Long]+paused == 0, "long work waits beside a free slot")
+	assert.Assert(m, running == m.config.Slots || waitingBy[msg.ClassShort] == 0, "short work waits beside a free slot")
+	assert.Assert(m, running == m.config.Slots || long == longSlots || waitingBy[msg.ClassLong]+paused == 0, "long work waits beside a free slot")
 }
 
 func TestQueueProperties(t *testing.T) {
@@ -196,47 +196,47 @@
 func newModel(r *rapid.T, policy bool) *model {
 	slots := rapid.IntRange(1, 5).Draw(r, "slots")
 	config := queue.Config{
-		Slots:         slots,
-		ReservedSlots: min(1, slots-1),
-		MaxItems:      12,
-		MaxPauses:     2,
-		ShortBound:    time.Duration(rapid.IntRange(0, 20).Draw(r, "bound")) * time.Millisecond,
-		LongBound:     40 * time.Millisecond,
-		PauseBound:    20 * time.Millisecond,
-		Weights:       map[id.Team]float64{"a": 3},
+		Slots:              slots,
+		ReservedShortSlots: min(1, slots-1),
+		MaxItems:           12,
+		MaxPauses:          2,
+		MaxShortWait:       time.Duration(rapid.IntRange(0, 20).Draw(r, "bound")) * time.Millisecond,
+		MaxLongWait:        40 * time.Millisecond,
+		MaxPauseTime:       20 * time.Millisecond,
+		Weights:            map[id.Team]float64{"a": 3},
 	}
 	if slots == 1 {
-		config.ReservedSlots = -1
+		config.ReservedShortSlots = -1
 	}
 	m := &model{
 		T: r, config: config, policy: policy, now: simStart,
-		items: map[id.Attempt]queue.Item{}, fates: map[id.Attempt]fate{}, pauses: map[id.Attempt]int{},
+		items: map[id.Attempt]queue.Item{}, states: map[id.Attempt]itemState{}, pauses: map[id.Attempt]int{},
 	}
 	m.queue = queue.NewFIFO(config)
 	if policy {
-		m.queue = queue.New(config)
+		m.queue = queue.NewShortFirst(config)
 	}
-	m.config.ReservedSlots = max(config.ReservedSlots, 0)
+	m.config.ReservedShortSlots = max(config.ReservedShortSlots, 0)
 	return m
 }
 
-// drain ends all work without new arrivals; every attempt must come to an end.
+// drain runs the queue without new arrivals; every attempt must end.
 func (m *model) drain() {
 	for range 3 * len(m.items) {
 		m.next()
 		for i, a := range m.active {
 			if !a.Paused {
-				m.move(a.Attempt, startedFate, ended)
+				m.transition(a.Attempt, started, ended)
 				m.active = append(m.active[:i], m.active[i+1:]...)
 				break
 			}
 		}
 	}
 	assert.Equal(m, m.count(waiting), 0, "attempts were lost in the queue")
-	assert.Equal(m, m.count(startedFate), 0, "attempts stayed paused for good")
+	assert.Equal(m, m.count(started), 0, "attempts stayed paused for good")
 }
 
-// serve starts everything one by one in a queue of one slot and returns the order.
+// serve starts all items of a queue with one slot and returns their order.
 func serve(t *testing.T, q queue.Queue, now time.Time) []queue.Item {
 	t.Helper()
 	var order []queue.Item
@@ -256,7 +256,7 @@
 }
 
 func TestShortestFirstWithAgeing(t *testing.T) {
-	q := queue.New(queue.Config{Slots: 1, Ageing: 100})
+	q := queue.NewShortFirst(queue.Config{Slots: 1, AgeingRate: 100})
 	push(t, q, simStart, queue.Item{Attempt: "300", Work: 300}, queue.Item{Attempt: "100", Work: 100})
 	push(t, q, simStart.Add(time.Second), queue.Item{Attempt: "50 later", Work: 50}, queue.Item{Attempt: "250 later", Work: 250})
 	var got []string
@@ -267,8 +267,8 @@
 }
 
 func TestTeamsShareByWeight(t *testing.T) {
-	q := queue.New(queue.Config{Slots: 1, Weights: map[id.Team]float64{"b": 3}})
-	for i := range 200 { // The greedy team comes first and asks for shorter work.
+	q := queue.NewShortFirst(queue.Config{Slots: 1, Weights: map[id.Team]float64{"b": 3}})
+	for i := range 200 { // Team a arrives first, with more and shorter work.
 		push(t, q, simStart, queue.Item{Attempt: id.Attempt(fmt.Sprintf("a%d", i)), Team: "a", Work: 10})
 	}
 	for i := range 60 {
@@ -287,12 +287,12 @@
 
 func TestPreemption(t *testing.T) {
 	const bound = 20 * time.Millisecond
-	config := queue.Config{Slots: 4, ReservedSlots: -1, LongSlots: 1, ShortBound: bound, MaxPauses: 1, PauseBound: time.Hour}
-	q := queue.New(config)
+	config := queue.Config{Slots: 4, ReservedShortSlots: -1, MinLongSlots: 1, MaxShortWait: bound, MaxPauses: 1, MaxPauseTime: time.Hour}
+	q := queue.NewShortFirst(config)
 	var active []queue.Active
 	for i := range 4 {
 		attempt := id.Attempt(fmt.Sprintf("long-%d", i))
-		push(t, q, simStart, queue.Item{Attempt: attempt, Class: msg.Long, Work: 1000})
+		push(t, q, simStart, queue.Item{Attempt: attempt, Class: msg.ClassLong, Work: 1000})
 		active = append(active, queue.Active{Attempt: attempt, Remaining: uint32(1000 - 100*i)})
 	}
 	assert.Equal(t, len(q.Next(simStart, nil).Start), 4)
@@ -301,16 +301,16 @@
 	}
 	early := q.Next(simStart, active)
 	assert.Equal(t, len(early.Pause)+len(early.Start), 0)
-	wake, ok := q.Wake()
+	wake, ok := q.NextWake()
 	assert.Assert(t, ok && wake.Equal(simStart.Add(bound)))
 
 	d := q.Next(wake, active)
 	assert.DeepEqual(t, d.Pause, []id.Attempt{"long-0", "long-1", "long-2"})
 	assert.Equal(t, len(d.Start), 3)
-	_, ok = q.Wake()
+	_, ok = q.NextWake()
 	assert.Assert(t, !ok, "a queue that can do nothing must not ask to be called")
 
-	// Two short attempts end: the waiting ones take their slots, then paused work goes on.
+	// All short attempts end: the two waiting ones start, then a paused attempt resumes.
 	now := []queue.Active{
 		{Attempt: "long-0", Paused: true}, {Attempt: "long-1", Paused: true}, {Attempt: "long-2", Paused: true}, {Attempt: "long-3"},
 	}
@@ -318,10 +318,10 @@
 	assert.Equal(t, len(after.Start), 2)
 	assert.DeepEqual(t, after.Resume, []id.Attempt{"long-0"})
 
-	// A pause that the engine refused is corrected by the active list.
+	// The active list corrects pauses that the engine failed to carry out.
 	now[1].Paused = false
 	now[0].Paused = false
 	push(t, q, wake, queue.Item{Attempt: "short-9", Work: 10})
 	last := q.Next(wake.Add(bound), append(now, queue.Active{Attempt: after.Start[0].Attempt}))
-	assert.DeepEqual(t, last.Pause, []id.Attempt{"long-3"}) // The others have used their pause.
+	assert.DeepEqual(t, last.Pause, []id.Attempt{"long-3"}) // The others have reached MaxPauses.
 }
--- a/cmd/siskinford-agent/main.go
+++ b/cmd/siskinford-agent/main.go
@@ -42,7 +42,7 @@
 	}
 	d.Keys = ring
 	if p.EngineURL != "" {
-		d.Engine, err = engine.NewHTTP(engine.Config{URL: p.EngineURL})
+		d.Engine, err = engine.NewClient(engine.Config{URL: p.EngineURL})
 	} else {
 		d.Plain, err = plain.New(plain.Config{URL: p.PlainURL})
 	}
@@ -51,7 +51,7 @@
 	}
 	if p.Ranks.Group != "" {
 		d.Incarnation = id.NewIncarnation()
-		d.Ranks, err = ranklink.Open(p.Ranks, d.Incarnation, timeline.Logged{Ring: d.Ring, Log: d.Log})
+		d.Ranks, err = ranklink.Open(p.Ranks, d.Incarnation, timeline.LoggingRecorder{Ring: d.Ring, Log: d.Log})
 	}
 	if err != nil {
 		return nil, err
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -132,7 +132,7 @@
 	return "http://" + listener.Addr().String(), nil
 }
 
-func (f *Fleet) keyRing(role keys.Role, host id.Host) (*keys.Ring, error) {
+func (f *Fleet) keyRing(role keys.Role, host id.Host) (*keys.Credentials, error) {
 	material, err := f.authority.Issue(role, host, certValidity)
 	if err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 	if a.URL, err = f.serve(a.Engine.Handler()); err != nil {
 		return err
 	}
-	d.Engine, err = agentengine.NewHTTP(agentengine.Config{URL: a.URL})
+	d.Engine, err = agentengine.NewClient(agentengine.Config{URL: a.URL})
 	return err
 }
 
