--- a/operate/answer/answer.go
+++ b/operate/answer/answer.go
@@ -55,7 +55,7 @@
 	// Processes are the processes that replied.
 	Processes []string  `json:"processes"`
 	Missing   []Missing `json:"missing,omitempty"`
-	// Truncated is true if a process had more rows than fit into its reply.
+	// Truncated is true if a process had more rows or events than a reply may hold.
 	Truncated bool      `json:"truncated,omitempty"`
 	Sections  []Section `json:"sections"`
 }
--- a/operate/cli/cli.go
+++ b/operate/cli/cli.go
@@ -78,7 +78,7 @@
 	return all
 }
 
-// validateFlags applies the environment to the flags and prints everything invalid.
+// validateFlags applies the environment to the flags and prints findings, if any.
 func (a *remoteCommand) validateFlags(f *flag.FlagSet) bool {
 	var findings finding.List
 	if err := setFromEnvironment(f); err != nil {
--- a/operate/cli/query.go
+++ b/operate/cli/query.go
@@ -19,9 +19,9 @@
 // Query is the subcommand that runs queries and commands.
 type Query struct {
 	remoteCommand
-	file   string
-	dryRun bool
-	seen   uint64
+	file        string
+	dryRun      bool
+	seenVersion uint64
 }
 
 // NewQuery returns the subcommand.
@@ -47,7 +47,7 @@
 	c.setFlags(f)
 	f.StringVar(&c.file, "file", "", usage("file", "text", "", "File with the statements; - means the standard input."))
 	f.BoolVar(&c.dryRun, "dry-run", false, usage("dry-run", "true|false", "false", "Show what commands would change."))
-	f.Uint64Var(&c.seen, "seen", 0, usage("seen", "version", "0", "Version of the configuration that the commands are based on; 0 means the current one."))
+	f.Uint64Var(&c.seenVersion, "seen", 0, usage("seen", "version", "0", "Version of the configuration that the commands are based on; 0 means the current one."))
 }
 
 // Execute implements subcommands.Command.
@@ -83,7 +83,7 @@
 // run sends a dry run first, then applies commands to the version that the dry run
 // was based on.
 func (c *Query) run(ctx context.Context, script string) subcommands.ExitStatus {
-	q := answer.Request{Script: script, DryRun: true, SeenVersion: c.seen}
+	q := answer.Request{Script: script, DryRun: true, SeenVersion: c.seenVersion}
 	reply, err := client.New(c.client).Send(ctx, q)
 	if err != nil {
 		return c.reportError(err, false)
--- a/operate/lang/schema.go
+++ b/operate/lang/schema.go
@@ -6,10 +6,9 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// Kind is a kind of row.
+// Kind is a queryable kind of row, such as endpoints.
 type Kind string
 
-// The kinds that can be queried.
 const (
 	Services       Kind = "services"
 	Teams          Kind = "teams"
--- a/operate/logs/explain.go
+++ b/operate/logs/explain.go
@@ -45,7 +45,7 @@
 // group is detected within about a second.
 const lookback = 2 * time.Second
 
-// Explain reports on a request from lines in time order, or returns false if it has none.
+// Explain explains a request from lines in time order. It returns false if none is about it.
 func Explain(lines []Line, request string) (Report, bool) {
 	r := Report{Request: request, Outcome: NotLogged}
 	for _, l := range lines {
