--- a/agent/engine/http.go
+++ b/agent/engine/client.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	defaultCallTimeout  = 2 * time.Second
-	defaultDialTimeout  = time.Second
-	defaultMaxIdle      = 64
-	defaultMaxLineBytes = 64 << 10
-	maxControlBytes     = 1 << 20
-	finishCancelled     = "cancelled"
+	defaultCallTimeout      = 2 * time.Second
+	defaultDialTimeout      = time.Second
+	defaultMaxIdleConns     = 64
+	defaultMaxLineBytes     = 64 << 10
+	maxControlResponseBytes = 1 << 20
+	finishCancelled         = "cancelled"
 )
 
 // ErrCancelled reports that the engine ended a completion because of a cancel.
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("engine answered status %d: %s", e.Status, e.Detail)
 }
 
-// Config sets up an HTTP client for an engine.
+// Config configures a client.
 type Config struct {
 	// URL is the engine's base address, for instance http://127.0.0.1:8000.
 	URL string
@@ -57,18 +57,18 @@
 	MaxLineBytes int
 }
 
-// HTTP is an Engine behind the engine's HTTP protocol.
-type HTTP struct {
+// Client is the HTTP client of an engine. It implements Engine.
+type Client struct {
 	base         string
 	callTimeout  time.Duration
 	maxLineBytes int
 	client       *oneshot.Client
 }
 
-var _ Engine = (*HTTP)(nil)
+var _ Engine = (*Client)(nil)
 
-// NewHTTP returns a client. It does not connect.
-func NewHTTP(c Config) (*HTTP, error) {
+// NewClient returns a client. It does not connect.
+func NewClient(c Config) (*Client, error) {
 	base, err := url.Parse(c.URL)
 	if err != nil {
 		return nil, errors.Wrapf(err, "engine URL %q", c.URL)
@@ -76,13 +76,13 @@
 	if base.Scheme != "http" || base.Host == "" {
 		return nil, fmt.Errorf("engine URL %q must have the form http://host:port", c.URL)
 	}
-	return &HTTP{
+	return &Client{
 		base:         strings.TrimSuffix(c.URL, "/"),
 		callTimeout:  orDefault(c.CallTimeout, defaultCallTimeout),
 		maxLineBytes: orDefault(c.MaxLineBytes, defaultMaxLineBytes),
 		client: oneshot.New(oneshot.Config{
 			DialTimeout:  orDefault(c.DialTimeout, defaultDialTimeout),
-			MaxIdleConns: orDefault(c.MaxIdleConns, defaultMaxIdle),
+			MaxIdleConns: orDefault(c.MaxIdleConns, defaultMaxIdleConns),
 		}),
 	}, nil
 }
@@ -95,10 +95,10 @@
 }
 
 // Close closes idle connections.
-func (h *HTTP) Close() { h.client.Close() }
+func (h *Client) Close() { h.client.Close() }
 
 // Run implements Engine.
-func (h *HTTP) Run(ctx context.Context, r Request, emit func(Token) error) (Usage, error) {
+func (h *Client) Run(ctx context.Context, r Request, emit func(Token) error) (Usage, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	response, err := h.post(ctx, PathCompletions, CompletionRequest{
@@ -120,8 +120,8 @@
 	return readStream(response.Body, h.maxLineBytes, emit)
 }
 
-// post sends a request once.
-func (h *HTTP) post(ctx context.Context, path string, body any) (*http.Response, error) {
+// post sends a request with a JSON body, without retries.
+func (h *Client) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, &NotStartedError{Cause: err}
@@ -129,7 +129,7 @@
 	return h.send(ctx, http.MethodPost, path, encoded)
 }
 
-func (h *HTTP) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+func (h *Client) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, h.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, &NotStartedError{Cause: err}
@@ -142,11 +142,11 @@
 	return response, errors.Wrapf(err, "%s %s", method, path)
 }
 
-// statusError reads an error answer. The engine's word that it did not start
-// the request is taken.
+// statusError converts an error response. If the engine reports that it did not
+// start the request, the error is a *NotStartedError.
 func statusError(response *http.Response) error {
 	var body ErrorBody
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxControlBytes))
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxControlResponseBytes))
 	if json.Unmarshal(text, &body) != nil {
 		body = ErrorBody{Error: http.StatusText(response.StatusCode)}
 	}
@@ -157,8 +157,9 @@
 	return err
 }
 
-// call sends a control request and decodes the answer unless into is nil.
-func (h *HTTP) call(ctx context.Context, method, path string, body []byte, into any) error {
+// call sends a request other than a completion, bounded by the call timeout, and
+// decodes the response unless into is nil.
+func (h *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.callTimeout)
 	defer cancel()
 	response, err := h.send(ctx, method, path, body)
@@ -172,39 +173,39 @@
 	if into == nil {
 		return nil
 	}
-	decoder := json.NewDecoder(io.LimitReader(response.Body, maxControlBytes))
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxControlResponseBytes))
 	return errors.Wrapf(decoder.Decode(into), "answer to %s %s", method, path)
 }
 
-func (h *HTTP) attemptCall(ctx context.Context, attempt id.Attempt, verb string) error {
+func (h *Client) attemptCall(ctx context.Context, attempt id.Attempt, verb string) error {
 	path := PathAttempts + url.PathEscape(string(attempt)) + "/" + verb
 	return h.call(ctx, http.MethodPost, path, nil, nil)
 }
 
 // Pause implements Engine.
-func (h *HTTP) Pause(ctx context.Context, attempt id.Attempt) error {
+func (h *Client) Pause(ctx context.Context, attempt id.Attempt) error {
 	return h.attemptCall(ctx, attempt, "pause")
 }
 
 // Resume implements Engine.
-func (h *HTTP) Resume(ctx context.Context, attempt id.Attempt) error {
+func (h *Client) Resume(ctx context.Context, attempt id.Attempt) error {
 	return h.attemptCall(ctx, attempt, "resume")
 }
 
 // Cancel implements Engine.
-func (h *HTTP) Cancel(ctx context.Context, attempt id.Attempt) error {
+func (h *Client) Cancel(ctx context.Context, attempt id.Attempt) error {
 	return h.attemptCall(ctx, attempt, "cancel")
 }
 
 // Load implements Engine.
-func (h *HTTP) Load(ctx context.Context) (Load, error) {
+func (h *Client) Load(ctx context.Context) (Load, error) {
 	var body LoadBody
 	err := h.call(ctx, http.MethodGet, PathLoad, nil, &body)
 	return body.Load(), err
 }
 
 // CacheEvents implements Engine.
-func (h *HTTP) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
+func (h *Client) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var events []CacheEvent
 	path := PathCacheEvents + "?after=" + strconv.FormatUint(after, 10)
 	err := h.call(ctx, http.MethodGet, path, nil, &events)
@@ -212,16 +213,16 @@
 }
 
 // Order sends an order to the engine.
-func (h *HTTP) Order(ctx context.Context, o Order) error {
+func (h *Client) Order(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
-		return errors.Wrap(err, "order")
+		return errors.Wrap(err, "encode order")
 	}
 	return h.call(ctx, http.MethodPost, PathOrders, body, nil)
 }
 
-// State returns what the engine's orders have led to.
-func (h *HTTP) State(ctx context.Context) (State, error) {
+// State returns the engine's state.
+func (h *Client) State(ctx context.Context) (State, error) {
 	var state State
 	err := h.call(ctx, http.MethodGet, PathState, nil, &state)
 	return state, err
--- a/operate/change/change_test.go
+++ b/operate/change/change_test.go
@@ -28,7 +28,7 @@
 	if kind == config.KindEndpoints {
 		value = stored
 	}
-	p, findings, err := Make(kind, []byte(value), statements)
+	p, findings, err := NewPlan(kind, []byte(value), statements)
 	assert.NilError(t, err)
 	if len(findings) == 0 {
 		_, err = config.Decode(kind, p.Value)
@@ -37,7 +37,7 @@
 	return p, findings
 }
 
-func TestPlansShowWhatTheyChange(t *testing.T) {
+func TestPlanListsChanges(t *testing.T) {
 	for script, want := range map[string]string{
 		"drain endpoint a":                               `change endpoint "a" drain: false -> true`,
 		"undrain endpoint a":                             "",
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestFindingsNameTheCommand(t *testing.T) {
+func TestFindingsHavePlaceOfCommand(t *testing.T) {
 	_, findings := plan(t, `set endpoint b weight 101
 drain endpoint nobody
 create endpoint a
--- a/operate/lang/eval.go
+++ b/operate/lang/eval.go
@@ -7,8 +7,8 @@
 	"github.com/siskinford/siskinford/operate/table"
 )
 
-// Apply returns the rows, fields and order that a query asks for. The table has
-// the columns of the query's kind. The query must be free of findings.
+// Apply filters, sorts, limits and projects a table that has the columns of the
+// query's kind. The query must have no findings.
 func (q *Query) Apply(t *table.Table) *table.Table {
 	out := &table.Table{Columns: t.Columns}
 	for _, r := range t.Rows {
@@ -23,11 +23,11 @@
 	return q.project(out)
 }
 
-// sort orders the rows as asked, and by the leading columns among equals.
+// sort sorts the rows by the sort keys, then by all columns from the left.
 func (q *Query) sort(t *table.Table) {
 	slices.SortStableFunc(t.Rows, func(a, b table.Row) int {
 		for _, o := range q.Order {
-			i := t.Column(o.Field.Text)
+			i := t.ColumnIndex(o.Field.Text)
 			c := table.Compare(a[i], b[i])
 			if o.Desc {
 				c = -c
@@ -47,7 +47,7 @@
 	out := &table.Table{}
 	positions := make([]int, len(q.Show))
 	for i, n := range q.Show {
-		positions[i] = t.Column(n.Text)
+		positions[i] = t.ColumnIndex(n.Text)
 		out.Columns = append(out.Columns, n.Text)
 	}
 	for _, r := range t.Rows {
@@ -75,11 +75,11 @@
 	case x.Group != nil:
 		return x.Group.holds(t, r)
 	}
-	return x.Compare.holds(r[t.Column(x.Compare.Field.Text)])
+	return x.Compare.holds(r[t.ColumnIndex(x.Compare.Field.Text)])
 }
 
-// holds compares a value. A value that is not known differs from every literal
-// and is neither less nor greater.
+// holds evaluates the comparison. Null satisfies != with every literal and no other
+// operator.
 func (m *Comparison) holds(v table.Value) bool {
 	if v.Type == table.NullType {
 		return m.Op == "!="
