--- a/balance/intake/breaker.go
+++ b/balance/scheduler/breaker.go
@@ -1,4 +1,4 @@
-package intake
+package scheduler
 
 import (
 	"maps"
--- a/balance/intake/types.go
+++ b/balance/scheduler/types.go
@@ -1,4 +1,4 @@
-// Package intake schedules the requests of one service at an entry: it queues them,
+// Package scheduler schedules the requests of one service at an entry: it queues them,
 // places them on endpoints and refuses those that cannot be served in time.
 //
 // Requests that can still meet their target start first, in order of target and
@@ -9,7 +9,7 @@
 //
 // A Scheduler has neither clock nor goroutines. Times are durations since an
 // arbitrary fixed origin.
-package intake
+package scheduler
 
 import (
 	"time"
--- a/entry/direct/buffered.go
+++ b/entry/direct/buffered.go
@@ -29,7 +29,7 @@
 		err  error
 	)
 	for {
-		slot, d := q.service.Acquire(ctx, q.intakeRequest(), h.queued(q))
+		slot, d := q.service.Acquire(ctx, q.schedulerRequest(), h.queued(q))
 		switch {
 		case slot != nil:
 		case ctx.Err() != nil:
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -7,8 +7,8 @@
 	"github.com/rs/zerolog"
 	"gotest.tools/v3/assert"
 
-	"github.com/siskinford/siskinford/balance/intake"
 	"github.com/siskinford/siskinford/balance/retry"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/entry/ranklink"
 	"github.com/siskinford/siskinford/entry/roster"
@@ -80,7 +80,7 @@
 		assert.NilError(t, err)
 		h.SetTable(table)
 		s := h.Service("s")
-		slot, d := s.Acquire(t.Context(), intake.Request{Target: time.Hour, Deadline: time.Hour}, nil)
+		slot, d := s.Acquire(t.Context(), scheduler.Request{Target: time.Hour, Deadline: time.Hour}, nil)
 		assert.Assert(t, slot != nil, "%v", d)
 		assert.Equal(t, slot.Decision.Capacity, slots)
 		slot.Release(Succeeded)
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
-	"github.com/siskinford/siskinford/balance/intake"
 	"github.com/siskinford/siskinford/balance/retry"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/entry/routes"
 )
@@ -245,12 +245,12 @@
 }
 
 // queued returns a callback that logs that the request has to wait.
-func (h *Handler) queued(q *request) func(intake.Occupancy) {
-	return func(s intake.Occupancy) { h.requestLog.queued(q, s) }
+func (h *Handler) queued(q *request) func(scheduler.Occupancy) {
+	return func(s scheduler.Occupancy) { h.requestLog.queued(q, s) }
 }
 
-// intakeRequest describes the request to the scheduler.
-func (q *request) intakeRequest() intake.Request {
+// schedulerRequest describes the request to the scheduler.
+func (q *request) schedulerRequest() scheduler.Request {
 	target := q.route.TargetLatency
 	if target <= 0 {
 		target = defaultTarget
@@ -260,7 +260,7 @@
 	if q.route.Kind == routes.Streaming {
 		silence = q.began.Add(maxSilence(q.route)).Sub(base)
 	}
-	return intake.Request{
+	return scheduler.Request{
 		Arrival: q.began.Sub(base), Target: q.began.Add(target).Sub(base), Deadline: q.deadline.Sub(base), FirstEventDeadline: silence,
 		Priority: q.priority(), PromptTokens: q.info.PromptTokens, Exclude: q.excluded,
 	}
--- a/entry/direct/loads.go
+++ b/entry/direct/loads.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/siskinford/siskinford/balance/intake"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/core/id"
 )
 
@@ -154,7 +154,7 @@
 func (l *LoadExchange) applyLocked() {
 	for name, s := range l.handler.Services() {
 		names, hash := s.endpointNames()
-		sums := make([]intake.Load, len(names))
+		sums := make([]scheduler.Load, len(names))
 		var latest time.Time
 		for _, x := range l.sources {
 			if x.at.After(latest) {
--- a/entry/direct/requestlog.go
+++ b/entry/direct/requestlog.go
@@ -8,7 +8,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/rs/zerolog"
 
-	"github.com/siskinford/siskinford/balance/intake"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/core/id"
 )
 
@@ -55,7 +55,7 @@
 }
 
 // queued logs that a request has to wait, and why.
-func (l *requestLog) queued(q *request, s intake.Occupancy) {
+func (l *requestLog) queued(q *request, s scheduler.Occupancy) {
 	l.request(l.log.Info(), "request.queued", q).Int("running", s.Running).Int("places", s.Capacity).
 		Int("waiting", s.Waiting).Bool("down", s.Down).Send()
 }
@@ -69,7 +69,7 @@
 		Dur("loads_age", x.LoadsAge).Int("prompt", q.info.PromptTokens).Dur("left", time.Until(q.deadline)).Send()
 }
 
-func (l *requestLog) refused(q *request, d intake.Decision, status int) {
+func (l *requestLog) refused(q *request, d scheduler.Decision, status int) {
 	l.count(endRefused, q.service.name)
 	l.request(l.log.Info(), "request.refused", q).Int("status", status).Dur("waited", d.Waited).
 		Dur("retry_after", d.RetryAfter).Int("running", d.Running).Int("places", d.Capacity).Int("waiting", d.Waiting).
@@ -106,7 +106,7 @@
 		Int("sent", q.sent).Dur("first", s.firstEventAfter).Int("events", s.events).Dur("longest_gap", s.longestGap).Send()
 }
 
-func (l *requestLog) broken(q *request, s *streamWriter, d intake.Decision, cause error) {
+func (l *requestLog) broken(q *request, s *streamWriter, d scheduler.Decision, cause error) {
 	l.count(endBroken, q.service.name)
 	l.request(l.log.Warn(), "stream.broken", q).Err(cause).Str("last_event", s.lastEventID).Int("sent", q.sent).
 		Int("events", s.events).Dur("silence", time.Since(s.lastProgress)).Dur("down_for", d.DownFor).Msg(string(d.Reason))
--- a/entry/direct/response.go
+++ b/entry/direct/response.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/siskinford/siskinford/balance/intake"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/entry/upstream"
 )
@@ -44,7 +44,7 @@
 )
 
 // refuse answers 503 if the request was not executed, else 502.
-func (h *Handler) refuse(w http.ResponseWriter, q *request, d intake.Decision) {
+func (h *Handler) refuse(w http.ResponseWriter, q *request, d scheduler.Decision) {
 	if q.mayHaveRun {
 		h.requestLog.refused(q, d, http.StatusBadGateway)
 		http.Error(w, "an earlier try may have run", http.StatusBadGateway)
@@ -61,11 +61,11 @@
 	var notSent *upstream.NotSentError
 	switch {
 	case errors.As(err, &notSent):
-		h.refuse(w, q, intake.Decision{Reason: "no endpoint could be reached"})
+		h.refuse(w, q, scheduler.Decision{Reason: "no endpoint could be reached"})
 	case err != nil:
 		h.failUnknown(w, q, http.StatusBadGateway, err)
 	case resp.info.NotRun:
-		h.refuse(w, q, intake.Decision{Reason: "the endpoints refused the request"})
+		h.refuse(w, q, scheduler.Decision{Reason: "the endpoints refused the request"})
 	case impliesNotRun(resp.status):
 		h.failUnknown(w, q, http.StatusBadGateway, errors.Newf("the endpoint answered %d without the promise not to run it", resp.status))
 	default:
@@ -90,7 +90,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if q.sent == q.refused {
-		h.refuse(w, q, intake.Decision{Reason: intake.TooLate})
+		h.refuse(w, q, scheduler.Decision{Reason: scheduler.TooLate})
 		return
 	}
 	h.failUnknown(w, q, http.StatusGatewayTimeout, errors.New("no answer within the time of the request"))
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/siskinford/siskinford/balance/intake"
 	"github.com/siskinford/siskinford/balance/outlier"
 	"github.com/siskinford/siskinford/balance/retry"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/entry/routes"
 )
@@ -32,7 +32,7 @@
 
 	mu        sync.Mutex // leaf lock; guards all below
 	config    routes.Service
-	scheduler *intake.Scheduler
+	scheduler *scheduler.Scheduler
 	detector  *outlier.Detector
 	window    *retry.Window
 	backends  map[id.Endpoint]*Backend
@@ -52,7 +52,7 @@
 		detector: outlier.New(outlier.Config{}), window: retry.NewWindow(opt.Retries),
 		backends: make(map[id.Endpoint]*Backend), replaced: make(map[id.Endpoint]bool),
 	}
-	s.scheduler = intake.New(intakeConfig(c), rand.Uint64())
+	s.scheduler = scheduler.New(schedulerConfig(c), rand.Uint64())
 	return s
 }
 
@@ -60,13 +60,13 @@
 // engine may have, so that no slot stays idle for a round trip.
 const plainOvercommit = 4
 
-func intakeConfig(s routes.Service) intake.Config {
+func schedulerConfig(s routes.Service) scheduler.Config {
 	if s.Engine == nil {
-		return intake.Config{Overcommit: plainOvercommit, FirstEventLatency: 50 * time.Millisecond, OutageDuration: time.Second}
+		return scheduler.Config{Overcommit: plainOvercommit, FirstEventLatency: 50 * time.Millisecond, OutageDuration: time.Second}
 	}
 	e := s.Engine
 	wholeAnswer := e.MeanAnswerTokens * float64(e.FullLoadStepTime())
-	c := intake.Config{FirstEventLatency: 150 * time.Millisecond, RequestDuration: time.Duration(wholeAnswer)}
+	c := scheduler.Config{FirstEventLatency: 150 * time.Millisecond, RequestDuration: time.Duration(wholeAnswer)}
 	if e.StepTimePerSequence > 0 {
 		c.StepOverhead = float64(e.StepTime) / float64(e.StepTimePerSequence)
 	}
@@ -94,7 +94,7 @@
 
 // setBackends replaces the endpoints.
 func (s *Service) setBackends(list []*Backend) {
-	endpoints := make([]intake.Endpoint, 0, len(list))
+	endpoints := make([]scheduler.Endpoint, 0, len(list))
 	backends := make(map[id.Endpoint]*Backend, len(list))
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 		if s.config.Engine != nil {
 			slots = s.config.Engine.Slots
 		}
-		endpoints = append(endpoints, intake.Endpoint{Name: e.Name, Slots: max(slots, 1), Usable: !e.Draining && !s.replaced[e.Name]})
+		endpoints = append(endpoints, scheduler.Endpoint{Name: e.Name, Slots: max(slots, 1), Usable: !e.Draining && !s.replaced[e.Name]})
 		backends[e.Name] = b
 	}
 	for name := range s.replaced {
@@ -121,11 +121,11 @@
 // Slot is the permission to send one request to one endpoint.
 type Slot struct {
 	Backend  *Backend
-	Decision intake.Decision
+	Decision scheduler.Decision
 	// LoadsAge is the time since loads of other entries last arrived.
 	LoadsAge time.Duration
 	service  *Service
-	request  *intake.Request
+	request  *scheduler.Request
 	started  time.Duration
 	answered bool
 }
@@ -133,9 +133,9 @@
 // Acquire waits until the request may be sent to an endpoint. If the request has to wait,
 // it calls queued, which must not block. Without a slot the decision holds the reason; it
 // is empty if ctx ended.
-func (s *Service) Acquire(ctx context.Context, r intake.Request, queued func(intake.Occupancy)) (*Slot, intake.Decision) {
-	decided := make(chan intake.Decision, 1)
-	t := &intake.Ticket{Request: r, Decided: func(d intake.Decision) { decided <- d }, Queued: queued}
+func (s *Service) Acquire(ctx context.Context, r scheduler.Request, queued func(scheduler.Occupancy)) (*Slot, scheduler.Decision) {
+	decided := make(chan scheduler.Decision, 1)
+	t := &scheduler.Ticket{Request: r, Decided: func(d scheduler.Decision) { decided <- d }, Queued: queued}
 	s.mu.Lock()
 	s.scheduler.Submit(t, s.now())
 	s.dispatch()
@@ -155,10 +155,10 @@
 		}
 	default:
 	}
-	return nil, intake.Decision{}
+	return nil, scheduler.Decision{}
 }
 
-func (s *Service) slot(t *intake.Ticket, d intake.Decision) (*Slot, intake.Decision) {
+func (s *Service) slot(t *scheduler.Ticket, d scheduler.Decision) (*Slot, scheduler.Decision) {
 	if d.Endpoint == "" {
 		return nil, d
 	}
@@ -166,7 +166,7 @@
 	defer s.mu.Unlock()
 	b := s.backends[d.Endpoint]
 	if b == nil {
-		return nil, intake.Decision{Reason: intake.NoEndpoint} // It was removed in the meantime.
+		return nil, scheduler.Decision{Reason: scheduler.NoEndpoint} // It was removed in the meantime.
 	}
 	return &Slot{
 		Backend: b, Decision: d, LoadsAge: time.Since(s.peerLoadsAt), service: s, request: &t.Request, started: s.now(),
@@ -351,7 +351,7 @@
 }
 
 // SetPeerLoads replaces the loads that other entries cause at the endpoints.
-func (s *Service) SetPeerLoads(names []id.Endpoint, loads []intake.Load, receivedAt time.Time) {
+func (s *Service) SetPeerLoads(names []id.Endpoint, loads []scheduler.Load, receivedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if receivedAt.After(s.peerLoadsAt) {
--- a/entry/direct/stream.go
+++ b/entry/direct/stream.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/siskinford/siskinford/balance/intake"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/entry/upstream"
 )
 
@@ -45,7 +45,7 @@
 		err  error
 	)
 	for {
-		slot, d := q.service.Acquire(ctx, s.intakeRequest(q), h.queued(q))
+		slot, d := q.service.Acquire(ctx, s.schedulerRequest(q), h.queued(q))
 		if slot == nil {
 			h.endStream(ctx, w, q, s, d, resp, err)
 			return
@@ -61,15 +61,15 @@
 			panic(http.ErrAbortHandler)
 		}
 		if ctx.Err() != nil || !h.acquireRetry(q, slot, resp, err) {
-			h.endStream(ctx, w, q, s, intake.Decision{}, resp, err)
+			h.endStream(ctx, w, q, s, scheduler.Decision{}, resp, err)
 			return
 		}
 	}
 }
 
-// intakeRequest describes the request, or the rest of the stream, to the scheduler.
-func (s *streamWriter) intakeRequest(q *request) intake.Request {
-	r := q.intakeRequest()
+// schedulerRequest describes the request, or the rest of the stream, to the scheduler.
+func (s *streamWriter) schedulerRequest(q *request) scheduler.Request {
+	r := q.schedulerRequest()
 	if s.headerSent {
 		r.Resumed = true
 		r.Arrival = s.lastProgress.Sub(q.service.start)
@@ -80,7 +80,7 @@
 
 // endStream ends a stream that cannot be completed. If it has begun, the connection is
 // aborted so that the client notices.
-func (h *Handler) endStream(ctx context.Context, w http.ResponseWriter, q *request, s *streamWriter, d intake.Decision, resp *response, err error) {
+func (h *Handler) endStream(ctx context.Context, w http.ResponseWriter, q *request, s *streamWriter, d scheduler.Decision, resp *response, err error) {
 	switch {
 	case s.headerSent:
 		h.requestLog.broken(q, s, d, err)
