--- a/agent/gate/config.go
+++ b/agent/server/config.go
@@ -1,6 +1,6 @@
-// Package gate implements the agent of one endpoint: it queues the requests that entries
+// Package server implements the agent of one endpoint: it queues the requests that entries
 // dispatch and is the only client of the model engine or plain service on its host.
-package gate
+package server
 
 import (
 	"time"
--- a/agent/gate/schedule.go
+++ b/agent/server/schedule.go
@@ -1,4 +1,4 @@
-package gate
+package server
 
 import (
 	"context"
--- a/agent/gate/settings.go
+++ b/agent/server/settings.go
@@ -1,4 +1,4 @@
-package gate
+package server
 
 import "github.com/siskinford/siskinford/core/settings"
 
--- a/cmd/internal/programs/agent.go
+++ b/cmd/internal/programs/agent.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/siskinford/siskinford/agent/gate"
 	"github.com/siskinford/siskinford/agent/ranklink"
+	"github.com/siskinford/siskinford/agent/server"
 	"github.com/siskinford/siskinford/core/finding"
 	"github.com/siskinford/siskinford/core/settings"
 	"github.com/siskinford/siskinford/wire/keys"
@@ -18,8 +18,8 @@
 
 // Agent holds all settings of siskinford-agent.
 type Agent struct {
-	Gate gate.Config
-	Keys keys.Config
+	Server server.Config
+	Keys   keys.Config
 	// Ranks configures the connection to the ranks of a group on this host, if any.
 	Ranks ranklink.Config
 	// EngineURL and PlainURL are base URLs of the backend on this host. One of them is set.
@@ -34,13 +34,13 @@
 
 // NewAgent returns the default settings.
 func NewAgent() *Agent {
-	return &Agent{Gate: gate.DefaultConfig(), Ranks: ranklink.DefaultConfig(), Shutdown: defaultShutdown, Events: defaultAgentEvents}
+	return &Agent{Server: server.DefaultConfig(), Ranks: ranklink.DefaultConfig(), Shutdown: defaultShutdown, Events: defaultAgentEvents}
 }
 
 // Set implements Settings.
 func (a *Agent) Set() *settings.Set {
 	set := settings.New(AgentName)
-	a.Gate.Register(set)
+	a.Server.Register(set)
 	a.Keys.Register(set)
 	a.Ranks.Register(set)
 	set.String(&a.EngineURL, "engine-url", "Base URL of the model engine on this host")
@@ -53,7 +53,7 @@
 
 // Validate implements Settings.
 func (a *Agent) Validate() finding.List {
-	l := a.Gate.Validate()
+	l := a.Server.Validate()
 	l.Merge("", a.Keys.Validate())
 	l.Merge("", a.Ranks.Validate())
 	if (a.EngineURL == "") == (a.PlainURL == "") {
--- a/cmd/siskinford-agent/main.go
+++ b/cmd/siskinford-agent/main.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"github.com/siskinford/siskinford/agent/engine"
-	"github.com/siskinford/siskinford/agent/gate"
 	"github.com/siskinford/siskinford/agent/plain"
 	"github.com/siskinford/siskinford/agent/ranklink"
+	"github.com/siskinford/siskinford/agent/server"
 	"github.com/siskinford/siskinford/cmd/internal/programs"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/core/process"
@@ -25,9 +25,9 @@
 	if code, ok := process.ParseSettings(p.Set(), args, p.Validate, stdout, stderr); !ok {
 		return code
 	}
-	host := string(p.Gate.Host)
+	host := string(p.Server.Host)
 	log := process.NewLog(stderr, programs.AgentName, host, p.Debug)
-	agent, err := build(p, gate.Deps{Ring: timeline.NewRing(host, p.Events, timeline.NewClock(time.Now)), Log: log})
+	agent, err := build(p, server.Deps{Ring: timeline.NewRing(host, p.Events, timeline.NewClock(time.Now)), Log: log})
 	if err != nil {
 		log.Error().Err(err).Str("event", "process.failed").Msg("start failed")
 		return process.ExitFailure
@@ -35,7 +35,7 @@
 	return process.Run(agent, log, p.Shutdown)
 }
 
-func build(p *programs.Agent, d gate.Deps) (*gate.Agent, error) {
+func build(p *programs.Agent, d server.Deps) (*server.Agent, error) {
 	ring, err := keys.New(p.Keys)
 	if err != nil {
 		return nil, err
@@ -56,5 +56,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return gate.New(p.Gate, d)
+	return server.New(p.Server, d)
 }
--- a/itest/histories/world_test.go
+++ b/itest/histories/world_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/siskinford/siskinford/agent/gate"
 	"github.com/siskinford/siskinford/agent/plain"
+	"github.com/siskinford/siskinford/agent/server"
 	"github.com/siskinford/siskinford/balance/retry"
 	"github.com/siskinford/siskinford/balance/route"
 	"github.com/siskinford/siskinford/core/id"
@@ -76,7 +76,7 @@
 	}
 }
 
-// backend is the back end of all endpoints of a history. It implements gate.PlainBackend.
+// backend is the back end of all endpoints of a history. It implements server.PlainBackend.
 type backend struct {
 	witness *witness
 	chance  *chance
@@ -103,7 +103,7 @@
 	return "ran " + mark + " with " + string(p.Body)
 }
 
-// Do implements gate.PlainBackend.
+// Do implements server.PlainBackend.
 func (b *backend) Do(ctx context.Context, p *msg.HTTPRequest, w plain.Writer) error {
 	if ctx.Err() != nil || b.chance.percent(4) {
 		return &plain.NotStartedError{Cause: errBroken}
@@ -140,11 +140,11 @@
 	proxy *faultproxy.UDP
 
 	mu     sync.Mutex // leaf lock
-	agent  *gate.Agent
+	agent  *server.Agent
 	former id.Incarnation
 }
 
-func (e *endpoint) current() *gate.Agent {
+func (e *endpoint) current() *server.Agent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.agent
@@ -243,15 +243,15 @@
 	return err
 }
 
-func (w *world) startAgent(name id.Endpoint, address string) (*gate.Agent, error) {
-	c := gate.DefaultConfig()
+func (w *world) startAgent(name id.Endpoint, address string) (*server.Agent, error) {
+	c := server.DefaultConfig()
 	c.Endpoint = name
 	c.Host = "host"
 	c.Listen = address
 	c.Slots = 2
 	c.MaxQueue = 3
 	c.Link = linkConfig()
-	agent, err := gate.New(c, gate.Deps{
+	agent, err := server.New(c, server.Deps{
 		Plain: w.backend, Keys: w.keys.agent, Log: zerolog.Nop(),
 		Ring: timeline.NewRing("agent", 100, timeline.NewClock(time.Now)),
 	})
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"github.com/siskinford/siskinford/agent/gate"
+	agentserver "github.com/siskinford/siskinford/agent/server"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/entry/server"
 	"github.com/siskinford/siskinford/fleet/config"
@@ -37,7 +37,7 @@
 	Teams    []Team
 	// Entry and Agent are the settings that all entries and agents share.
 	Entry  server.Config
-	Agent  gate.Config
+	Agent  agentserver.Config
 	Engine engine.Config
 	Plain  plainservice.Config
 	// Platform configures the platform stand-in.
@@ -72,7 +72,7 @@
 		},
 		Teams:  []Team{{Team: config.Team{Name: "puno"}, Key: DemoKey}},
 		Entry:  entry,
-		Agent:  gate.DefaultConfig(),
+		Agent:  agentserver.DefaultConfig(),
 		Engine: engine.Config{StepTime: 5 * time.Millisecond},
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 
 	agentengine "github.com/siskinford/siskinford/agent/engine"
-	"github.com/siskinford/siskinford/agent/gate"
 	agentplain "github.com/siskinford/siskinford/agent/plain"
+	agentserver "github.com/siskinford/siskinford/agent/server"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/core/timeline"
 	"github.com/siskinford/siskinford/entry/server"
@@ -31,7 +31,7 @@
 // Agent is one endpoint of the fleet with its back end.
 type Agent struct {
 	Endpoint config.Endpoint
-	Gate     *gate.Agent
+	Server   *agentserver.Agent
 	Ring     *timeline.Ring
 	// Engine or Plain is set, as the service demands.
 	Engine *engine.Engine
@@ -143,7 +143,7 @@
 func (f *Fleet) startAgent(s config.Service, name id.Endpoint, zone id.Zone) error {
 	host := id.Host("host-" + string(name))
 	a := &Agent{Ring: timeline.NewRing(string(host), 5000, timeline.NewClock(time.Now))}
-	deps := gate.Deps{Ring: a.Ring, Log: zerolog.Nop()}
+	deps := agentserver.Deps{Ring: a.Ring, Log: zerolog.Nop()}
 	var err error
 	if deps.Keys, err = f.keyRing(keys.RoleAgent, host); err != nil {
 		return err
@@ -154,20 +154,20 @@
 	c := f.Config.Agent
 	c.Endpoint = name
 	c.Host = host
-	if a.Gate, err = gate.New(c, deps); err != nil {
+	if a.Server, err = agentserver.New(c, deps); err != nil {
 		return err
 	}
-	if err := a.Gate.Start(); err != nil {
+	if err := a.Server.Start(); err != nil {
 		return err
 	}
 	a.Endpoint = config.Endpoint{
-		Name: name, Service: s.Name, Host: host, Zone: zone, Region: f.Config.Region, Address: a.Gate.Address(),
+		Name: name, Service: s.Name, Host: host, Zone: zone, Region: f.Config.Region, Address: a.Server.Address(),
 	}
 	f.Agents = append(f.Agents, a)
 	return nil
 }
 
-func (f *Fleet) startBackend(s config.Service, a *Agent, d *gate.Deps) error {
+func (f *Fleet) startBackend(s config.Service, a *Agent, d *agentserver.Deps) error {
 	var err error
 	if s.Type == config.ServiceTypePlain {
 		a.Plain = plainservice.New(f.Config.Plain)
@@ -288,7 +288,7 @@
 		e.Store.Close()
 	}
 	for _, a := range f.Agents {
-		all = errors.CombineErrors(all, a.Gate.Shutdown(ctx))
+		all = errors.CombineErrors(all, a.Server.Shutdown(ctx))
 	}
 	for _, c := range f.closers {
 		c()
