--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -365,9 +365,9 @@
 	return r.state, r.attempt.Action != ""
 }
 
-// ActionVerdict returns the state and outcome of an action. An unknown action has
+// ActionStatus returns the state and outcome of an action. An unknown action has
 // an unknown outcome, since a dispatch of it may still be in transit.
-func (l *Ledger) ActionVerdict(k ActionKey) msg.AttemptStatus {
+func (l *Ledger) ActionStatus(k ActionKey) msg.AttemptStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.actions[k]
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -160,10 +160,10 @@
 	l.Expire()
 	state, _ := l.State("plain")
 	assert.Equal(t, state, msg.StateUnknown)
-	assert.Equal(t, l.ActionVerdict(ActionKey{Action: "k"}).Outcome, outcome.Ran)
+	assert.Equal(t, l.ActionStatus(ActionKey{Action: "k"}).Outcome, outcome.Ran)
 	now.now = now.now.Add(c.ActionRetention)
 	l.Expire()
-	assert.Equal(t, l.ActionVerdict(ActionKey{Action: "k"}).State, msg.StateUnknown)
+	assert.Equal(t, l.ActionStatus(ActionKey{Action: "k"}).State, msg.StateUnknown)
 }
 
 func TestDroppedAnswerKeepsItsOutcome(t *testing.T) {
--- a/agent/server/handler.go
+++ b/agent/server/handler.go
@@ -169,7 +169,7 @@
 		v.State = msg.StateUnknown
 		return v
 	}
-	if known := a.ledger.ActionVerdict(ledger.ActionKey{Team: o.Team, Action: o.Action}); known.Attempt != "" && known.Attempt != o.Attempt {
+	if known := a.ledger.ActionStatus(ledger.ActionKey{Team: o.Team, Action: o.Action}); known.Attempt != "" && known.Attempt != o.Attempt {
 		known.Incarnation = a.incarnation
 		return &known
 	}
@@ -197,7 +197,7 @@
 	if o.Action == "" {
 		return outcome.NotRun
 	}
-	return a.ledger.ActionVerdict(ledger.ActionKey{Team: o.Team, Action: o.Action}).Outcome
+	return a.ledger.ActionStatus(ledger.ActionKey{Team: o.Team, Action: o.Action}).Outcome
 }
 
 func (a *Agent) issueTicket(o *msg.TicketOrder) *msg.Ticket {
@@ -219,7 +219,7 @@
 	if o.Incarnation != a.incarnation {
 		return &msg.AttemptStatus{Incarnation: a.incarnation, State: msg.StateUnknown, Outcome: outcome.Unknown}
 	}
-	v := a.ledger.ActionVerdict(ledger.ActionKey{Team: o.Team, Action: o.Action})
+	v := a.ledger.ActionStatus(ledger.ActionKey{Team: o.Team, Action: o.Action})
 	v.Incarnation = a.incarnation
 	return &v
 }
--- a/entry/dispatch/attempt.go
+++ b/entry/dispatch/attempt.go
@@ -245,7 +245,7 @@
 }
 
 // withdraw cancels the attempt at the agent. The outcome is unknown unless the
-// agent's verdict proves that the attempt did not run.
+// agent's reply proves that the attempt did not run.
 func (a *attempt) withdraw(code problem.Code, detail string) Result {
 	if !a.delivered {
 		a.reportFirstFrame()
@@ -253,23 +253,23 @@
 	unknown := problem.UnknownOutcomef(problem.OutcomeUnknown, "endpoint %q: %s", a.choice.Endpoint, detail)
 	ctx, cancel := context.WithTimeout(context.Background(), a.config.WithdrawTimeout)
 	defer cancel()
-	verdict, err := a.requestVerdict(ctx)
+	status, err := a.requestWithdrawal(ctx)
 	if err != nil {
 		a.record(a.call, "request.unknown", a.id, a.choice.Endpoint, err.Error())
 		return Result{Outcome: outcome.Unknown, Problem: unknown}
 	}
-	a.record(a.call, "request.withdrawn", a.id, a.choice.Endpoint, string(verdict.State))
-	if verdict.State == msg.StateTombstoned && verdict.Incarnation == a.choice.Incarnation {
+	a.record(a.call, "request.withdrawn", a.id, a.choice.Endpoint, string(status.State))
+	if status.State == msg.StateTombstoned && status.Incarnation == a.choice.Incarnation {
 		p := problem.Newf(code, "endpoint %q: %s", a.choice.Endpoint, detail)
 		if a.call.Action != "" {
-			p.ActionOutcome = verdict.Outcome
+			p.ActionOutcome = status.Outcome
 		}
 		return Result{Outcome: outcome.NotRun, Problem: p}
 	}
 	return Result{Outcome: outcome.Unknown, Problem: unknown}
 }
 
-func (a *attempt) requestVerdict(ctx context.Context) (*msg.AttemptStatus, error) {
+func (a *attempt) requestWithdrawal(ctx context.Context) (*msg.AttemptStatus, error) {
 	conn, err := a.deps.Pool.Conn(ctx, a.address)
 	if err != nil {
 		return nil, err
@@ -282,7 +282,7 @@
 		return nil, err
 	}
 	if reply.Status == nil {
-		return nil, errors.Newf("agent at %s sent no verdict", a.address)
+		return nil, errors.Newf("agent at %s sent no status", a.address)
 	}
 	return reply.Status, nil
 }
--- a/entry/dispatch/config.go
+++ b/entry/dispatch/config.go
@@ -13,7 +13,7 @@
 	RecoveryTimeout time.Duration
 	// RecoveryInterval is the time between reattach attempts. Default: 100 ms.
 	RecoveryInterval time.Duration
-	// WithdrawTimeout bounds the wait for the agent's verdict on a withdrawn attempt. Default: 1 s.
+	// WithdrawTimeout bounds the wait for the agent's reply for a withdrawn attempt. Default: 1 s.
 	WithdrawTimeout time.Duration
 }
 
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -289,18 +289,18 @@
 	assert.Equal(t, d.Run(t.Context(), c, &textSink{}).Outcome, outcome.NotRun)
 }
 
-// TestWithdrawal checks the outcome for each verdict after the caller disconnects.
+// TestWithdrawal checks the outcome for each status reply after the caller disconnects.
 func TestWithdrawal(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
-		verdict         *msg.AttemptStatus
+		status          *msg.AttemptStatus
 		request, action outcome.Outcome
 	}{
 		{"attempt and action tombstoned", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.NotRun, outcome.NotRun},
 		{"only the attempt tombstoned", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateTombstoned, Outcome: outcome.Unknown}, outcome.NotRun, outcome.Unknown},
 		{"tombstoned by another incarnation", &msg.AttemptStatus{Incarnation: "new", State: msg.StateTombstoned, Outcome: outcome.NotRun}, outcome.Unknown, ""},
 		{"started", &msg.AttemptStatus{Incarnation: "inc", State: msg.StateStarted, Outcome: outcome.Unknown}, outcome.Unknown, ""},
-		{"no verdict", nil, outcome.Unknown, ""},
+		{"no reply", nil, outcome.Unknown, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -309,12 +309,12 @@
 				switch {
 				case o.Dispatch != nil:
 					cancel()
-				case o.Withdraw != nil && tc.verdict != nil:
-					s.Reply(&msg.Reply{ID: o.ID, Status: tc.verdict})
+				case o.Withdraw != nil && tc.status != nil:
+					s.Reply(&msg.Reply{ID: o.ID, Status: tc.status})
 				}
 			})
 			d.config.WithdrawTimeout = 100 * time.Millisecond
-			if tc.verdict != nil {
+			if tc.status != nil {
 				d.config.WithdrawTimeout = time.Minute
 			}
 			r := d.Run(ctx, newActionCall(), &textSink{})
