--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -19,10 +19,10 @@
 
 // Limiter limits teams to their global rates in tokens per second.
 type Limiter interface {
-	// Take takes tokens of a team, or returns the time after which that may succeed.
-	Take(team id.Team, tokens float64, now time.Time) (retryAfter time.Duration, ok bool)
-	// Return gives back tokens that a request did not use.
-	Return(team id.Team, tokens float64, now time.Time)
+	// Consume takes tokens of a team, or returns the time after which that may succeed.
+	Consume(team id.Team, tokens float64, now time.Time) (retryAfter time.Duration, ok bool)
+	// Refund returns tokens that a request did not use.
+	Refund(team id.Team, tokens float64, now time.Time)
 }
 
 // Deps are the dependencies of an Admitter.
@@ -90,21 +90,21 @@
 func (a *Admitter) Admit(t config.Team, c *dispatch.Call) (release func(tokens uint32), refused *problem.Problem) {
 	now := time.Now()
 	work := float64(c.Work)
-	if p := a.chargeLimit(t.Name, work, now); p != nil {
+	if p := a.consumeTokens(t.Name, work, now); p != nil {
 		return nil, p
 	}
 	if p := a.checkPolicy(t.Name, c, now); p != nil {
-		a.refundLimit(t.Name, work, now)
+		a.refundTokens(t.Name, work, now)
 		return nil, p
 	}
 	return func(used uint32) { a.refundUnused(t.Name, c, used) }, nil
 }
 
-func (a *Admitter) chargeLimit(team id.Team, tokens float64, now time.Time) *problem.Problem {
+func (a *Admitter) consumeTokens(team id.Team, tokens float64, now time.Time) *problem.Problem {
 	if a.deps.Limiter == nil {
 		return nil
 	}
-	retryAfter, ok := a.deps.Limiter.Take(team, tokens, now)
+	retryAfter, ok := a.deps.Limiter.Consume(team, tokens, now)
 	if ok {
 		return nil
 	}
@@ -113,9 +113,9 @@
 	return p
 }
 
-func (a *Admitter) refundLimit(team id.Team, tokens float64, now time.Time) {
+func (a *Admitter) refundTokens(team id.Team, tokens float64, now time.Time) {
 	if a.deps.Limiter != nil && tokens > 0 {
-		a.deps.Limiter.Return(team, tokens, now)
+		a.deps.Limiter.Refund(team, tokens, now)
 	}
 }
 
@@ -170,7 +170,7 @@
 		return
 	}
 	now := time.Now()
-	a.refundLimit(team, unused, now)
+	a.refundTokens(team, unused, now)
 	if controller := a.controller(c.Service); controller != nil && a.deps.Enabled {
 		controller.Refund(team, unused, now)
 	}
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -28,7 +28,7 @@
 // tokenLimiter is a Limiter with a fixed number of tokens.
 type tokenLimiter struct{ tokens float64 }
 
-func (b *tokenLimiter) Take(_ id.Team, tokens float64, _ time.Time) (time.Duration, bool) {
+func (b *tokenLimiter) Consume(_ id.Team, tokens float64, _ time.Time) (time.Duration, bool) {
 	if b.tokens < tokens {
 		return 2 * time.Second, false
 	}
@@ -36,7 +36,7 @@
 	return 0, true
 }
 
-func (b *tokenLimiter) Return(_ id.Team, tokens float64, _ time.Time) { b.tokens += tokens }
+func (b *tokenLimiter) Refund(_ id.Team, tokens float64, _ time.Time) { b.tokens += tokens }
 
 func TestAdmit(t *testing.T) {
 	none := &route.NoEndpointError{Service: "s"}
--- a/entry/limits/bytes_test.go
+++ b/entry/limits/bytes_test.go
@@ -62,7 +62,7 @@
 	return list
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkConsume(b *testing.B) {
 	for _, n := range []int{10, 890} {
 		b.Run(fmt.Sprintf("%d teams", n), func(b *testing.B) {
 			l, err := New(DefaultConfig())
@@ -74,7 +74,7 @@
 			now := time.Now()
 			for i := range b.N {
 				now = now.Add(time.Microsecond)
-				l.Take(list[i%n].Name, 1, now)
+				l.Consume(list[i%n].Name, 1, now)
 			}
 		})
 	}
--- a/entry/limits/fleet_test.go
+++ b/entry/limits/fleet_test.go
@@ -280,7 +280,7 @@
 		}
 		for _, t := range f.teams {
 			if tokens := demand(n); tokens > 0 {
-				n.limits.Take(t.Name, tokens, f.clock())
+				n.limits.Consume(t.Name, tokens, f.clock())
 			}
 		}
 		n.limits.stepLeases(ctx)
--- a/entry/limits/limits.go
+++ b/entry/limits/limits.go
@@ -139,10 +139,10 @@
 	}
 }
 
-// Take takes tokens from a team's share, or returns the time after which that
+// Consume takes tokens from a team's share, or returns the time after which that
 // may succeed. It always succeeds for a team without a limit. It is called for each
 // request, before dispatch, and does not block.
-func (l *Limiter) Take(name id.Team, tokens float64, now time.Time) (retryAfter time.Duration, ok bool) {
+func (l *Limiter) Consume(name id.Team, tokens float64, now time.Time) (retryAfter time.Duration, ok bool) {
 	t := l.teams.Load().byName[name]
 	if t == nil {
 		return 0, true
@@ -150,8 +150,8 @@
 	return t.share.Consume(tokens, now)
 }
 
-// Return refunds tokens that a request did not use.
-func (l *Limiter) Return(name id.Team, tokens float64, now time.Time) {
+// Refund returns tokens that a request did not use.
+func (l *Limiter) Refund(name id.Team, tokens float64, now time.Time) {
 	if t := l.teams.Load().byName[name]; t != nil {
 		t.share.Refund(tokens, now)
 	}
--- a/entry/limits/limits_test.go
+++ b/entry/limits/limits_test.go
@@ -171,19 +171,19 @@
 func TestTeamsChange(t *testing.T) {
 	fleet := newTestFleet(t, 1, 1, oneTeam())
 	n := fleet.nodes[0]
-	_, ok := n.limits.Take("free", 1e12, fleet.clock())
+	_, ok := n.limits.Consume("free", 1e12, fleet.clock())
 	assert.Assert(t, ok, "a team without a limit")
 	fleet.rounds(settleRounds, everywhere)
 	fleet.teams = []config.Team{{Name: testTeam, TokensPerSecond: 100}}
 	n.limits.SetTeams(fleet.teams)
 	fleet.advance(5 * fleet.config.Interval)
 	fleet.rounds(settleRounds, everywhere)
-	retry, ok := n.limits.Take(testTeam, 1, fleet.clock())
+	retry, ok := n.limits.Consume(testTeam, 1, fleet.clock())
 	assert.Assert(t, !ok && retry > 0, "the demand so far exceeds the limit")
 	n.limits.SetTeams(nil)
-	_, ok = n.limits.Take(testTeam, 1e12, fleet.clock())
+	_, ok = n.limits.Consume(testTeam, 1e12, fleet.clock())
 	assert.Assert(t, ok, "the limit is gone")
-	n.limits.Return(testTeam, 1, fleet.clock())
+	n.limits.Refund(testTeam, 1, fleet.clock())
 }
 
 // TestFloorsFollowSize checks that more entries than configured lower the floors.
