--- a/balance/retry/retry.go
+++ b/balance/retry/retry.go
@@ -1,7 +1,7 @@
 // Package retry decides whether and when a failed request is retried.
 //
 // Only a request that is known not to have run, or that is idempotent, is
-// retried. A retry budget proportional to the number of first tries bounds the
+// retried. A retry budget proportional to the number of requests bounds the
 // additional load when many endpoints fail at once.
 package retry
 
@@ -22,17 +22,17 @@
 
 // Config holds the settings of a Budget. Zero values select the defaults.
 type Config struct {
-	// Ratio is the number of retries that each first try permits. Default: 0.08.
+	// Ratio is the number of retries that each request permits. Default: 0.08.
 	Ratio float64
-	// Initial is the number of retries permitted before any first try.
+	// Initial is the number of retries permitted before any request.
 	// Unit: retries. Default: 2. Negative: none.
 	Initial int
 	// Burst bounds the retries that the budget accumulates. Unit: retries. Default: 50.
 	Burst int
-	// MaxTries bounds the tries of one request, the first included. Unit: tries. Default: 3.
-	MaxTries int
-	// BaseDelay is the longest delay before the second try. It doubles for each
-	// further try. Unit: duration. Default: 10 ms.
+	// MaxAttempts bounds the attempts of one request, the first included. Unit: attempts. Default: 3.
+	MaxAttempts int
+	// BaseDelay is the longest delay before the second attempt. It doubles for each
+	// further one. Unit: duration. Default: 10 ms.
 	BaseDelay time.Duration
 	// MaxDelay bounds the backoff. Unit: duration. Default: 1 s.
 	MaxDelay time.Duration
@@ -48,7 +48,7 @@
 	setDefault(&c.Ratio, 0.08)
 	setDefault(&c.Initial, 2)
 	setDefault(&c.Burst, 50)
-	setDefault(&c.MaxTries, 3)
+	setDefault(&c.MaxAttempts, 3)
 	setDefault(&c.BaseDelay, 10*time.Millisecond)
 	setDefault(&c.MaxDelay, time.Second)
 	setDefault(&c.MinRemaining, 5*time.Millisecond)
@@ -65,13 +65,13 @@
 	}
 }
 
-// Attempt describes a failed try.
+// Attempt describes a failed attempt of a request.
 type Attempt struct {
 	Outcome outcome.Outcome
 	// Idempotent is true if the request may run more than once.
 	Idempotent bool
-	// Tries counts the tries so far, the first included.
-	Tries int
+	// Number is the number of the attempt, 1 for the first.
+	Number int
 	// RetryAfter is the least delay, as requested by the endpoint. Zero means none.
 	RetryAfter time.Duration
 	// Deadline of the request. Zero means none.
@@ -79,8 +79,8 @@
 	Now      time.Time
 }
 
-// repeatable reports whether a retry cannot run a non-idempotent request twice.
-func (a Attempt) repeatable() bool {
+// retryable reports whether a retry cannot run a non-idempotent request twice.
+func (a Attempt) retryable() bool {
 	switch a.Outcome {
 	case outcome.NotRun:
 		return true
@@ -94,8 +94,8 @@
 // Budget bounds the retries of an entry, over all its requests. It is safe for
 // concurrent use.
 //
-// After n first tries at most Initial + Ratio*n retries were permitted. With the
-// defaults, tries stay below 1.1 for each first try from 100 first tries on.
+// After n requests at most Initial + Ratio*n retries were permitted. With the
+// defaults, attempts stay below 1.1 for each request from 100 requests on.
 type Budget struct {
 	cfg    Config
 	credit atomic.Int64 // in units of 1/creditUnit retries
@@ -108,9 +108,9 @@
 	return b
 }
 
-// RecordFirstTry records the first try of a request. The request handler calls it
+// RecordRequest counts a request, without its retries. The request handler calls it
 // once for each request that it dispatches.
-func (b *Budget) RecordFirstTry() {
+func (b *Budget) RecordRequest() {
 	limit := int64(b.cfg.Burst) * creditUnit
 	earned := int64(b.cfg.Ratio * creditUnit)
 	for {
@@ -124,13 +124,13 @@
 	}
 }
 
-// Decide reports whether a failed try may be retried and after which delay.
+// Decide reports whether a failed attempt may be retried and after which delay.
 // A permitted retry is deducted from the budget.
 func (b *Budget) Decide(a Attempt) (time.Duration, bool) {
-	if !a.repeatable() || a.Tries >= b.cfg.MaxTries {
+	if !a.retryable() || a.Number >= b.cfg.MaxAttempts {
 		return 0, false
 	}
-	delay := max(b.backoff(a.Tries), a.RetryAfter)
+	delay := max(b.backoff(a.Number), a.RetryAfter)
 	if !a.Deadline.IsZero() && a.Now.Add(delay+b.cfg.MinRemaining).After(a.Deadline) {
 		return 0, false
 	}
@@ -140,9 +140,9 @@
 	return delay, true
 }
 
-// backoff returns a random delay between half and all of a bound that doubles with each try.
-func (b *Budget) backoff(tries int) time.Duration {
-	doublings := min(max(tries-1, 0), maxDoublings)
+// backoff returns a random delay between half and all of a bound that doubles with each attempt.
+func (b *Budget) backoff(number int) time.Duration {
+	doublings := min(max(number-1, 0), maxDoublings)
 	bound := min(b.cfg.BaseDelay<<doublings, b.cfg.MaxDelay)
 	return bound/2 + time.Duration(b.cfg.Rand()*float64(bound/2))
 }
--- a/balance/retry/retry_test.go
+++ b/balance/retry/retry_test.go
@@ -22,17 +22,17 @@
 		attempt Attempt
 		want    bool
 	}{
-		{"not run", Attempt{Outcome: outcome.NotRun, Tries: 1, Deadline: ample}, true},
-		{"not run, no deadline", Attempt{Outcome: outcome.NotRun, Tries: 1}, true},
-		{"unknown", Attempt{Outcome: outcome.Unknown, Tries: 1, Deadline: ample}, false},
-		{"unknown, idempotent", Attempt{Outcome: outcome.Unknown, Idempotent: true, Tries: 1, Deadline: ample}, true},
-		{"ran", Attempt{Outcome: outcome.Ran, Tries: 1, Deadline: ample}, false},
-		{"ran, idempotent", Attempt{Outcome: outcome.Ran, Idempotent: true, Tries: 1, Deadline: ample}, false},
-		{"no outcome", Attempt{Idempotent: true, Tries: 1, Deadline: ample}, false},
-		{"tries used up", Attempt{Outcome: outcome.NotRun, Tries: 3, Deadline: ample}, false},
-		{"deadline passed", Attempt{Outcome: outcome.NotRun, Tries: 1, Deadline: epoch}, false},
-		{"deadline before the retry", Attempt{Outcome: outcome.NotRun, Tries: 1, Deadline: epoch.Add(9 * time.Millisecond)}, false},
-		{"deadline before retry-after", Attempt{Outcome: outcome.NotRun, Tries: 1, RetryAfter: time.Second, Deadline: epoch.Add(time.Second)}, false},
+		{"not run", Attempt{Outcome: outcome.NotRun, Number: 1, Deadline: ample}, true},
+		{"not run, no deadline", Attempt{Outcome: outcome.NotRun, Number: 1}, true},
+		{"unknown", Attempt{Outcome: outcome.Unknown, Number: 1, Deadline: ample}, false},
+		{"unknown, idempotent", Attempt{Outcome: outcome.Unknown, Idempotent: true, Number: 1, Deadline: ample}, true},
+		{"ran", Attempt{Outcome: outcome.Ran, Number: 1, Deadline: ample}, false},
+		{"ran, idempotent", Attempt{Outcome: outcome.Ran, Idempotent: true, Number: 1, Deadline: ample}, false},
+		{"no outcome", Attempt{Idempotent: true, Number: 1, Deadline: ample}, false},
+		{"attempts used up", Attempt{Outcome: outcome.NotRun, Number: 3, Deadline: ample}, false},
+		{"deadline passed", Attempt{Outcome: outcome.NotRun, Number: 1, Deadline: epoch}, false},
+		{"deadline before the retry", Attempt{Outcome: outcome.NotRun, Number: 1, Deadline: epoch.Add(9 * time.Millisecond)}, false},
+		{"deadline before retry-after", Attempt{Outcome: outcome.NotRun, Number: 1, RetryAfter: time.Second, Deadline: epoch.Add(time.Second)}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -48,13 +48,13 @@
 
 func TestBackoffGrowsWithJitter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	b := NewBudget(Config{Initial: 50, MaxTries: 20, Rand: rng.Float64})
+	b := NewBudget(Config{Initial: 50, MaxAttempts: 20, Rand: rng.Float64})
 	seen := map[time.Duration]bool{}
-	for tries := 1; tries < 12; tries++ {
-		delay, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Tries: tries, Now: epoch})
+	for number := 1; number < 12; number++ {
+		delay, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Number: number, Now: epoch})
 		assert.Assert(t, ok)
-		bound := min(10*time.Millisecond<<(tries-1), time.Second)
-		assert.Assert(t, delay >= bound/2 && delay <= bound, "try %d: %s", tries, delay)
+		bound := min(10*time.Millisecond<<(number-1), time.Second)
+		assert.Assert(t, delay >= bound/2 && delay <= bound, "attempt %d: %s", number, delay)
 		seen[delay] = true
 	}
 	assert.Assert(t, len(seen) > 8)
@@ -62,7 +62,7 @@
 
 func TestRetryAfterIsKept(t *testing.T) {
 	b := NewBudget(Config{})
-	delay, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Tries: 1, RetryAfter: 3 * time.Second, Now: epoch})
+	delay, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Number: 1, RetryAfter: 3 * time.Second, Now: epoch})
 	assert.Assert(t, ok)
 	assert.Equal(t, delay, 3*time.Second)
 }
@@ -78,13 +78,13 @@
 		}
 		b := NewBudget(cfg)
 		first, retries := 0, 0
-		for _, isFirst := range rapid.SliceOfN(rapid.Bool(), 1, 500).Draw(t, "tries") {
+		for _, isFirst := range rapid.SliceOfN(rapid.Bool(), 1, 500).Draw(t, "attempts") {
 			if isFirst {
-				b.RecordFirstTry()
+				b.RecordRequest()
 				first++
 				continue
 			}
-			if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Tries: 1, Now: epoch}); ok {
+			if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Number: 1, Now: epoch}); ok {
 				retries++
 			}
 			assert.Assert(t, float64(retries) <= float64(initial)+ratio*float64(first)+1e-9)
@@ -99,7 +99,7 @@
 		b := NewBudget(Config{Initial: 50, Rand: rng.Float64})
 		a := Attempt{
 			Outcome:    outcome.NotRun,
-			Tries:      rapid.IntRange(1, 3).Draw(t, "tries"),
+			Number:     rapid.IntRange(1, 3).Draw(t, "attempts"),
 			RetryAfter: time.Duration(rapid.IntRange(0, 50).Draw(t, "after")) * time.Millisecond,
 			Now:        epoch,
 			Deadline:   epoch.Add(time.Duration(rapid.IntRange(-5, 60).Draw(t, "deadline")) * time.Millisecond),
@@ -110,7 +110,7 @@
 	})
 }
 
-// TestThirdOfEndpointsFailing checks the bound on tries while each try fails with probability 1/3.
+// TestThirdOfEndpointsFailing checks the bound on attempts while each fails with probability 1/3.
 func TestThirdOfEndpointsFailing(t *testing.T) {
 	const requests = 30_000
 	for _, seed := range []uint64{1, 2, 3} {
@@ -118,19 +118,19 @@
 		b := NewBudget(Config{Rand: rng.Float64})
 		total := 0
 		for range requests {
-			b.RecordFirstTry()
-			for tries := 1; ; tries++ {
+			b.RecordRequest()
+			for number := 1; ; number++ {
 				total++
 				if rng.IntN(3) != 0 {
 					break
 				}
-				if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Tries: tries, Now: epoch}); !ok {
+				if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Number: number, Now: epoch}); !ok {
 					break
 				}
 			}
 		}
-		assert.Assert(t, total <= requests*11/10, "seed %d: %d tries", seed, total)
-		assert.Assert(t, total > requests*107/100, "seed %d: the budget must be used, %d tries", seed, total)
+		assert.Assert(t, total <= requests*11/10, "seed %d: %d attempts", seed, total)
+		assert.Assert(t, total > requests*107/100, "seed %d: the budget must be used, %d attempts", seed, total)
 	}
 }
 
@@ -141,8 +141,8 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				b.RecordFirstTry()
-				if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Tries: 1, Now: epoch}); ok {
+				b.RecordRequest()
+				if _, ok := b.Decide(Attempt{Outcome: outcome.NotRun, Number: 1, Now: epoch}); ok {
 					permitted.Add(1)
 				}
 			}
--- a/balance/retry/window.go
+++ b/balance/retry/window.go
@@ -54,9 +54,9 @@
 // RecordRequest counts a client's request, without its retries.
 func (w *Window) RecordRequest(now time.Duration) { w.requests[w.advance(now)]++ }
 
-// AllowRetry reports whether the budget permits a retry and counts it if so. The
+// AcquireRetry reports whether the budget permits a retry and counts it if so. The
 // budget is shared by the given number of entries.
-func (w *Window) AllowRetry(now time.Duration, entries int) bool {
+func (w *Window) AcquireRetry(now time.Duration, entries int) bool {
 	i := w.advance(now)
 	if float64(w.used()+1) > w.allowance(entries) {
 		return false
--- a/balance/retry/window_test.go
+++ b/balance/retry/window_test.go
@@ -30,7 +30,7 @@
 				w.RecordRequest(now)
 				r++
 			}
-			for w.AllowRetry(now, entries) { // Use up the budget.
+			for w.AcquireRetry(now, entries) { // Use up the budget.
 				n++
 			}
 		}
@@ -51,7 +51,7 @@
 func TestWindowSlides(t *testing.T) {
 	w := NewWindow(WindowConfig{ExtraRetries: 10, Length: time.Second})
 	used := 0
-	for w.AllowRetry(0, 1) {
+	for w.AcquireRetry(0, 1) {
 		used++
 	}
 	assert.Equal(t, used, 4) // 0.45 of the ten, rounded down.
--- a/balance/route/experiment_test.go
+++ b/balance/route/experiment_test.go
@@ -78,8 +78,8 @@
 	r.good += o.good
 	r.failed += o.failed
 	r.refused += o.refused
-	r.tries += o.tries
-	r.firsts += o.firsts
+	r.attempts += o.attempts
+	r.requests += o.requests
 	r.cached += o.cached
 	r.blocks += o.blocks
 	r.served += o.served
@@ -251,12 +251,12 @@
 				failing: 1.0 / 3, budget: budget,
 			}
 			r := overSeeds(c)
-			rows = append(rows, fmt.Sprintf("%s\t%t\t%d\t%d\t%.3f\t%d", policy, budget, r.firsts, r.tries,
-				float64(r.tries)/float64(r.firsts), r.failed))
+			rows = append(rows, fmt.Sprintf("%s\t%t\t%d\t%d\t%.3f\t%d", policy, budget, r.requests, r.attempts,
+				float64(r.attempts)/float64(r.requests), r.failed))
 			if budget || policy == route.PredictedTime {
-				assert.Check(t, r.tries*100 <= r.firsts*110+1000, "%s: %d tries of %d requests", policy, r.tries, r.firsts)
+				assert.Check(t, r.attempts*100 <= r.requests*110+1000, "%s: %d attempts of %d requests", policy, r.attempts, r.requests)
 			}
 		}
 	}
-	table(t, "policy\tbudget\tfirst tries\ttries\ttries per first try\tfailed", rows)
+	table(t, "policy\tbudget\trequests\tattempts\tattempts per request\tfailed", rows)
 }
--- a/balance/route/sim_backend_test.go
+++ b/balance/route/sim_backend_test.go
@@ -70,7 +70,7 @@
 		return
 	}
 	delay, ok := r.entry.budget.Decide(retry.Attempt{
-		Outcome: outcome.NotRun, Tries: r.job.tries, Deadline: simEpoch.Add(r.job.deadline), Now: s.clock(),
+		Outcome: outcome.NotRun, Number: r.job.attempts, Deadline: simEpoch.Add(r.job.deadline), Now: s.clock(),
 	})
 	if !ok {
 		s.result.failed++
--- a/balance/route/sim_test.go
+++ b/balance/route/sim_test.go
@@ -75,7 +75,7 @@
 	team     id.Team
 	arrived  time.Duration
 	deadline time.Duration
-	tries    int
+	attempts int
 	tried    []id.Endpoint
 }
 
@@ -120,8 +120,8 @@
 	served    int // first tokens before the end of the arrivals
 	refused   int
 	failed    int
-	tries     int
-	firsts    int
+	attempts  int
+	requests  int
 	perTarget map[id.Endpoint]int
 	teamWork  map[id.Team]float64
 	cached    int
@@ -235,7 +235,7 @@
 		s.result.failed++
 		return
 	}
-	if s.admit && j.tries == 0 {
+	if s.admit && j.attempts == 0 {
 		err := f.admit.Admit(admit.Request{
 			Team: j.team, Tokens: float64(j.answer), Expected: c.Expected,
 			Deadline: simEpoch.Add(j.deadline), Now: s.clock(),
@@ -246,12 +246,12 @@
 			return
 		}
 	}
-	if j.tries == 0 {
-		f.budget.RecordFirstTry()
-		s.result.firsts++
+	if j.attempts == 0 {
+		f.budget.RecordRequest()
+		s.result.requests++
 	}
-	j.tries++
-	s.result.tries++
+	j.attempts++
+	s.result.attempts++
 	s.result.perTarget[c.Endpoint]++
 	f.table.Started(c, s.clock())
 	r := &run{job: j, entry: f, c: c, sent: s.now}
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -276,7 +276,7 @@
 func (s *Service) AcquireRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.window.AllowRetry(s.now(), s.entries())
+	return s.window.AcquireRetry(s.now(), s.entries())
 }
 
 // ReportGroupDown records that an endpoint refused a request because its group is down.
--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 // certain as it can become. If ctx ends, because the caller disconnected or the
 // entry shuts down, the attempt is withdrawn.
 func (d *Dispatcher) Run(ctx context.Context, c *Call, sink Sink) Result {
-	d.deps.Budget.RecordFirstTry()
+	d.deps.Budget.RecordRequest()
 	var exclude []id.Endpoint
 	mayHaveRun := false
 	for number := 1; ; number++ {
@@ -119,7 +119,7 @@
 		return 0, false
 	}
 	return d.deps.Budget.Decide(retry.Attempt{
-		Outcome: r.Outcome, Idempotent: c.Idempotent, Tries: r.Attempts,
+		Outcome: r.Outcome, Idempotent: c.Idempotent, Number: r.Attempts,
 		RetryAfter: r.Problem.RetryAfter, Deadline: c.Deadline, Now: time.Now(),
 	})
 }
