--- a/balance/scheduler/breaker.go
+++ b/balance/scheduler/breaker.go
@@ -52,8 +52,8 @@
 // OpenBreakers returns the number of groups whose breaker is open.
 func (s *Scheduler) OpenBreakers() int { return len(s.breakers) }
 
-// GroupProgressed records that a group began a pass or re-formed at a time.
-func (s *Scheduler) GroupProgressed(group id.Group, at time.Duration) { s.closeBreaker(group, at) }
+// RecordGroupProgress records that a group began a pass or re-formed at a time.
+func (s *Scheduler) RecordGroupProgress(group id.Group, at time.Duration) { s.closeBreaker(group, at) }
 
 // closeBreaker closes the breaker of a group that was up after its last refusal.
 func (s *Scheduler) closeBreaker(group id.Group, at time.Duration) {
--- a/balance/scheduler/breaker_test.go
+++ b/balance/scheduler/breaker_test.go
@@ -37,7 +37,7 @@
 	h.scheduler.TripBreaker("b", h.now) // The group refused the trial request too.
 	h.advance(trialInterval / 2)
 	assert.Equal(t, started(), 2)
-	h.scheduler.GroupProgressed("g", h.now+ms)
+	h.scheduler.RecordGroupProgress("g", h.now+ms)
 	h.advance(0)
 	assert.Equal(t, started(), 5)
 }
@@ -53,10 +53,10 @@
 	assert.Equal(t, waits.Endpoint, id.Endpoint(""))
 	h.advance(100 * ms)
 	// A stream that started before the refusal does not show that the group is up.
-	h.scheduler.FirstEvent("a", &r, 500*ms, h.now)
+	h.scheduler.RecordFirstEvent("a", &r, 500*ms, h.now)
 	h.advance(0)
 	assert.Equal(t, waits.Endpoint, id.Endpoint(""))
-	h.scheduler.FirstEvent("a", &r, 100*ms, h.now)
+	h.scheduler.RecordFirstEvent("a", &r, 100*ms, h.now)
 	h.advance(0)
 	assert.Equal(t, waits.Endpoint, id.Endpoint("a"))
 }
@@ -124,14 +124,14 @@
 		r := h.chatRequest()
 		h.submit(r)
 		h.advance(20 * ms)
-		h.scheduler.Ended("a", &r, true, 20*ms)
+		h.scheduler.RecordEnd("a", &r, true, 20*ms)
 	}
 	h.scheduler.TripBreaker("a", h.now)
 	for range 8 {
 		h.advance(2 * trialInterval)
 		r := h.chatRequest()
 		assert.Equal(t, h.submit(r).Endpoint, id.Endpoint("a"))
-		h.scheduler.Ended("a", &r, false, 5*ms)
+		h.scheduler.RecordEnd("a", &r, false, 5*ms)
 		h.scheduler.TripBreaker("a", h.now)
 	}
 	for range 20 {
--- a/balance/scheduler/scheduler.go
+++ b/balance/scheduler/scheduler.go
@@ -210,8 +210,8 @@
 	return sum
 }
 
-// FirstEvent records the first event of a request, elapsed after its start.
-func (s *Scheduler) FirstEvent(name id.Endpoint, r *Request, elapsed, now time.Duration) {
+// RecordFirstEvent records the first event of a request, elapsed after its start.
+func (s *Scheduler) RecordFirstEvent(name id.Endpoint, r *Request, elapsed, now time.Duration) {
 	if e := s.byName[name]; e != nil {
 		e.ownLoad.PromptTokens = max(e.ownLoad.PromptTokens-r.PromptTokens, 0)
 		s.closeBreaker(e.group, now-elapsed)
@@ -219,9 +219,9 @@
 	s.firstEventLatency.add(elapsed)
 }
 
-// Ended records the end of a request, elapsed after its start. answered is false if
+// RecordEnd records the end of a request, elapsed after its start. answered is false if
 // it had no first event.
-func (s *Scheduler) Ended(name id.Endpoint, r *Request, answered bool, elapsed time.Duration) {
+func (s *Scheduler) RecordEnd(name id.Endpoint, r *Request, answered bool, elapsed time.Duration) {
 	if answered {
 		s.requestDuration.add(elapsed)
 	}
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -214,7 +214,7 @@
 	x.answered = true
 	now := s.now()
 	s.logBreakerChange(x.Backend.Name, "response received", func() {
-		s.scheduler.FirstEvent(x.Backend.Name, x.request, now-x.started, now)
+		s.scheduler.RecordFirstEvent(x.Backend.Name, x.request, now-x.started, now)
 	})
 }
 
@@ -226,7 +226,7 @@
 	s := x.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.scheduler.Ended(x.Backend.Name, x.request, x.answered, s.now()-x.started)
+	s.scheduler.RecordEnd(x.Backend.Name, x.request, x.answered, s.now()-x.started)
 	now := s.now()
 	if until := s.suspectUntil(x.Backend.Name, o, now); until > now {
 		s.scheduler.Suspect(x.Backend.Name, until)
@@ -333,7 +333,7 @@
 		s.scheduler.SetSlowdown(name, r.Slowdown)
 		if r.Group != "" {
 			s.scheduler.SetGroup(name, r.Group)
-			s.logBreakerChange(name, "group made progress", func() { s.scheduler.GroupProgressed(r.Group, r.ProgressAt.Sub(s.start)) })
+			s.logBreakerChange(name, "group made progress", func() { s.scheduler.RecordGroupProgress(r.Group, r.ProgressAt.Sub(s.start)) })
 		}
 		down = down && r.GroupDown
 	}
