--- a/balance/route/route_test.go
+++ b/balance/route/route_test.go
@@ -150,7 +150,7 @@
 	assert.Assert(t, ok)
 	s := table.view.Load().members["a-0"].state
 	for i := range 10 {
-		table.Started(c, epoch.Add(time.Duration(i)*100*time.Millisecond))
+		table.RecordStart(c, epoch.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	assert.Equal(t, s.netCount.Load(), int64(10))
 	now := epoch.Add(time.Second)
@@ -159,11 +159,11 @@
 	table.Report(r, now)
 	assert.Equal(t, s.netCount.Load(), int64(4), "the dispatches at 600 to 900 ms are unknown to the report")
 	assert.Equal(t, s.netTokens.Load(), int64(400))
-	table.Finished(c, now)
+	table.RecordFinish(c, now)
 	assert.Equal(t, s.netCount.Load(), int64(3))
 	assert.Equal(t, s.openCount.Load(), int64(9))
 	c.Incarnation = "i0"
-	table.Finished(c, now)
+	table.RecordFinish(c, now)
 	assert.Equal(t, s.openCount.Load(), int64(9), "the end of an earlier incarnation's request does not count")
 }
 
@@ -183,7 +183,7 @@
 	for range 32 {
 		c, err := picker.Pick(request(epoch))
 		assert.NilError(t, err)
-		table.Started(c, epoch)
+		table.RecordStart(c, epoch)
 		got[c.Endpoint]++
 	}
 	assert.Assert(t, got["a-3"] <= 8, "%v", got)
@@ -204,7 +204,7 @@
 		assert.NilError(t, err)
 		got[c.Endpoint]++
 		if c.Endpoint == "a-0" {
-			table.Started(c, now)
+			table.RecordStart(c, now)
 		}
 	}
 	assert.Assert(t, got["a-0"] < 12, "%v", got)
@@ -306,7 +306,7 @@
 	for range 400 {
 		c, err := picker.Pick(request(epoch))
 		assert.NilError(t, err)
-		table.Started(c, epoch)
+		table.RecordStart(c, epoch)
 		if table.view.Load().members[c.Endpoint].Weight == 1 {
 			heavy++
 		} else {
@@ -350,14 +350,14 @@
 	table.Report(idle("a-1", 1), epoch)
 	c, ok := table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, ok)
-	table.Started(c, epoch)
+	table.RecordStart(c, epoch)
 	table.SetEndpoints(list[1:], epoch)
 	assert.Assert(t, !table.Report(idle("a-0", 2), epoch))
 	_, ok = table.PinnedChoice(request(epoch), "a-0", "i1")
 	assert.Assert(t, !ok)
 	table.SetEndpoints(list, epoch)
 	table.Report(idle("a-0", 3), epoch)
-	table.Finished(c, epoch)
+	table.RecordFinish(c, epoch)
 	for _, s := range table.Status("s", epoch) {
 		assert.Equal(t, s.OpenRequests, 0)
 		assert.Equal(t, s.Reason, ReasonReady)
@@ -425,9 +425,9 @@
 			for i := range 300 {
 				now := epoch.Add(time.Duration(i) * time.Millisecond)
 				if c, err := picker.Pick(request(now)); err == nil {
-					table.Started(c, now)
+					table.RecordStart(c, now)
 					table.Observe(c, step, now)
-					table.Finished(c, now)
+					table.RecordFinish(c, now)
 				}
 				e := list[(g+i)%len(list)]
 				r := idle(e.Name, uint64(i+2))
--- a/balance/route/sim_backend_test.go
+++ b/balance/route/sim_backend_test.go
@@ -55,15 +55,15 @@
 }
 
 func (s *sim) lose(r *run) {
-	r.entry.table.Failed(r.c, s.clock())
-	r.entry.table.Finished(r.c, s.clock())
+	r.entry.table.RecordFailure(r.c, s.clock())
+	r.entry.table.RecordFinish(r.c, s.clock())
 	s.result.failed++
 }
 
 // refuse handles an endpoint's refusal, after which the request has not run.
 func (s *sim) refuse(r *run) {
-	r.entry.table.Finished(r.c, s.clock())
-	r.entry.table.Failed(r.c, s.clock())
+	r.entry.table.RecordFinish(r.c, s.clock())
+	r.entry.table.RecordFailure(r.c, s.clock())
 	r.job.tried = append(r.job.tried, r.c.Endpoint)
 	if !s.budget {
 		s.after(0, func() { s.try(r.entry, r.job) })
@@ -121,10 +121,10 @@
 func (s *sim) end(b *backend, r *run) {
 	delete(b.running, r)
 	if b.lost {
-		s.after(simLostTimeout, func() { r.entry.table.Finished(r.c, s.clock()) })
+		s.after(simLostTimeout, func() { r.entry.table.RecordFinish(r.c, s.clock()) })
 		return
 	}
-	s.after(s.distance(r.entry, r.c), func() { r.entry.table.Finished(r.c, s.clock()) })
+	s.after(s.distance(r.entry, r.c), func() { r.entry.table.RecordFinish(r.c, s.clock()) })
 	s.start(b)
 }
 
--- a/balance/route/sim_test.go
+++ b/balance/route/sim_test.go
@@ -253,7 +253,7 @@
 	j.attempts++
 	s.result.attempts++
 	s.result.perTarget[c.Endpoint]++
-	f.table.Started(c, s.clock())
+	f.table.RecordStart(c, s.clock())
 	r := &run{job: j, entry: f, c: c, sent: s.now}
 	s.after(s.distance(f, c), func() { s.receive(s.backend(c.Endpoint), r) })
 }
--- a/balance/route/table.go
+++ b/balance/route/table.go
@@ -162,16 +162,16 @@
 	t.view.Store(v)
 }
 
-// Started records that a request was dispatched to the choice's endpoint.
-func (t *Table) Started(c Choice, now time.Time) {
+// RecordStart records that a request was dispatched to the choice's endpoint.
+func (t *Table) RecordStart(c Choice, now time.Time) {
 	if c.state != nil {
 		c.state.recordDispatch(c.Incarnation, 1, int64(c.Work), t.clock(now))
 		c.gain.recordWork(c.Work)
 	}
 }
 
-// Finished records that a started request ended with any outcome.
-func (t *Table) Finished(c Choice, now time.Time) {
+// RecordFinish records that a started request ended with any outcome.
+func (t *Table) RecordFinish(c Choice, now time.Time) {
 	if c.state != nil {
 		c.state.recordDispatch(c.Incarnation, -1, -int64(c.Work), t.clock(now))
 	}
@@ -189,10 +189,10 @@
 	}
 }
 
-// Failed records that the endpoint refused a request or did not answer, so that an
+// RecordFailure records that the endpoint refused a request or did not answer, so that an
 // endpoint that fails fast does not attract requests by looking idle. It is called
-// in addition to Finished and instead of Observe.
-func (t *Table) Failed(c Choice, now time.Time) {
+// in addition to RecordFinish and instead of Observe.
+func (t *Table) RecordFailure(c Choice, now time.Time) {
 	if c.state != nil {
 		c.state.addFailurePenalty(c.Incarnation, t.clock(now))
 	}
--- a/entry/dispatch/attempt.go
+++ b/entry/dispatch/attempt.go
@@ -166,7 +166,7 @@
 // reportFailure records a failed or refused attempt in the routing table.
 func (a *attempt) reportFailure() {
 	if a.call.Binding == nil {
-		a.deps.Table.Failed(a.choice, time.Now())
+		a.deps.Table.RecordFailure(a.choice, time.Now())
 	}
 }
 
--- a/entry/dispatch/call.go
+++ b/entry/dispatch/call.go
@@ -91,8 +91,8 @@
 
 // Table receives the progress and latency of attempts. It is implemented by *route.Table.
 type Table interface {
-	Started(c route.Choice, now time.Time)
-	Finished(c route.Choice, now time.Time)
+	RecordStart(c route.Choice, now time.Time)
+	RecordFinish(c route.Choice, now time.Time)
 	Observe(c route.Choice, firstToken time.Duration, now time.Time)
-	Failed(c route.Choice, now time.Time)
+	RecordFailure(c route.Choice, now time.Time)
 }
--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -103,8 +103,8 @@
 	a.assembler = newAssembler(a.id, c.Action != "")
 	d.record(c, "request.dispatched", a.id, choice.Endpoint, string(choice.Incarnation))
 	if c.Binding == nil {
-		d.deps.Table.Started(choice, a.startedAt)
-		defer func() { d.deps.Table.Finished(choice, time.Now()) }()
+		d.deps.Table.RecordStart(choice, a.startedAt)
+		defer func() { d.deps.Table.RecordFinish(choice, time.Now()) }()
 	}
 	r := a.run(ctx)
 	r.Endpoint = choice.Endpoint
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -84,11 +84,11 @@
 
 type discardTable struct{}
 
-func (discardTable) Started(route.Choice, time.Time)                {}
-func (discardTable) Finished(route.Choice, time.Time)               {}
+func (discardTable) RecordStart(route.Choice, time.Time)            {}
+func (discardTable) RecordFinish(route.Choice, time.Time)           {}
 func (discardTable) Observe(route.Choice, time.Duration, time.Time) {}
 
-func (discardTable) Failed(route.Choice, time.Time) {}
+func (discardTable) RecordFailure(route.Choice, time.Time) {}
 
 type textSink struct{ body []byte }
 
--- a/itest/histories/world_test.go
+++ b/itest/histories/world_test.go
@@ -353,11 +353,11 @@
 
 type noTable struct{}
 
-func (noTable) Started(route.Choice, time.Time)                {}
-func (noTable) Finished(route.Choice, time.Time)               {}
+func (noTable) RecordStart(route.Choice, time.Time)            {}
+func (noTable) RecordFinish(route.Choice, time.Time)           {}
 func (noTable) Observe(route.Choice, time.Duration, time.Time) {}
 
-func (noTable) Failed(route.Choice, time.Time) {}
+func (noTable) RecordFailure(route.Choice, time.Time) {}
 
 // close ends the history. Afterwards nothing runs any more.
 func (w *world) close() {
