--- a/entry/direct/endpoints.go
+++ b/entry/direct/endpoints.go
@@ -107,8 +107,8 @@
 	return b
 }
 
-// Service returns the backends of a service. The result must not be modified.
-func (d *Directory) Service(name id.Service) []*Backend {
+// Backends returns the backends of a service. The result must not be modified.
+func (d *Directory) Backends(name id.Service) []*Backend {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.services[name]
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -65,7 +65,7 @@
 		} else {
 			s.configure(c)
 		}
-		s.setBackends(h.directory.Service(c.Name))
+		s.setBackends(h.directory.Backends(c.Name))
 		next[c.Name] = s
 	}
 	h.services = next
@@ -81,7 +81,7 @@
 	defer h.mu.Unlock()
 	h.directory.Set(list)
 	for name, s := range h.services {
-		s.setBackends(h.directory.Service(name))
+		s.setBackends(h.directory.Backends(name))
 	}
 }
 
--- a/entry/edge/groups.go
+++ b/entry/edge/groups.go
@@ -266,7 +266,7 @@
 // rankZones returns the endpoints of a service with their relays and zones.
 func (e *Edge) rankZones(name id.Service) map[ranklink.Endpoint]id.Zone {
 	out := make(map[ranklink.Endpoint]id.Zone)
-	for _, b := range e.handler.Directory().Service(name) {
+	for _, b := range e.handler.Directory().Backends(name) {
 		ep := b.Endpoint()
 		address, err := netip.ParseAddrPort(ep.Address)
 		if err != nil {
