--- a/entry/edge/values.go
+++ b/entry/edge/values.go
@@ -41,8 +41,8 @@
 	return map[mesh.Topic]uint64{topicConfig: v.config.Version, topicEndpoints: v.endpoints.version}
 }
 
-// get returns the part of a topic's value that an entry at version have lacks.
-func (v *values) get(t mesh.Topic, have uint64) mesh.Value {
+// encode returns the part of a topic's value that an entry at version have lacks.
+func (v *values) encode(t mesh.Topic, have uint64) mesh.Value {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch t {
@@ -59,7 +59,7 @@
 	return mesh.Value{}
 }
 
-func (v *values) put(t mesh.Topic, value mesh.Value) {
+func (v *values) apply(t mesh.Topic, value mesh.Value) {
 	switch t {
 	case topicConfig:
 		v.setConfig(value.Data, "another entry")
@@ -169,7 +169,7 @@
 func (e *Edge) encodeValue(t mesh.Topic, have uint64) mesh.Value {
 	roster := e.groups.rosterOf(t)
 	if roster == nil {
-		return e.values.get(t, have)
+		return e.values.encode(t, have)
 	}
 	version, data, err := roster.Encode()
 	if err != nil {
@@ -183,7 +183,7 @@
 func (e *Edge) applyValue(t mesh.Topic, v mesh.Value) {
 	roster := e.groups.rosterOf(t)
 	if roster == nil {
-		e.values.put(t, v)
+		e.values.apply(t, v)
 		return
 	}
 	if err := roster.Update(v.Version, v.Data); err != nil {
--- a/entry/edge/values_test.go
+++ b/entry/edge/values_test.go
@@ -70,7 +70,7 @@
 	a := newApplied()
 	a.applyConfigObjects([]objectapi.Object{object("other", `{"version":9}`, 1), object("main", `{"version":5}`, 1)})
 	assert.Equal(t, a.table.Version(), uint64(5))
-	a.put(topicConfig, mesh.Value{Version: 4, Data: []byte(`{"version":4}`)})
+	a.apply(topicConfig, mesh.Value{Version: 4, Data: []byte(`{"version":4}`)})
 	assert.Equal(t, a.table.Version(), uint64(5))
 	a.applyConfigObjects([]objectapi.Object{object("main", `{"version":"x"}`, 2)})
 	assert.Equal(t, a.table.Version(), uint64(5), "the last good configuration stays")
@@ -78,7 +78,7 @@
 	deleted.Deleted = true
 	a.applyConfigObjects([]objectapi.Object{deleted})
 	assert.Equal(t, a.table.Version(), uint64(5))
-	a.put(topicConfig, mesh.Value{Version: 6, Data: []byte(`{"version":6}`)})
+	a.apply(topicConfig, mesh.Value{Version: 6, Data: []byte(`{"version":6}`)})
 	assert.Equal(t, a.table.Version(), uint64(6))
 	assert.Equal(t, a.versions()[topicConfig], uint64(6))
 }
@@ -100,9 +100,9 @@
 	a.applyEndpointEvents(nil, 9)
 	assert.Equal(t, a.changes, before, "a watch without events changes nothing")
 	assert.Equal(t, a.versions()[topicEndpoints], uint64(8), "others need not fetch what has not changed")
-	a.put(topicEndpoints, mesh.Value{Version: 9, Data: []byte(`{"all":{"x":{"value":{"address":"9"}}}}`)})
+	a.apply(topicEndpoints, mesh.Value{Version: 9, Data: []byte(`{"all":{"x":{"value":{"address":"9"}}}}`)})
 	assert.Equal(t, len(a.endpoints), 2, "it is known up to there")
-	a.put(topicEndpoints, mesh.Value{Version: 10, Data: []byte(`{"all":{"x":{"value":{"address":"9"}}}}`)})
+	a.apply(topicEndpoints, mesh.Value{Version: 10, Data: []byte(`{"all":{"x":{"value":{"address":"9"}}}}`)})
 	assert.Equal(t, len(a.endpoints), 1)
 }
 
@@ -111,7 +111,7 @@
 func TestEndpointsFromAnotherEntry(t *testing.T) {
 	a, b := newApplied(), newApplied()
 	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
-	b.put(topicEndpoints, a.get(topicEndpoints, 0))
+	b.apply(topicEndpoints, a.encode(topicEndpoints, 0))
 	assert.Equal(t, b.endpoints["a"].Address, "1")
 	b.applyEndpointEvents([]objectapi.Object{object("a", `{"address":"old"}`, 2), object("b", `{"address":"2"}`, 9)}, 9)
 	assert.Equal(t, b.endpoints["a"].Address, "1")
@@ -121,9 +121,9 @@
 func TestUnusableUpdatesAreIgnored(t *testing.T) {
 	a := newApplied()
 	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
-	a.put(topicEndpoints, mesh.Value{Version: 9, Data: []byte(`[`)})
+	a.apply(topicEndpoints, mesh.Value{Version: 9, Data: []byte(`[`)})
 	assert.Equal(t, len(a.endpoints), 1)
-	a.put(topicEndpoints, mesh.Value{Version: 10, Data: []byte(`null`)})
+	a.apply(topicEndpoints, mesh.Value{Version: 10, Data: []byte(`null`)})
 	a.applyEndpointEvents([]objectapi.Object{object("b", `{"address":"2"}`, 11)}, 11)
 	assert.Equal(t, a.endpoints["b"].Address, "2")
 	assert.Equal(t, a.endpoints["a"].Address, "1")
@@ -138,23 +138,23 @@
 		list = append(list, object(fmt.Sprintf("e%d", i), `{"address":"1"}`, 3))
 	}
 	a.replaceEndpoints(list, 5)
-	whole := a.get(topicEndpoints, b.versions()[topicEndpoints])
-	b.put(topicEndpoints, whole)
+	whole := a.encode(topicEndpoints, b.versions()[topicEndpoints])
+	b.apply(topicEndpoints, whole)
 	assert.Equal(t, len(b.endpoints), 200)
 
 	gone := object("e7", ``, 8)
 	gone.Deleted = true
 	a.applyEndpointEvents([]objectapi.Object{object("new", `{"address":"2"}`, 7), gone}, 8)
-	part := a.get(topicEndpoints, b.versions()[topicEndpoints])
+	part := a.encode(topicEndpoints, b.versions()[topicEndpoints])
 	assert.Assert(t, len(part.Data) < len(whole.Data)/20, "%d of %d bytes", len(part.Data), len(whole.Data))
-	b.put(topicEndpoints, part)
+	b.apply(topicEndpoints, part)
 	assert.DeepEqual(t, b.endpoints, a.endpoints)
 	assert.Equal(t, b.versions()[topicEndpoints], a.versions()[topicEndpoints])
 
 	// b forwards what it received, and its own watch continues at a's revision.
 	c := newApplied()
-	c.put(topicEndpoints, whole)
-	c.put(topicEndpoints, b.get(topicEndpoints, c.versions()[topicEndpoints]))
+	c.apply(topicEndpoints, whole)
+	c.apply(topicEndpoints, b.encode(topicEndpoints, c.versions()[topicEndpoints]))
 	assert.DeepEqual(t, c.endpoints, a.endpoints)
 	b.applyEndpointEvents([]objectapi.Object{object("new", `{"address":"2"}`, 7), object("e8", `{"address":"3"}`, 9)}, 9)
 	assert.Equal(t, b.endpoints["e8"].Address, "3")
@@ -163,7 +163,7 @@
 	for i := range 2 * maxChanges {
 		a.applyEndpointEvents([]objectapi.Object{object("new", fmt.Sprintf(`{"address":"%d"}`, i), uint64(10+i))}, uint64(10+i))
 	}
-	c.put(topicEndpoints, a.get(topicEndpoints, c.versions()[topicEndpoints]))
+	c.apply(topicEndpoints, a.encode(topicEndpoints, c.versions()[topicEndpoints]))
 	assert.DeepEqual(t, c.endpoints, a.endpoints)
 }
 
@@ -173,13 +173,13 @@
 	a, b := newApplied(), newApplied()
 	a.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 8)
 	b.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 50)
-	a.put(topicEndpoints, b.get(topicEndpoints, 8))
+	a.apply(topicEndpoints, b.encode(topicEndpoints, 8))
 	assert.Equal(t, a.versions()[topicEndpoints], uint64(50), "the same content under a later version")
 	a.applyEndpointEvents(nil, 70)
 	c := newApplied()
 	c.replaceEndpoints([]objectapi.Object{object("a", `{"address":"1"}`, 3)}, 60)
 	before := a.changes
-	a.put(topicEndpoints, c.get(topicEndpoints, 50))
+	a.apply(topicEndpoints, c.encode(topicEndpoints, 50))
 	assert.Equal(t, a.versions()[topicEndpoints], uint64(60), "it is known up to 70")
 	assert.Equal(t, a.changes, before)
 }
--- a/entry/server/fleet.go
+++ b/entry/server/fleet.go
@@ -20,11 +20,11 @@
 
 // node is the entry's membership, configuration replication and host list.
 type node struct {
-	pool     *link.Pool
-	server   *link.Server
-	members  *member.Runner
-	spreader *configsync.Syncer
-	hosts    *hosts.Watcher
+	pool    *link.Pool
+	server  *link.Server
+	members *member.Runner
+	syncer  *configsync.Syncer
+	hosts   *hosts.Watcher
 	// operators carries operators' queries to other entries.
 	operators transport.Caller
 }
@@ -45,8 +45,8 @@
 	if n.members, err = s.newMembers(mux); err != nil {
 		return err
 	}
-	n.spreader, err = configsync.New(configsync.Options{
-		Config: configsync.Default(), Zone: s.config.Zone, Store: s.deps.Store, Applier: s.holder,
+	n.syncer, err = configsync.New(configsync.Options{
+		Config: configsync.Default(), Zone: s.config.Zone, Store: s.deps.Store, Applier: s.applier,
 		Peers: n.members, Caller: mux.Caller(transport.Configuration), Recorder: s.events, Seed: rand.Uint64(),
 	})
 	if err != nil {
@@ -57,14 +57,14 @@
 		Recorder: s.events, OnLeaving: s.setLeaving,
 	})
 	mux.Register(transport.Membership, n.members.Handle)
-	mux.Register(transport.Configuration, n.spreader.Handle)
+	mux.Register(transport.Configuration, n.syncer.Handle)
 	mux.Register(transport.Duties, n.hosts.Handle)
 	mux.Register(transport.Operators, s.operator.Handle)
 	if err := s.connectLimits(mux); err != nil {
 		return err
 	}
 	for _, run := range []func(context.Context){
-		n.members.Run, n.spreader.Run, n.hosts.Run, s.limits.Run, s.expireClaims,
+		n.members.Run, n.syncer.Run, n.hosts.Run, s.limits.Run, s.expireClaims,
 	} {
 		s.wg.Go(func() { run(s.ctx) })
 	}
@@ -85,9 +85,9 @@
 	}
 	return member.NewRunner(member.Options{
 		Config: member.Default(), Zone: s.config.Zone, Host: s.config.Host, Address: address, Seed: rand.Uint64(),
-		AppData: func() []byte { return s.node.spreader.EncodedDigest() },
-		OnAppData: func(from member.Peer, zone id.Zone, note []byte) {
-			s.node.spreader.HandleDigest(from, zone, note)
+		AppData: func() []byte { return s.node.syncer.EncodedDigest() },
+		OnAppData: func(from member.Peer, zone id.Zone, digest []byte) {
+			s.node.syncer.HandleDigest(from, zone, digest)
 		},
 		OnChange: s.recordMemberChange,
 	}, mux.Caller(transport.Membership), time.Now)
--- a/entry/server/operator.go
+++ b/entry/server/operator.go
@@ -29,5 +29,5 @@
 
 // Ready reports whether the configuration is complete and every endpoint in use was contacted.
 func (s *Server) Ready() bool {
-	return s.holder.Current().Complete() && s.endpoints.AllContacted()
+	return s.applier.Current().Complete() && s.endpoints.AllContacted()
 }
--- a/entry/server/operatordeps.go
+++ b/entry/server/operatordeps.go
@@ -16,7 +16,7 @@
 func (s *Server) newOperator() *operator.Service {
 	return operator.New(operator.Deps{
 		Host: s.config.Host, Zone: s.config.Zone, Store: s.deps.Store, Ring: s.deps.Ring, Recorder: s.events,
-		Snapshot: func() *config.Snapshot { return s.holder.Current() },
+		Snapshot: func() *config.Snapshot { return s.applier.Current() },
 		Members:  lazyMembers{s}, Caller: lazyCaller{s},
 		Agents:     operator.LinkAgents{Directory: s.endpoints, Pool: s.pool},
 		Status:     s.table.Status,
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -48,7 +48,7 @@
 	metrics *metrics.Set
 
 	events    timeline.Recorder
-	holder    *configsync.SnapshotApplier
+	applier   *configsync.SnapshotApplier
 	node      node
 	pool      *link.Pool
 	table     *route.Table
@@ -82,7 +82,7 @@
 	s := &Server{config: c, deps: d, metrics: metrics.NewSet(), ctx: ctx, cancel: cancel}
 	s.requests = operator.NewRequestLog(operator.DefaultRequestLogSize, time.Now)
 	s.events = s.requests.Recorder(timeline.LoggingRecorder{Ring: d.Ring, Log: d.Log})
-	s.holder = configsync.NewSnapshotApplier(s.applySnapshot)
+	s.applier = configsync.NewSnapshotApplier(s.applySnapshot)
 	if err := s.initComponents(); err != nil {
 		cancel()
 		return nil, err
@@ -162,7 +162,7 @@
 
 // catalog returns the configuration in force, or false until it has all kinds.
 func (s *Server) catalog() (caller.Catalog, bool) {
-	snapshot := s.holder.Current()
+	snapshot := s.applier.Current()
 	return snapshot, snapshot.Complete()
 }
 
