--- a/itest/stream_test.go
+++ b/itest/stream_test.go
@@ -141,7 +141,7 @@
 	response, err := http.DefaultClient.Do(request)
 	assert.NilError(t, err)
 	defer response.Body.Close()
-	var runs map[string]engine.Run
+	var runs map[string]engine.AttemptStats
 	assert.NilError(t, json.NewDecoder(response.Body).Decode(&runs))
 	total := 0
 	for _, run := range runs {
--- a/lab/engine/config.go
+++ b/lab/engine/config.go
@@ -45,12 +45,12 @@
 	EventLoss float64
 	// EventBuffer bounds the cache events that are kept. Default 4096.
 	EventBuffer int
-	// MaxRuns bounds the attempts counted as witness. Default 1,048,576.
-	MaxRuns int
+	// MaxTrackedAttempts bounds the attempts counted as witness. Default 1,048,576.
+	MaxTrackedAttempts int
 	// Fencing refuses orders and completions with an old epoch. Default off.
 	Fencing bool
-	// Gated makes each step wait for a permit by OrderSteps. Default off.
-	Gated bool
+	// RequirePermits makes each step wait for a permit by OrderSteps. Default off.
+	RequirePermits bool
 	// Group joins the engine to ranks that run in lock-step. Default none.
 	Group *Group
 	// Rank is the index of the engine in its Group.
@@ -65,7 +65,7 @@
 	setDefault(&c.BlockWords, defaultBlockWords)
 	setDefault(&c.CacheBlocks, defaultCacheBlocks)
 	setDefault(&c.EventBuffer, defaultEventBuffer)
-	setDefault(&c.MaxRuns, defaultMaxRuns)
+	setDefault(&c.MaxTrackedAttempts, defaultMaxRuns)
 	return c
 }
 
--- a/lab/engine/contract_test.go
+++ b/lab/engine/contract_test.go
@@ -87,7 +87,7 @@
 
 func (s setup) awaitTokens(t *testing.T, attempt id.Attempt, n int) {
 	t.Helper()
-	s.await(t, "progress", func() bool { return s.engine.Run(attempt).Tokens >= n })
+	s.await(t, "progress", func() bool { return s.engine.Stats(attempt).Tokens >= n })
 }
 
 func TestRunReturnsTheWholeAnswer(t *testing.T) {
@@ -102,8 +102,8 @@
 		assert.DeepEqual(t, got.usage, client.Usage{
 			PromptTokens: 7, CachedTokens: cached, AnswerTokens: 40, FinishReason: engine.FinishLength,
 		})
-		run := s.engine.Run(attempt)
-		assert.Equal(t, run, engine.Run{Accepted: 1, Started: 1, Finished: 1, Tokens: 40}, "call %d", i)
+		run := s.engine.Stats(attempt)
+		assert.Equal(t, run, engine.AttemptStats{Accepted: 1, Started: 1, Finished: 1, Tokens: 40}, "call %d", i)
 	}
 	got := s.run(client.Request{Attempt: "att_stop", Prompt: "mark=a tokens=3", MaxTokens: 40})
 	assert.NilError(t, got.err)
@@ -145,7 +145,7 @@
 			assert.Equal(t, errors.As(got.err, &notStarted), test.notStarted, "%v", got.err)
 			assert.Equal(t, errors.Is(got.err, client.ErrIncomplete), test.incomplete, "%v", got.err)
 			assert.Equal(t, got.err == nil, test.runs == 1 && test.faults.CutNext == 0, "%v", got.err)
-			assert.Equal(t, s.engine.Run("att_1").Accepted, test.runs)
+			assert.Equal(t, s.engine.Stats("att_1").Accepted, test.runs)
 		})
 	}
 }
@@ -208,18 +208,18 @@
 	long := s.background(client.Request{Attempt: "att_long", Prompt: "mark=long", MaxTokens: tokens})
 	s.awaitTokens(t, "att_long", 3)
 	assert.NilError(t, s.client.Pause(s.ctx, "att_long"))
-	paused := s.engine.Run("att_long").Tokens
+	paused := s.engine.Stats("att_long").Tokens
 	assert.Assert(t, paused < tokens)
 
 	short := s.run(client.Request{Attempt: "att_short", Prompt: "mark=short", MaxTokens: 5})
 	assert.NilError(t, short.err)
-	assert.Equal(t, s.engine.Run("att_long").Tokens, paused, "a paused attempt made progress")
+	assert.Equal(t, s.engine.Stats("att_long").Tokens, paused, "a paused attempt made progress")
 
 	assert.NilError(t, s.client.Resume(s.ctx, "att_long"))
 	got := <-long
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.text, engine.Answer("mark=long", tokens))
-	assert.Equal(t, s.engine.Run("att_long"), engine.Run{Accepted: 1, Started: 1, Finished: 1, Tokens: tokens, Pauses: 1})
+	assert.Equal(t, s.engine.Stats("att_long"), engine.AttemptStats{Accepted: 1, Started: 1, Finished: 1, Tokens: tokens, Pauses: 1})
 
 	endless := s.background(client.Request{Attempt: "att_endless", Prompt: "x", MaxTokens: 1 << 16})
 	s.awaitTokens(t, "att_endless", 1)
@@ -237,7 +237,7 @@
 }
 
 func TestPriorityGoesFirst(t *testing.T) {
-	s := start(t, engine.Config{Slots: 1, Gated: true})
+	s := start(t, engine.Config{Slots: 1, RequirePermits: true})
 	var done []<-chan result
 	for _, r := range []client.Request{{Attempt: "att_low"}, {Attempt: "att_high", Priority: 1}} {
 		r.Prompt, r.MaxTokens = "x", 2
@@ -246,8 +246,8 @@
 	}
 	assert.NilError(t, s.client.Order(s.ctx, client.Order{Kind: client.OrderSteps, From: 1, Through: 1}))
 	s.await(t, "one step", func() bool { return s.engine.State().Step == 2 })
-	assert.Equal(t, s.engine.Run("att_high").Tokens, 1)
-	assert.Equal(t, s.engine.Run("att_low").Started, 0)
+	assert.Equal(t, s.engine.Stats("att_high").Tokens, 1)
+	assert.Equal(t, s.engine.Stats("att_low").Started, 0)
 	assert.NilError(t, s.client.Order(s.ctx, client.Order{Kind: client.OrderSteps, From: 2, Through: 10}))
 	for _, d := range done {
 		assert.NilError(t, (<-d).err)
@@ -260,7 +260,7 @@
 	_, err := s.client.Run(s.ctx, client.Request{Attempt: "att_1", Prompt: "x", MaxTokens: 1 << 16}, func(client.Token) error { return stop })
 	assert.Assert(t, errors.Is(err, stop))
 	s.await(t, "the cancel", func() bool { return s.engine.Load().Running == 0 })
-	assert.Equal(t, s.engine.Run("att_1").Finished, 0)
+	assert.Equal(t, s.engine.Stats("att_1").Finished, 0)
 }
 
 func TestCacheEventsLateAndWithGaps(t *testing.T) {
@@ -297,7 +297,7 @@
 		s := start(t, engine.Config{LoadLag: test.lag})
 		s.engine.SetFaults(engine.Faults{Stall: true})
 		done := s.background(client.Request{Attempt: "att_1", Prompt: "x"})
-		s.await(t, "admission", func() bool { return s.engine.Run("att_1").Accepted == 1 })
+		s.await(t, "admission", func() bool { return s.engine.Stats("att_1").Accepted == 1 })
 		load, err := s.client.Load(s.ctx)
 		assert.NilError(t, err)
 		assert.Equal(t, load.Waiting, test.waiting)
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -20,8 +20,8 @@
 	errClosed         = errors.New("engine is closed")
 )
 
-// Run is the witness of one attempt ID.
-type Run struct {
+// AttemptStats is the witness of one attempt ID.
+type AttemptStats struct {
 	// Accepted counts how often the engine took the attempt in.
 	Accepted int `json:"accepted"`
 	// Started counts how often it came into the batch for the first time.
@@ -47,7 +47,7 @@
 	waiting  waitingList
 	running  []*sequence
 	attempts map[id.Attempt]*sequence
-	runs     map[id.Attempt]*Run
+	runs     map[id.Attempt]*AttemptStats
 	lostRuns int
 	arrivals uint64
 	cache    *cache
@@ -68,7 +68,7 @@
 		ctx:      ctx,
 		cancel:   cancel,
 		attempts: make(map[id.Attempt]*sequence),
-		runs:     make(map[id.Attempt]*Run),
+		runs:     make(map[id.Attempt]*AttemptStats),
 		cache:    newCache(c),
 		loads:    loadHistory{lag: c.LoadLag},
 		state:    protocol.State{Models: map[string]string{}, Step: 1},
@@ -146,13 +146,13 @@
 	return nil
 }
 
-func (e *Engine) runOf(attempt id.Attempt) *Run {
+func (e *Engine) runOf(attempt id.Attempt) *AttemptStats {
 	run, ok := e.runs[attempt]
 	if ok {
 		return run
 	}
-	run = new(Run)
-	if len(e.runs) >= e.config.MaxRuns {
+	run = new(AttemptStats)
+	if len(e.runs) >= e.config.MaxTrackedAttempts {
 		e.lostRuns++
 		return run
 	}
@@ -160,25 +160,25 @@
 	return run
 }
 
-// Runs returns the witness of all attempts.
-func (e *Engine) Runs() map[id.Attempt]Run {
+// AllStats returns the witness of all attempts.
+func (e *Engine) AllStats() map[id.Attempt]AttemptStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	runs := make(map[id.Attempt]Run, len(e.runs))
+	runs := make(map[id.Attempt]AttemptStats, len(e.runs))
 	for attempt, run := range e.runs {
 		runs[attempt] = *run
 	}
 	return runs
 }
 
-// Run returns the witness of one attempt.
-func (e *Engine) Run(attempt id.Attempt) Run {
+// Stats returns the witness of one attempt.
+func (e *Engine) Stats(attempt id.Attempt) AttemptStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if run, ok := e.runs[attempt]; ok {
 		return *run
 	}
-	return Run{}
+	return AttemptStats{}
 }
 
 // drop takes a sequence out of the engine. e.mu must be held.
--- a/lab/engine/group.go
+++ b/lab/engine/group.go
@@ -140,8 +140,8 @@
 	return append([]StepRecord{}, g.records...)
 }
 
-// SplitSteps returns the records of steps in which ranks used different maps.
-func (g *Group) SplitSteps() []StepRecord {
+// MismatchedSteps returns the records of steps in which ranks used different maps.
+func (g *Group) MismatchedSteps() []StepRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]StepRecord{}, g.split...)
--- a/lab/engine/group_test.go
+++ b/lab/engine/group_test.go
@@ -37,12 +37,12 @@
 		}
 	}
 	assert.Assert(t, len(group.Steps()) >= 3*60)
-	assert.Equal(t, len(group.SplitSteps()), 0)
+	assert.Equal(t, len(group.MismatchedSteps()), 0)
 
 	// Without a protocol above them, ranks that hold different maps split the step.
 	assert.NilError(t, setups[1].client.Order(setups[1].ctx, client.Order{Kind: client.OrderMap, Epoch: 1, MapVersion: 2}))
 	assert.NilError(t, setups[0].run(client.Request{Attempt: "att_split", Prompt: "x", MaxTokens: 1}).err)
-	split := group.SplitSteps()
+	split := group.MismatchedSteps()
 	assert.Assert(t, len(split) > 0, "the witness must show ranks on different maps")
 	assert.DeepEqual(t, split[0].MapVersions, []uint64{0, 2, 0, 0})
 }
@@ -51,9 +51,9 @@
 	group, setups := startGroup(t, engine.Config{})
 	setups[3].engine.SetFaults(engine.Faults{Stall: true})
 	done := setups[0].background(client.Request{Attempt: "att_1", Prompt: "x", MaxTokens: 5})
-	setups[0].await(t, "admission", func() bool { return setups[0].engine.Run("att_1").Accepted == 1 })
+	setups[0].await(t, "admission", func() bool { return setups[0].engine.Stats("att_1").Accepted == 1 })
 	assert.Equal(t, len(group.Steps()), 0)
-	assert.Equal(t, setups[0].engine.Run("att_1").Tokens, 0)
+	assert.Equal(t, setups[0].engine.Stats("att_1").Tokens, 0)
 	setups[3].engine.SetFaults(engine.Faults{})
 	assert.NilError(t, (<-done).err)
 }
@@ -64,9 +64,9 @@
 	setups[2].engine.Close()
 	before := len(group.Steps())
 	done := setups[0].background(client.Request{Attempt: "att_2", Prompt: "x", MaxTokens: 5})
-	setups[0].await(t, "admission", func() bool { return setups[0].engine.Run("att_2").Accepted == 1 })
+	setups[0].await(t, "admission", func() bool { return setups[0].engine.Stats("att_2").Accepted == 1 })
 	assert.Assert(t, len(group.Steps()) <= before+1, "the dead rank may have joined one step")
-	assert.Equal(t, setups[0].engine.Run("att_2").Finished, 0)
+	assert.Equal(t, setups[0].engine.Stats("att_2").Finished, 0)
 
 	replacement := start(t, engine.Config{Group: group, Rank: 2})
 	assert.NilError(t, (<-done).err)
@@ -76,7 +76,7 @@
 }
 
 func TestGatedRanksNeedPermits(t *testing.T) {
-	group, setups := startGroup(t, engine.Config{Gated: true})
+	group, setups := startGroup(t, engine.Config{RequirePermits: true})
 	done := setups[0].background(client.Request{Attempt: "att_1", Prompt: "x", MaxTokens: 20})
 	permit := func(from, through, version uint64) {
 		for _, s := range setups {
@@ -86,10 +86,10 @@
 	}
 	permit(1, 5, 7)
 	setups[0].await(t, "five steps", func() bool { return len(group.Steps()) == 5 })
-	assert.Equal(t, setups[0].engine.Run("att_1").Finished, 0)
+	assert.Equal(t, setups[0].engine.Stats("att_1").Finished, 0)
 	permit(6, 1000, 8)
 	assert.NilError(t, (<-done).err)
-	assert.Equal(t, len(group.SplitSteps()), 0)
+	assert.Equal(t, len(group.MismatchedSteps()), 0)
 	for _, step := range group.Steps() {
 		want := uint64(7)
 		if step.Step > 5 {
--- a/lab/engine/http.go
+++ b/lab/engine/http.go
@@ -28,9 +28,9 @@
 }
 
 func (e *Engine) labRoutes(r chi.Router) {
-	r.Get("/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Runs()) })
+	r.Get("/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.AllStats()) })
 	r.Get("/runs/{attempt}", func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, http.StatusOK, e.Run(id.Attempt(chi.URLParam(r, "attempt"))))
+		writeJSON(w, http.StatusOK, e.Stats(id.Attempt(chi.URLParam(r, "attempt"))))
 	})
 	r.Get("/faults", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Faults()) })
 	r.Put("/faults", e.serveSetFaults)
@@ -41,7 +41,7 @@
 	if group := e.config.Group; group != nil {
 		r.Get("/steps", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, group.Steps()) })
 		r.Get("/steps/split", func(w http.ResponseWriter, _ *http.Request) {
-			writeJSON(w, http.StatusOK, group.SplitSteps())
+			writeJSON(w, http.StatusOK, group.MismatchedSteps())
 		})
 	}
 }
--- a/lab/engine/sequence.go
+++ b/lab/engine/sequence.go
@@ -27,7 +27,7 @@
 	script   script
 	blocks   []uint64
 	prompt   int // tokens of the prompt
-	run      *Run
+	run      *AttemptStats
 
 	// These belong to the engine's mutex.
 	prefilled bool
--- a/lab/engine/step.go
+++ b/lab/engine/step.go
@@ -71,7 +71,7 @@
 	if !busy && !groupActive {
 		return false
 	}
-	if !e.config.Gated {
+	if !e.config.RequirePermits {
 		return true
 	}
 	_, ok := e.permitted(e.state.Step)
@@ -82,7 +82,7 @@
 func (e *Engine) beginStep() (busy bool, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.config.Gated {
+	if e.config.RequirePermits {
 		version, _ = e.permitted(e.state.Step)
 		e.state.MapVersion = version
 	}
