--- a/cmd/internal/sitelab/sitelab.go
+++ b/cmd/internal/sitelab/sitelab.go
@@ -81,9 +81,9 @@
 		Network: c.network, Zones: 3, Entries: c.entries, Ranks: c.ranks, Plain: 3, Events: streamEvents, Dir: dir,
 		ClientPort: ports[0], ReadyPort: ports[1], ControlPort: ports[2], InternalPort: ports[3], AppPort: ports[4], StorePort: ports[5],
 		Group: replicas.GroupConfig{
-			Name: "g0", Slots: slots, Queue: 2 * slots, Sets: 4, PerSet: 4 * c.ranks, Places: 5, MaxNew: 2,
-			Step: 15 * time.Millisecond, PerStream: 3 * time.Millisecond, Copy: 100 * time.Millisecond,
-			Form: 600 * time.Millisecond, Stall: 1500 * time.Millisecond, Seed: 1,
+			Name: "g0", Slots: slots, MaxWaiting: 2 * slots, LayerSets: 4, ExpertsPerSet: 4 * c.ranks, MaxPerRank: 5, MaxNewPerMap: 2,
+			StepTime: 15 * time.Millisecond, TimePerStream: 3 * time.Millisecond, CopyTime: 100 * time.Millisecond,
+			FormTime: 600 * time.Millisecond, StallTimeout: 1500 * time.Millisecond, Seed: 1,
 		},
 	}
 }
@@ -224,10 +224,10 @@
 		case <-ctx.Done():
 		case <-look.C:
 			s := site.Group.Status()
-			fmt.Fprintf(out, "pass %d: the most loaded rank has %.2f times the mean, %d maps so far\n", s.Step, s.Skew, s.Switches)
+			fmt.Fprintf(out, "pass %d: the most loaded rank has %.2f times the mean, %d maps so far\n", s.Step, s.Skew, s.MapSwitches)
 			if n == 4 {
 				fmt.Fprintln(out, "demand for experts shifts")
-				site.Group.Shift()
+				site.Group.ShiftPopularity()
 			}
 		}
 	}
--- a/itest/maps/coordinator_test.go
+++ b/itest/maps/coordinator_test.go
@@ -49,9 +49,9 @@
 
 func newSite(t *testing.T) *site {
 	s := &site{t: t, store: faultstore.New(memstore.New(memstore.Config{})), group: replicas.NewGroup(replicas.GroupConfig{
-		Name: "g", Ranks: ranks, Slots: 8, Queue: 16, Sets: 2, PerSet: 16, Places: 6, MaxNew: 2,
-		Step: 5 * time.Millisecond, PerStream: 300 * time.Microsecond, Copy: 10 * time.Millisecond,
-		Form: 100 * time.Millisecond, Stall: 300 * time.Millisecond, Seed: 3,
+		Name: "g", Ranks: ranks, Slots: 8, MaxWaiting: 16, LayerSets: 2, ExpertsPerSet: 16, MaxPerRank: 6, MaxNewPerMap: 2,
+		StepTime: 5 * time.Millisecond, TimePerStream: 300 * time.Microsecond, CopyTime: 10 * time.Millisecond,
+		FormTime: 100 * time.Millisecond, StallTimeout: 300 * time.Millisecond, Seed: 3,
 	})}
 	t.Cleanup(s.group.Close)
 	for i := range ranks {
@@ -157,7 +157,7 @@
 // after a change.
 func (s *site) follows(limit time.Duration) {
 	s.t.Helper()
-	s.await("the map follows the demand", limit, func() bool { return s.group.Status().Switches > 0 && s.group.Status().Skew < 1.5 })
+	s.await("the map follows the demand", limit, func() bool { return s.group.Status().MapSwitches > 0 && s.group.Status().Skew < 1.5 })
 	assert.Equal(s.t, len(s.group.Status().Violations), 0, "%v", s.group.Status().Violations)
 }
 
@@ -170,9 +170,9 @@
 	s.follows(10 * time.Second)
 	s.store.SetDown(true)
 	time.Sleep(3 * time.Second) // Longer than the lease lasts.
-	before := s.group.Status().Switches
-	s.group.Shift()
-	s.await("a map for the new demand", 3*time.Second, func() bool { return s.group.Status().Switches > before })
+	before := s.group.Status().MapSwitches
+	s.group.ShiftPopularity()
+	s.await("a map for the new demand", 3*time.Second, func() bool { return s.group.Status().MapSwitches > before })
 	s.follows(3 * time.Second)
 	assert.Assert(t, c.FencingToken() > 0)
 }
@@ -202,12 +202,12 @@
 	defer stopSecond()
 	s.await("the second one plans too", 5*time.Second, func() bool { return second.FencingToken() > 0 })
 	for range 5 {
-		s.group.ApplyLate(0.3, 100*time.Millisecond)
-		s.group.Shift()
+		s.group.DelayOrders(0.3, 100*time.Millisecond)
+		s.group.ShiftPopularity()
 		time.Sleep(400 * time.Millisecond)
 		assert.Equal(t, len(s.group.Status().Violations), 0, "%v", s.group.Status().Violations)
 	}
-	s.group.ApplyLate(0, 0)
+	s.group.DelayOrders(0, 0)
 	s.await("the group is not held", 3*time.Second, func() bool { return !s.group.Status().Held })
 	s.follows(5 * time.Second)
 }
--- a/lab/replicas/engine.go
+++ b/lab/replicas/engine.go
@@ -134,13 +134,13 @@
 		return relay.Conflict
 	case o.Version == r.prepared:
 		return relay.Done
-	case o.Version <= r.highest || len(o.Experts) != g.cfg.Sets:
+	case o.Version <= r.highest || len(o.Experts) != g.cfg.LayerSets:
 		return relay.Conflict
 	}
 	copies := 0
-	experts := make([][]int, g.cfg.Sets)
+	experts := make([][]int, g.cfg.LayerSets)
 	for set := range experts {
-		if len(o.Experts[set]) != len(g.ranks) || len(o.Experts[set][index]) > g.cfg.Places {
+		if len(o.Experts[set]) != len(g.ranks) || len(o.Experts[set][index]) > g.cfg.MaxPerRank {
 			return relay.Refused
 		}
 		experts[set] = slices.Clone(o.Experts[set][index])
@@ -150,12 +150,12 @@
 				fresh++
 			}
 		}
-		if fresh > g.cfg.MaxNew {
+		if fresh > g.cfg.MaxNewPerMap {
 			return relay.Conflict
 		}
 		copies += fresh
 	}
 	r.prepared, r.highest, r.preparedExperts = o.Version, o.Version, experts
-	r.readyAt = time.Now().Add(time.Duration(copies) * g.cfg.Copy)
+	r.readyAt = time.Now().Add(time.Duration(copies) * g.cfg.CopyTime)
 	return relay.Done
 }
--- a/lab/replicas/group.go
+++ b/lab/replicas/group.go
@@ -20,29 +20,29 @@
 type GroupConfig struct {
 	Name  id.Group
 	Ranks int
-	// Slots is the number of streams that a rank runs at the same time, and Queue
+	// Slots is the number of streams that a rank runs at the same time, and MaxWaiting
 	// the number that wait.
-	Slots, Queue int
-	// Sets, PerSet, Places and MaxNew describe the experts of a set of layers.
-	Sets, PerSet, Places, MaxNew int
-	// Step is the time of a pass without load, and PerStream is added for the
+	Slots, MaxWaiting int
+	// LayerSets, ExpertsPerSet, MaxPerRank and MaxNewPerMap describe the experts of a set of layers.
+	LayerSets, ExpertsPerSet, MaxPerRank, MaxNewPerMap int
+	// StepTime is the time of a pass without load, and TimePerStream is added for the
 	// streams of a rank with an even map.
-	Step, PerStream time.Duration
-	// Copy is the time in which a rank copies one expert.
-	Copy time.Duration
-	// Form is the time in which the group opens after its last rank is back, and
-	// Stall the time for which work waits for a lost rank.
-	Form, Stall time.Duration
+	StepTime, TimePerStream time.Duration
+	// CopyTime is the time in which a rank copies one expert.
+	CopyTime time.Duration
+	// FormTime is the time in which the group opens after its last rank is back, and
+	// StallTimeout the time for which work waits for a lost rank.
+	FormTime, StallTimeout time.Duration
 	Seed        uint64
 }
 
-// ErrFull means that a rank has no place for a stream, which was not started.
-var ErrFull = errors.New("the rank is full")
+// ErrQueueFull means that a rank has no place for a stream, which was not started.
+var ErrQueueFull = errors.New("the rank is full")
 
-// BrokenError means that the group lacks a rank. The stream was not started.
-type BrokenError struct{ Rank int }
+// MissingRankError means that the group lacks a rank. The stream was not started.
+type MissingRankError struct{ Rank int }
 
-func (e *BrokenError) Error() string { return fmt.Sprintf("rank %d is missing", e.Rank) }
+func (e *MissingRankError) Error() string { return fmt.Sprintf("rank %d is missing", e.Rank) }
 
 // Group is a group of ranks. It is safe for concurrent use.
 type Group struct {
@@ -97,11 +97,11 @@
 	g := &Group{
 		cfg: cfg, stop: make(chan struct{}), rng: rand.New(rand.NewPCG(cfg.Seed, 7)), missing: make(map[int]time.Time),
 	}
-	for range cfg.Sets {
-		g.popular = append(g.popular, g.rng.Perm(cfg.PerSet))
+	for range cfg.LayerSets {
+		g.popular = append(g.popular, g.rng.Perm(cfg.ExpertsPerSet))
 	}
 	for range cfg.Ranks {
-		g.ranks = append(g.ranks, &rank{born: time.Now().UnixMilli(), counts: make([]uint64, cfg.Sets*cfg.PerSet)})
+		g.ranks = append(g.ranks, &rank{born: time.Now().UnixMilli(), counts: make([]uint64, cfg.LayerSets*cfg.ExpertsPerSet)})
 	}
 	g.form()
 	go g.run()
@@ -116,9 +116,9 @@
 	g.epoch++
 	for i, r := range g.ranks {
 		r.version, r.highest, r.prepared, r.armed, r.armedAt, r.held = 0, 0, 0, 0, 0, 0
-		r.experts = make([][]int, g.cfg.Sets)
+		r.experts = make([][]int, g.cfg.LayerSets)
 		for s := range r.experts {
-			for e := i; e < g.cfg.PerSet; e += g.cfg.Ranks {
+			for e := i; e < g.cfg.ExpertsPerSet; e += g.cfg.Ranks {
 				r.experts[s] = append(r.experts[s], e)
 			}
 		}
@@ -130,13 +130,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for lost, since := range g.missing {
-		if lost != rankIndex && time.Since(since) > g.cfg.Stall {
-			return nil, &BrokenError{Rank: lost}
+		if lost != rankIndex && time.Since(since) > g.cfg.StallTimeout {
+			return nil, &MissingRankError{Rank: lost}
 		}
 	}
 	r := g.ranks[rankIndex]
-	if len(r.running)+len(r.waiting) >= g.cfg.Slots+g.cfg.Queue {
-		return nil, ErrFull
+	if len(r.running)+len(r.waiting) >= g.cfg.Slots+g.cfg.MaxWaiting {
+		return nil, ErrQueueFull
 	}
 	s := &Stream{Events: make(chan int, last+1), next: after + 1, last: last, prompt: true}
 	r.waiting = append(r.waiting, s)
@@ -150,8 +150,8 @@
 	s.gone = true
 }
 
-// Lose takes a rank away; its streams break off at once and all others after the stall.
-func (g *Group) Lose(i int) {
+// FailRank takes a rank away; its streams break off at once and all others after the stall.
+func (g *Group) FailRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.missing[i] = time.Now()
@@ -159,29 +159,29 @@
 	g.breakOff(g.ranks[i])
 }
 
-// Return brings a rank back under the same name. The group forms anew.
-func (g *Group) Return(i int) {
+// RestoreRank brings a rank back under the same name. The group forms anew.
+func (g *Group) RestoreRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.missing, i)
 	r := g.ranks[i]
-	*r = rank{born: time.Now().UnixMilli(), counts: make([]uint64, g.cfg.Sets*g.cfg.PerSet), experts: r.experts}
+	*r = rank{born: time.Now().UnixMilli(), counts: make([]uint64, g.cfg.LayerSets*g.cfg.ExpertsPerSet), experts: r.experts}
 	if len(g.missing) == 0 {
-		g.formingAt = time.Now().Add(g.cfg.Form)
+		g.formingAt = time.Now().Add(g.cfg.FormTime)
 	}
 }
 
-// Shift makes other experts popular.
-func (g *Group) Shift() {
+// ShiftPopularity makes other experts popular.
+func (g *Group) ShiftPopularity() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for s := range g.popular {
-		g.popular[s] = g.rng.Perm(g.cfg.PerSet)
+		g.popular[s] = g.rng.Perm(g.cfg.ExpertsPerSet)
 	}
 }
 
-// ApplyLate leaves a share of the orders unanswered and carries them out later.
-func (g *Group) ApplyLate(share float64, by time.Duration) {
+// DelayOrders leaves a share of the orders unanswered and carries them out later.
+func (g *Group) DelayOrders(share float64, by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.late, g.lateBy = share, by
@@ -191,8 +191,8 @@
 type Status struct {
 	// Skew is the largest rank load over the mean in the last pass, averaged over the sets.
 	Skew float64
-	// Switches counts the maps taken into use, and Step the passes.
-	Switches int
+	// MapSwitches counts the maps taken into use, and Step the passes.
+	MapSwitches int
 	Step     uint64
 	// Held is true while a rank keeps the group from a step to come.
 	Held bool
@@ -204,7 +204,7 @@
 func (g *Group) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Status{Skew: g.skew, Switches: g.switches, Step: g.step, Held: g.held(), Violations: g.violations}
+	return Status{Skew: g.skew, MapSwitches: g.switches, Step: g.step, Held: g.held(), Violations: g.violations}
 }
 
 func (g *Group) held() bool {
--- a/lab/replicas/pass.go
+++ b/lab/replicas/pass.go
@@ -33,7 +33,7 @@
 // ready reports whether the group is open, and forms it when its time has come.
 func (g *Group) ready(now time.Time) bool {
 	for _, since := range g.missing {
-		if now.Sub(since) > g.cfg.Stall {
+		if now.Sub(since) > g.cfg.StallTimeout {
 			for _, r := range g.ranks {
 				g.breakOff(r)
 			}
@@ -75,7 +75,7 @@
 		g.work(r)
 	}
 	g.skew = g.measureSkew()
-	return g.cfg.Step + time.Duration(float64(fullest)*g.skew*float64(g.cfg.PerStream))
+	return g.cfg.StepTime + time.Duration(float64(fullest)*g.skew*float64(g.cfg.TimePerStream))
 }
 
 func (g *Group) switchMaps() {
@@ -113,7 +113,7 @@
 		}
 		for set := range g.popular {
 			for range picks {
-				r.counts[set*g.cfg.PerSet+g.choose(set)]++
+				r.counts[set*g.cfg.ExpertsPerSet+g.choose(set)]++
 			}
 		}
 		if s.next > s.last {
@@ -131,9 +131,9 @@
 		i++
 	}
 	if i == 6 {
-		i = g.rng.IntN(g.cfg.PerSet)
+		i = g.rng.IntN(g.cfg.ExpertsPerSet)
 	}
-	return g.popular[set][i%g.cfg.PerSet]
+	return g.popular[set][i%g.cfg.ExpertsPerSet]
 }
 
 // measureSkew returns the largest rank load over the mean under the popularity
@@ -141,14 +141,14 @@
 func (g *Group) measureSkew() float64 {
 	var sum float64
 	for set := range g.popular {
-		weight := make([]float64, g.cfg.PerSet)
+		weight := make([]float64, g.cfg.ExpertsPerSet)
 		for i, e := range g.popular[set] {
-			weight[e] = 1.0 / 64 / float64(g.cfg.PerSet)
+			weight[e] = 1.0 / 64 / float64(g.cfg.ExpertsPerSet)
 			if i < 6 {
 				weight[e] += 1 / float64(int(2)<<i)
 			}
 		}
-		replicas := make([]float64, g.cfg.PerSet)
+		replicas := make([]float64, g.cfg.ExpertsPerSet)
 		for _, r := range g.ranks {
 			for _, e := range r.experts[set] {
 				replicas[e]++
--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -62,7 +62,7 @@
 
 // checkReply checks what can be told from one exchange.
 func (r *run) checkReply(x *exchange) {
-	runs := r.site.Ledger().Runs(x.ID)
+	runs := r.site.Ledger().Count(x.ID)
 	fail := func(promise, format string, args ...any) {
 		r.record.violate(Violation{
 			Promise: promise, At: x.Done, Request: x.ID,
@@ -120,7 +120,7 @@
 
 // checkRuns checks how often a request ran, also after it was answered.
 func (r *run) checkRuns(x *exchange) {
-	runs := r.site.Ledger().Runs(x.ID)
+	runs := r.site.Ledger().Count(x.ID)
 	if x.Kind == Issue && runs > 1 {
 		r.record.report(Violation{Promise: promiseOnce, At: x.At, Request: x.ID, Detail: fmt.Sprintf("it ran %d times", runs)})
 	}
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -194,12 +194,12 @@
 	r.loss.Lock()
 	r.lost[h.Index]++
 	r.loss.Unlock()
-	r.site.Group().Lose(h.Index)
+	r.site.Group().FailRank(h.Index)
 	return func() {
 		r.loss.Lock()
 		r.lost[h.Index]--
 		if r.lost[h.Index] == 0 {
-			r.site.Group().Return(h.Index)
+			r.site.Group().RestoreRank(h.Index)
 		}
 		r.loss.Unlock()
 		back()
@@ -207,11 +207,11 @@
 }
 
 func lateOrders(r *run, f Fault) func() {
-	r.site.Group().ApplyLate(0.1+0.5*f.X, time.Duration(float64(2*time.Second)*f.X))
-	return func() { r.site.Group().ApplyLate(0, 0) }
+	r.site.Group().DelayOrders(0.1+0.5*f.X, time.Duration(float64(2*time.Second)*f.X))
+	return func() { r.site.Group().DelayOrders(0, 0) }
 }
 
-func shiftDemand(r *run, _ Fault) func() { r.site.Group().Shift(); return nil }
+func shiftDemand(r *run, _ Fault) func() { r.site.Group().ShiftPopularity(); return nil }
 
 func platform(t faults.Trouble) strike {
 	return func(r *run, _ Fault) func() {
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -42,7 +42,7 @@
 func (r *run) result() Result {
 	out := Result{
 		Seed: r.plan.Seed, Faults: len(r.plan.Faults), Violations: r.record.violations(), Took: time.Since(r.began),
-		Changes: r.site.Group().Status().Switches,
+		Changes: r.site.Group().Status().MapSwitches,
 	}
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -142,7 +142,7 @@
 // drift changes the demand for experts until ctx ends, so that maps change all the time.
 func (r *run) drift(ctx context.Context) {
 	for sleep(ctx, driftInterval) {
-		r.site.Group().Shift()
+		r.site.Group().ShiftPopularity()
 	}
 }
 
