--- a/itest/ranks_measure_test.go
+++ b/itest/ranks_measure_test.go
@@ -72,7 +72,7 @@
 func (m window) slowed() (median int64, excess []int64) {
 	var times []int64
 	for i := range len(m.steps) - 1 {
-		times = append(times, m.steps[i+1].Begun-m.steps[i].Begun)
+		times = append(times, m.steps[i+1].BegunMicros-m.steps[i].BegunMicros)
 	}
 	sorted := slices.Sorted(slices.Values(times))
 	median = sorted[len(sorted)/2]
--- a/itest/ranks_test.go
+++ b/itest/ranks_test.go
@@ -70,7 +70,7 @@
 	w.t.Helper()
 	s, err := w.Ranks.Summary(context.WithoutCancel(w.ctx))
 	assert.NilError(w.t, err)
-	assert.Equal(w.t, len(s.Splits), 0, "%+v", s.Splits)
+	assert.Equal(w.t, len(s.Violations), 0, "%+v", s.Violations)
 	return s
 }
 
@@ -208,7 +208,7 @@
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 5, ranks.Faults{}))
 		}},
 		{"orders take effect late, engines check fencing", []string{"--fencing"}, func(w *groupWorld) {
-			late := ranks.Faults{OrderDelay: 1200}
+			late := ranks.Faults{OrderDelayMS: 1200}
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 2, late))
 			w.awaitChange()
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 2, ranks.Faults{}))
--- a/lab/ranks/config.go
+++ b/lab/ranks/config.go
@@ -28,16 +28,16 @@
 	Jitter time.Duration
 	// StageTime is the time in which a rank loads the weights of a map. Default 50 ms.
 	StageTime time.Duration
-	// Tokens is the number of tokens of a layer in each step. Default 4,096.
-	Tokens float64
-	// Exponent is that of the Zipf distribution of the experts' popularity. Default 1.
-	Exponent float64
-	// Drift is the time between changes of the popularity. Zero means none.
-	Drift time.Duration
+	// TokensPerLayer is the number of tokens of a layer in each step. Default 4,096.
+	TokensPerLayer float64
+	// ZipfExponent is that of the Zipf distribution of the experts' popularity. Default 1.
+	ZipfExponent float64
+	// DriftInterval is the time between changes of the popularity. Zero means none.
+	DriftInterval time.Duration
 	// Fencing refuses orders with an old fencing number. Default off.
 	Fencing bool
-	// Keep is the number of steps whose record is kept. Default 4,096.
-	Keep int
+	// MaxRecords is the number of steps whose record is kept. Default 4,096.
+	MaxRecords int
 	// Seed determines popularity and delays.
 	Seed uint64
 }
@@ -46,9 +46,9 @@
 	setDefault(&c.StepTime, defaultStepTime)
 	setDefault(&c.TokenTime, defaultTokenTime)
 	setDefault(&c.StageTime, defaultStageTime)
-	setDefault(&c.Tokens, defaultTokens)
-	setDefault(&c.Exponent, defaultExponent)
-	setDefault(&c.Keep, defaultKeep)
+	setDefault(&c.TokensPerLayer, defaultTokens)
+	setDefault(&c.ZipfExponent, defaultExponent)
+	setDefault(&c.MaxRecords, defaultKeep)
 	return c
 }
 
--- a/lab/ranks/group.go
+++ b/lab/ranks/group.go
@@ -34,7 +34,7 @@
 	c = c.withDefaults()
 	now := time.Now()
 	g := &Group{
-		config: c, rand: rand.New(rand.NewPCG(c.Seed, 2)), witness: newWitness(c.Size, c.Keep, now),
+		config: c, rand: rand.New(rand.NewPCG(c.Seed, 2)), witness: newWitness(c.Size, c.MaxRecords, now),
 		popularity: newPopularity(c), drifted: now, replicas: map[lockstep.Version][][]int{},
 	}
 	for range c.Size {
@@ -61,7 +61,7 @@
 func (g *Group) Advance(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.config.Drift > 0 && now.Sub(g.drifted) >= g.config.Drift {
+	if g.config.DriftInterval > 0 && now.Sub(g.drifted) >= g.config.DriftInterval {
 		g.drifted = now
 		g.popularity.drift()
 	}
@@ -142,7 +142,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.witness.summary
-	s.Splits = slices.Clone(s.Splits)
+	s.Violations = slices.Clone(s.Violations)
 	s.Maps = slices.Clone(s.Maps)
 	return s
 }
--- a/lab/ranks/popularity.go
+++ b/lab/ranks/popularity.go
@@ -30,11 +30,11 @@
 	load := make(expertmap.Load, c.Experts)
 	var sum float64
 	for place, e := range p.rand.Perm(c.Experts) {
-		load[e] = math.Pow(float64(place+1), -c.Exponent)
+		load[e] = math.Pow(float64(place+1), -c.ZipfExponent)
 		sum += load[e]
 	}
 	for e := range load {
-		load[e] *= c.Tokens / sum
+		load[e] *= c.TokensPerLayer / sum
 	}
 	return load
 }
--- a/lab/ranks/rank.go
+++ b/lab/ranks/rank.go
@@ -23,8 +23,8 @@
 type Faults struct {
 	// Stall keeps the rank from answering and from beginning steps.
 	Stall bool `json:"stall"`
-	// OrderDelay is the time until an accepted order takes effect. Unit: milliseconds.
-	OrderDelay int `json:"order_delay_ms"`
+	// OrderDelayMS is the time until an accepted order takes effect. Unit: milliseconds.
+	OrderDelayMS int `json:"order_delay_ms"`
 }
 
 // engine is the engine of one rank. It is guarded by Group.mu.
@@ -61,8 +61,8 @@
 	if o.Formation != e.state.Order.Formation && !o.EntersFormation() {
 		return errOutside
 	}
-	if e.faults.OrderDelay > 0 {
-		at := now.Add(time.Duration(e.faults.OrderDelay) * time.Millisecond)
+	if e.faults.OrderDelayMS > 0 {
+		at := now.Add(time.Duration(e.faults.OrderDelayMS) * time.Millisecond)
 		e.delayed = append(e.delayed, delayedOrder{order: o, at: at})
 		return nil
 	}
--- a/lab/ranks/ranks_test.go
+++ b/lab/ranks/ranks_test.go
@@ -43,7 +43,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			w := newWitness(2, 4, time.Time{})
 			tt.begin(w)
-			assert.Equal(t, len(w.summary.Splits), tt.splits)
+			assert.Equal(t, len(w.summary.Violations), tt.splits)
 		})
 	}
 }
@@ -99,5 +99,5 @@
 	assert.ErrorContains(t, engines[0].SetMap(ctx, old), errFenced.Error())
 	g.Restart(0)
 	assert.ErrorContains(t, engines[0].SetMap(ctx, forward), errOutside.Error())
-	assert.Equal(t, len(g.Summary().Splits), 0)
+	assert.Equal(t, len(g.Summary().Violations), 0)
 }
--- a/lab/ranks/witness.go
+++ b/lab/ranks/witness.go
@@ -14,9 +14,9 @@
 	// MapVersions holds the map that each rank used, zero for a rank that has
 	// not begun the step.
 	MapVersions []lockstep.Version `json:"map_versions"`
-	// Begun is the time since the start of the group at which the first rank
+	// BegunMicros is the time since the start of the group at which the first rank
 	// began the step. Unit: microseconds.
-	Begun int64 `json:"begun_us"`
+	BegunMicros int64 `json:"begun_us"`
 	// Skew is the longest over the mean time of the ranks that began the step.
 	Skew float64 `json:"skew"`
 }
@@ -25,9 +25,9 @@
 type Summary struct {
 	// Steps is the number of steps that every rank began.
 	Steps uint64 `json:"steps"`
-	// Splits are the records of steps against the rule that all ranks use one map,
+	// Violations are the records of steps against the rule that all ranks use one map,
 	// and that no step of a formation is begun after one of a later formation.
-	Splits []StepRecord `json:"splits"`
+	Violations []StepRecord `json:"splits"`
 	// Maps are the maps of all steps, in order of their first use.
 	Maps      []lockstep.Version `json:"maps"`
 	Formation lockstep.Epoch     `json:"formation"`
@@ -88,7 +88,7 @@
 	if s == nil {
 		s = &openStep{record: StepRecord{
 			Formation: key.formation, Step: key.step,
-			MapVersions: make([]lockstep.Version, w.size), Begun: now.Sub(w.started).Microseconds(),
+			MapVersions: make([]lockstep.Version, w.size), BegunMicros: now.Sub(w.started).Microseconds(),
 		}}
 		w.open[key] = s
 	}
@@ -106,9 +106,9 @@
 }
 
 func (w *witness) split(r StepRecord) {
-	if len(w.summary.Splits) < maxSplits {
+	if len(w.summary.Violations) < maxSplits {
 		r.MapVersions = slices.Clone(r.MapVersions)
-		w.summary.Splits = append(w.summary.Splits, r)
+		w.summary.Violations = append(w.summary.Violations, r)
 	}
 }
 
