--- a/lab/plainservice/contract_test.go
+++ b/lab/plainservice/contract_test.go
@@ -70,13 +70,13 @@
 		assert.Equal(t, status, step.status, "step %d", i)
 		assert.Equal(t, record.Mark, step.request.Header[1].Value)
 	}
-	assert.DeepEqual(t, service.Runs(), map[string]int{"k1": 1, "k2": 2, "k3": 1, "k4": 1, "k5": 1, "k6": 1})
+	assert.DeepEqual(t, service.Executions(), map[string]int{"k1": 1, "k2": 2, "k3": 1, "k4": 1, "k5": 1, "k6": 1})
 	assert.Equal(t, len(service.Tags("bay-7")), 2, "the stand-in must not remove duplicates")
 
 	status, _, err := send(request("POST", "/tags", "k7", `{}`))
 	assert.NilError(t, err)
 	assert.Equal(t, status, 400)
-	assert.Equal(t, service.Runs()["k7"], 0)
+	assert.Equal(t, service.Executions()["k7"], 0)
 }
 
 func TestFaultsAndWitness(t *testing.T) {
@@ -105,7 +105,7 @@
 			var notStarted *plain.NotStartedError
 			assert.Assert(t, !errors.As(err, &notStarted))
 			assert.Equal(t, status, test.status)
-			assert.Equal(t, service.Runs()["k1"], test.runs)
+			assert.Equal(t, service.Executions()["k1"], test.runs)
 		})
 	}
 }
--- a/lab/plainservice/plainservice.go
+++ b/lab/plainservice/plainservice.go
@@ -31,8 +31,8 @@
 type Config struct {
 	// Delay is the time that each run takes. Default 0.
 	Delay time.Duration
-	// MaxRuns bounds the keys that are counted. Default 1,048,576.
-	MaxRuns int
+	// MaxTrackedKeys bounds the keys that are counted. Default 1,048,576.
+	MaxTrackedKeys int
 }
 
 // Faults are the injected faults of a service.
@@ -95,8 +95,8 @@
 
 // New returns a service without reservations and tags.
 func New(c Config) *Service {
-	if c.MaxRuns <= 0 {
-		c.MaxRuns = defaultMaxRuns
+	if c.MaxTrackedKeys <= 0 {
+		c.MaxTrackedKeys = defaultMaxRuns
 	}
 	return &Service{
 		config:       c,
@@ -114,7 +114,7 @@
 	r.Delete("/tags/{id}", s.run(s.void))
 	r.Get("/tags/{id}", s.run(s.tag))
 	r.Get("/stock/{id}", s.run(s.stock))
-	r.Get("/lab/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Runs()) })
+	r.Get("/lab/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Executions()) })
 	r.Get("/lab/tags/{id}", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, s.Tags(chi.URLParam(r, "id")))
 	})
@@ -125,8 +125,8 @@
 	return r
 }
 
-// Runs returns how often requests of each key ran.
-func (s *Service) Runs() map[string]int {
+// Executions returns how often requests of each key ran.
+func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	runs := make(map[string]int, len(s.runs))
@@ -243,7 +243,7 @@
 func (s *Service) perform(key string, c call, act action) (int, any, ending) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.runs[key]; known || len(s.runs) < s.config.MaxRuns {
+	if _, known := s.runs[key]; known || len(s.runs) < s.config.MaxTrackedKeys {
 		s.runs[key]++
 	} else {
 		s.lostRuns++
