--- a/lab/replicas/executions.go
+++ b/lab/replicas/executions.go
@@ -13,7 +13,9 @@
 }
 
 // NewExecutionCounter returns an empty ledger.
-func NewExecutionCounter() *ExecutionCounter { return &ExecutionCounter{runs: make(map[id.Request]int)} }
+func NewExecutionCounter() *ExecutionCounter {
+	return &ExecutionCounter{runs: make(map[id.Request]int)}
+}
 
 // Record records a run and returns how many there were with it.
 func (l *ExecutionCounter) Record(r id.Request) int {
--- a/lab/replicas/group.go
+++ b/lab/replicas/group.go
@@ -33,7 +33,7 @@
 	// FormTime is the time in which the group opens after its last rank is back, and
 	// StallTimeout the time for which work waits for a lost rank.
 	FormTime, StallTimeout time.Duration
-	Seed        uint64
+	Seed                   uint64
 }
 
 // ErrQueueFull means that a rank has no place for a stream, which was not started.
@@ -193,7 +193,7 @@
 	Skew float64
 	// MapSwitches counts the maps taken into use, and Step the passes.
 	MapSwitches int
-	Step     uint64
+	Step        uint64
 	// Held is true while a rank keeps the group from a step to come.
 	Held bool
 	// Violations tell where two ranks had different maps.
