--- a/lab/engine/bench_test.go
+++ b/lab/engine/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/siskinford/siskinford/lab/engine"
 )
 
-// cpuTime returns the processor time of the process in seconds.
+// cpuTime returns the CPU time of the process in seconds.
 func cpuTime(b *testing.B) float64 {
 	b.Helper()
 	var usage syscall.Rusage
@@ -21,8 +21,8 @@
 	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 }
 
-// BenchmarkStream reports the processor time of stand-in and client together
-// for a streamed token, with four sequences at once.
+// BenchmarkStream reports the CPU time of engine and client together per streamed
+// token, with four concurrent sequences.
 func BenchmarkStream(b *testing.B) {
 	const tokens = 512
 	e := engine.New(engine.Config{})
--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -8,18 +8,18 @@
 	protocol "github.com/siskinford/siskinford/agent/engine"
 )
 
-// cache is a prefix cache of limited size with least-recently-used eviction
-// that publishes its changes late and with gaps.
+// cache is a bounded LRU prefix cache that publishes its changes after a delay
+// and loses some of them.
 type cache struct {
-	limit  int
-	delay  time.Duration
-	loss   float64
-	keep   int
-	random *rand.Rand
-	blocks map[uint64]*list.Element
-	recent *list.List // of block hashes, most recently used first
-	seq    uint64
-	events []pendingEvent
+	maxBlocks int
+	delay     time.Duration
+	loss      float64
+	maxEvents int
+	random    *rand.Rand
+	blocks    map[uint64]*list.Element
+	recent    *list.List // block hashes, most recently used first
+	seq       uint64
+	events    []pendingEvent
 }
 
 type pendingEvent struct {
@@ -29,18 +29,18 @@
 
 func newCache(c Config) *cache {
 	return &cache{
-		limit:  c.CacheBlocks,
-		delay:  c.EventDelay,
-		loss:   c.EventLoss,
-		keep:   c.EventBuffer,
-		random: rand.New(rand.NewPCG(c.Seed, c.Seed)),
-		blocks: make(map[uint64]*list.Element),
-		recent: list.New(),
+		maxBlocks: c.CacheBlocks,
+		delay:     c.EventDelay,
+		loss:      c.EventLoss,
+		maxEvents: c.EventBuffer,
+		random:    rand.New(rand.NewPCG(c.Seed, c.Seed)),
+		blocks:    make(map[uint64]*list.Element),
+		recent:    list.New(),
 	}
 }
 
-// use returns the number of leading blocks that are cached and stores the rest.
-func (c *cache) use(hashes []uint64, now time.Time) int {
+// lookup returns the number of cached leading blocks and stores the others.
+func (c *cache) lookup(hashes []uint64, now time.Time) int {
 	hits := 0
 	for _, hash := range hashes {
 		element, ok := c.blocks[hash]
@@ -61,7 +61,7 @@
 		c.recent.MoveToFront(element)
 		return
 	}
-	for len(c.blocks) >= c.limit {
+	for len(c.blocks) >= c.maxBlocks {
 		oldest := c.recent.Remove(c.recent.Back()).(uint64)
 		delete(c.blocks, oldest)
 		c.publish(protocol.CacheEvent{Block: oldest, Evicted: true}, now)
@@ -76,20 +76,22 @@
 	c.publish(protocol.CacheEvent{Cleared: true}, now)
 }
 
-// publish numbers the event and drops it if it is to be lost.
+// publish numbers an event and loses it with probability c.loss, which leaves a
+// gap in the numbers.
 func (c *cache) publish(event protocol.CacheEvent, now time.Time) {
 	c.seq++
 	event.Seq = c.seq
 	if c.loss > 0 && c.random.Float64() < c.loss {
 		return
 	}
-	if len(c.events) >= c.keep {
-		c.events = append(c.events[:0], c.events[c.keep/2:]...)
+	if len(c.events) >= c.maxEvents {
+		c.events = append(c.events[:0], c.events[c.maxEvents/2:]...)
 	}
 	c.events = append(c.events, pendingEvent{visible: now.Add(c.delay), event: event})
 }
 
-// after returns the published events with a greater sequence number.
+// after returns up to maxEventsPerCall published events with a sequence number
+// above seq.
 func (c *cache) after(seq uint64, now time.Time) []protocol.CacheEvent {
 	events := []protocol.CacheEvent{}
 	for _, pending := range c.events {
--- a/lab/engine/contract_test.go
+++ b/lab/engine/contract_test.go
@@ -21,19 +21,19 @@
 
 const testTimeout = 60 * time.Second
 
-// setup is an engine with its client.
-type setup struct {
+// fixture is an engine served over HTTP and its client.
+type fixture struct {
 	engine *engine.Engine
 	client *client.HTTP
 	ctx    context.Context
 }
 
-func start(t *testing.T, c engine.Config) setup {
+func start(t *testing.T, c engine.Config) fixture {
 	t.Helper()
 	return serve(t, engine.New(c))
 }
 
-func serve(t testing.TB, e *engine.Engine) setup {
+func serve(t testing.TB, e *engine.Engine) fixture {
 	t.Helper()
 	e.Start()
 	server := httptest.NewServer(e.Handler())
@@ -46,17 +46,17 @@
 		h.Close()
 		server.Close()
 	})
-	return setup{engine: e, client: h, ctx: ctx}
+	return fixture{engine: e, client: h, ctx: ctx}
 }
 
-// result is what a completion ended with.
+// result is the outcome of a completion.
 type result struct {
 	text  string
 	usage client.Usage
 	err   error
 }
 
-func (s setup) run(r client.Request) result {
+func (s fixture) run(r client.Request) result {
 	var text strings.Builder
 	usage, err := s.client.Run(s.ctx, r, func(token client.Token) error {
 		text.WriteString(token.Text)
@@ -65,27 +65,27 @@
 	return result{text: text.String(), usage: usage, err: err}
 }
 
-func (s setup) background(r client.Request) <-chan result {
+func (s fixture) background(r client.Request) <-chan result {
 	done := make(chan result, 1)
 	go func() { done <- s.run(r) }()
 	return done
 }
 
-// await polls a condition that the engine brings about.
-func (s setup) await(t *testing.T, what string, condition func() bool) {
+// await polls a condition until it holds or the test times out.
+func (s fixture) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for !condition() {
 		select {
 		case <-s.ctx.Done():
-			t.Fatalf("%s did not come about", what)
+			t.Fatalf("timed out waiting for %s", what)
 		case <-ticker.C:
 		}
 	}
 }
 
-func (s setup) awaitTokens(t *testing.T, attempt id.Attempt, n int) {
+func (s fixture) awaitTokens(t *testing.T, attempt id.Attempt, n int) {
 	t.Helper()
 	s.await(t, "progress", func() bool { return s.engine.Stats(attempt).Tokens >= n })
 }
@@ -176,7 +176,7 @@
 	h, err := client.NewHTTP(client.Config{URL: server.URL})
 	assert.NilError(t, err)
 	defer h.Close()
-	s := setup{engine: e, client: h, ctx: t.Context()}
+	s := fixture{engine: e, client: h, ctx: t.Context()}
 	for i := range 20 {
 		assert.NilError(t, s.run(client.Request{Attempt: id.NewAttempt(), Prompt: "x", MaxTokens: 100}).err)
 		_, err := h.Load(s.ctx)
@@ -236,7 +236,7 @@
 	assert.Equal(t, status.Status, 404)
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestHigherPriorityRunsFirst(t *testing.T) {
 	s := start(t, engine.Config{Slots: 1, RequirePermits: true})
 	var done []<-chan result
 	for _, r := range []client.Request{{Attempt: "att_low"}, {Attempt: "att_high", Priority: 1}} {
@@ -254,7 +254,7 @@
 	}
 }
 
-func TestCallerGoneCancels(t *testing.T) {
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	s := start(t, engine.Config{StepTime: time.Millisecond})
 	stop := errors.New("stop")
 	_, err := s.client.Run(s.ctx, client.Request{Attempt: "att_1", Prompt: "x", MaxTokens: 1 << 16}, func(client.Token) error { return stop })
@@ -263,7 +263,7 @@
 	assert.Equal(t, s.engine.Stats("att_1").Finished, 0)
 }
 
-func TestCacheEventsLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	const blocks = 200
 	prompt := strings.Repeat("word ", blocks)
 	seen := func(seed uint64) []client.CacheEvent {
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -15,26 +15,26 @@
 
 var (
 	errQueueFull      = errors.New("waiting queue is full")
-	errUnknownAttempt = errors.New("attempt is not known")
+	errUnknownAttempt = errors.New("unknown attempt")
 	errInjected       = errors.New("injected failure")
 	errClosed         = errors.New("engine is closed")
 )
 
-// AttemptStats is the witness of one attempt ID.
+// AttemptStats counts what the engine did for one attempt ID.
 type AttemptStats struct {
-	// Accepted counts how often the engine took the attempt in.
+	// Accepted counts admissions to the queue.
 	Accepted int `json:"accepted"`
-	// Started counts how often it came into the batch for the first time.
+	// Started counts admitted sequences that were prefilled; resuming adds none.
 	Started int `json:"started"`
-	// Finished counts complete answers, as generated.
+	// Finished counts answers generated to the end, delivered or not.
 	Finished int `json:"finished"`
 	// Tokens counts generated tokens.
 	Tokens int `json:"tokens"`
-	// Pauses counts how often it was paused.
+	// Pauses counts pauses.
 	Pauses int `json:"pauses"`
 }
 
-// Engine is the stand-in. Its methods are safe for concurrent use.
+// Engine is a simulated model engine. It is safe for concurrent use.
 type Engine struct {
 	config Config
 	wake   chan struct{}
@@ -42,23 +42,23 @@
 	cancel context.CancelFunc
 	ctx    context.Context
 
-	// mu is a leaf: no other lock but Group.mu is taken while it is held.
-	mu       sync.Mutex
-	waiting  waitingList
-	running  []*sequence
-	attempts map[id.Attempt]*sequence
-	runs     map[id.Attempt]*AttemptStats
-	lostRuns int
-	arrivals uint64
-	cache    *cache
-	loads    loadHistory
-	state    protocol.State
-	permits  []permit
-	faults   Faults
-	stepTime time.Duration // of the last step
+	// Only Group.mu may be locked while mu is held.
+	mu        sync.Mutex
+	waiting   waitingList
+	running   []*sequence
+	attempts  map[id.Attempt]*sequence
+	stats     map[id.Attempt]*AttemptStats
+	untracked int
+	arrivals  uint64
+	cache     *cache
+	loads     loadHistory
+	state     protocol.State
+	permits   []permit
+	faults    Faults
+	stepTime  time.Duration // of the latest step
 }
 
-// New returns an engine that runs after Start.
+// New returns an engine that Start sets running.
 func New(c Config) *Engine {
 	c = c.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,7 +68,7 @@
 		ctx:      ctx,
 		cancel:   cancel,
 		attempts: make(map[id.Attempt]*sequence),
-		runs:     make(map[id.Attempt]*AttemptStats),
+		stats:    make(map[id.Attempt]*AttemptStats),
 		cache:    newCache(c),
 		loads:    loadHistory{lag: c.LoadLag},
 		state:    protocol.State{Models: map[string]string{}, Step: 1},
@@ -82,12 +82,12 @@
 	return e
 }
 
-// Start runs the step loop in the background.
+// Start runs the step loop in a goroutine.
 func (e *Engine) Start() {
 	e.loops.Go(e.loop)
 }
 
-// Close ends the step loop and cuts all streams.
+// Close stops the step loop and aborts all open responses.
 func (e *Engine) Close() {
 	e.cancel()
 	e.loops.Wait()
@@ -100,33 +100,34 @@
 	}
 }
 
-// admit takes a completion in and returns its sequence.
+// admit queues a completion and returns its sequence.
 func (e *Engine) admit(r protocol.CompletionRequest) (*sequence, error) {
 	s := &sequence{
-		attempt:  r.Attempt,
-		priority: r.Priority,
-		script:   newScript(r.Prompt, min(r.MaxTokens, maxTokensLimit)),
-		blocks:   prefixhash.Blocks(r.Prompt, e.config.BlockWords),
-		prompt:   prefixhash.Words(r.Prompt),
-		ready:    make(chan struct{}, 1),
+		attempt:      r.Attempt,
+		priority:     r.Priority,
+		script:       newScript(r.Prompt, min(r.MaxTokens, maxTokensLimit)),
+		blocks:       prefixhash.Blocks(r.Prompt, e.config.BlockWords),
+		promptTokens: prefixhash.Words(r.Prompt),
+		changed:      make(chan struct{}, 1),
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.refusal(r); err != nil {
+	if err := e.checkAdmission(r); err != nil {
 		return nil, err
 	}
 	e.arrivals++
-	s.order = e.arrivals
-	s.run = e.runOf(r.Attempt)
-	s.run.Accepted++
+	s.arrival = e.arrivals
+	s.stats = e.statsOf(r.Attempt)
+	s.stats.Accepted++
 	e.attempts[r.Attempt] = s
 	e.waiting.push(s)
 	e.notify()
 	return s, nil
 }
 
-// refusal returns the reason for which the engine does not take a request in.
-func (e *Engine) refusal(r protocol.CompletionRequest) error {
+// checkAdmission returns an error if the request must be rejected. It consumes an
+// injected failure and records the epoch. e.mu must be held.
+func (e *Engine) checkAdmission(r protocol.CompletionRequest) error {
 	if e.ctx.Err() != nil {
 		return errClosed
 	}
@@ -146,51 +147,51 @@
 	return nil
 }
 
-func (e *Engine) runOf(attempt id.Attempt) *AttemptStats {
-	run, ok := e.runs[attempt]
+func (e *Engine) statsOf(attempt id.Attempt) *AttemptStats {
+	run, ok := e.stats[attempt]
 	if ok {
 		return run
 	}
 	run = new(AttemptStats)
-	if len(e.runs) >= e.config.MaxTrackedAttempts {
-		e.lostRuns++
+	if len(e.stats) >= e.config.MaxTrackedAttempts {
+		e.untracked++
 		return run
 	}
-	e.runs[attempt] = run
+	e.stats[attempt] = run
 	return run
 }
 
-// AllStats returns the witness of all attempts.
+// AllStats returns a copy of the statistics of all tracked attempts.
 func (e *Engine) AllStats() map[id.Attempt]AttemptStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	runs := make(map[id.Attempt]AttemptStats, len(e.runs))
-	for attempt, run := range e.runs {
+	runs := make(map[id.Attempt]AttemptStats, len(e.stats))
+	for attempt, run := range e.stats {
 		runs[attempt] = *run
 	}
 	return runs
 }
 
-// Stats returns the witness of one attempt.
+// Stats returns the statistics of one attempt, zero if it is not tracked.
 func (e *Engine) Stats(attempt id.Attempt) AttemptStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if run, ok := e.runs[attempt]; ok {
+	if run, ok := e.stats[attempt]; ok {
 		return *run
 	}
 	return AttemptStats{}
 }
 
-// drop takes a sequence out of the engine. e.mu must be held.
-func (e *Engine) drop(s *sequence, to status) {
+// remove forgets a sequence and sets its final status. e.mu must be held.
+func (e *Engine) remove(s *sequence, to status) {
 	e.detach(s)
 	if e.attempts[s.attempt] == s {
 		delete(e.attempts, s.attempt)
 	}
-	s.set(to)
+	s.setStatus(to)
 }
 
-// detach takes a sequence out of batch and queue. e.mu must be held.
+// detach removes a sequence from the batch or queue. e.mu must be held.
 func (e *Engine) detach(s *sequence) {
 	switch s.state() {
 	case statusWaiting:
@@ -200,16 +201,16 @@
 	}
 }
 
-// abandon cancels a sequence whose caller has gone.
+// abandon cancels a sequence whose caller has disconnected.
 func (e *Engine) abandon(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if state := s.state(); state != statusDone && state != statusCancelled {
-		e.drop(s, statusCancelled)
+		e.remove(s, statusCancelled)
 	}
 }
 
-// Cancel ends an attempt.
+// Cancel cancels an attempt.
 func (e *Engine) Cancel(attempt id.Attempt) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -217,11 +218,11 @@
 	if !ok {
 		return errUnknownAttempt
 	}
-	e.drop(s, statusCancelled)
+	e.remove(s, statusCancelled)
 	return nil
 }
 
-// Pause takes an attempt out of the batch or queue and keeps its progress.
+// Pause removes an attempt from the batch or queue and keeps its progress.
 func (e *Engine) Pause(attempt id.Attempt) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -233,13 +234,13 @@
 		return nil
 	}
 	e.detach(s)
-	s.run.Pauses++
-	s.set(statusPaused)
+	s.stats.Pauses++
+	s.setStatus(statusPaused)
 	e.notify()
 	return nil
 }
 
-// Resume puts a paused attempt back into the queue at its old place.
+// Resume returns a paused attempt to its former place in the queue.
 func (e *Engine) Resume(attempt id.Attempt) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -250,13 +251,13 @@
 	if s.state() != statusPaused {
 		return nil
 	}
-	s.set(statusWaiting)
+	s.setStatus(statusWaiting)
 	e.waiting.push(s)
 	e.notify()
 	return nil
 }
 
-// State returns what orders have led to.
+// State returns a copy of the state that orders have set.
 func (e *Engine) State() protocol.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -265,7 +266,7 @@
 	return state
 }
 
-// Load returns the lagging load report.
+// Load returns a load report at least LoadLag old.
 func (e *Engine) Load() protocol.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -284,7 +285,7 @@
 	}
 }
 
-// CacheEvents returns the published cache events after a sequence number.
+// CacheEvents returns published cache events with a sequence number above after.
 func (e *Engine) CacheEvents(after uint64) []protocol.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/engine/group.go
+++ b/lab/engine/group.go
@@ -5,26 +5,26 @@
 	"sync"
 )
 
-// StepRecord is the witness of one lock-step of a group.
+// StepRecord records the expert maps used in one step of a group.
 type StepRecord struct {
 	Step uint64 `json:"step"`
-	// MapVersions holds the expert map version that each rank used.
+	// MapVersions holds the expert map version used by each rank.
 	MapVersions []uint64 `json:"map_versions"`
 }
 
 // Group makes ranks run in lock-step: a step begins only when every rank has joined it.
 type Group struct {
-	size int
-	keep int
-
-	// mu is taken after Engine.mu, never before it.
-	mu      sync.Mutex
-	engines []*Engine
-	active  bool
-	barrier *barrier
-	step    uint64
-	records []StepRecord
-	split   []StepRecord
+	size       int
+	maxRecords int
+
+	// mu is locked after Engine.mu, never before it.
+	mu         sync.Mutex
+	engines    []*Engine
+	active     bool
+	barrier    *barrier
+	step       uint64
+	records    []StepRecord
+	mismatched []StepRecord
 }
 
 // barrier collects the ranks of one step.
@@ -36,13 +36,13 @@
 	open     chan struct{}
 }
 
-// maxSplitRecords bounds the kept records of steps on different maps.
-const maxSplitRecords = 1024
+// maxMismatchedRecords bounds the retained records of steps on different maps.
+const maxMismatchedRecords = 1024
 
-// NewGroup returns a group of size ranks that keeps the records of the last
-// keep steps, and apart from these those of steps on different maps.
-func NewGroup(size, keep int) *Group {
-	g := &Group{size: size, keep: keep, engines: make([]*Engine, size)}
+// NewGroup returns a group of size ranks. It retains at least the last maxRecords
+// step records and, separately, those of steps on different maps.
+func NewGroup(size, maxRecords int) *Group {
+	g := &Group{size: size, maxRecords: maxRecords, engines: make([]*Engine, size)}
 	g.barrier = g.newBarrier()
 	return g
 }
@@ -51,8 +51,8 @@
 	return &barrier{present: make([]bool, g.size), versions: make([]uint64, g.size), open: make(chan struct{})}
 }
 
-// register puts an engine in the place of a rank and returns its first step. A
-// former engine of that rank that joined this step has not taken part in it.
+// register sets the engine of a rank and returns its first step. If the engine
+// that it replaces had joined the pending step, that join is withdrawn.
 func (g *Group) register(rank int, e *Engine) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// join blocks until every rank has joined the step. It reports whether any
-// rank has work, and false once ctx has ended.
+// join blocks until every rank has joined the step and reports whether any rank
+// has work. ok is false if ctx ended first.
 func (g *Group) join(ctx context.Context, rank int, version uint64, busy bool) (active, ok bool) {
 	g.mu.Lock()
 	b := g.barrier
@@ -113,18 +113,18 @@
 	g.step++
 	record := StepRecord{Step: g.step, MapVersions: b.versions}
 	g.records = append(g.records, record)
-	if len(g.records) > 2*g.keep {
-		g.records = append(g.records[:0], g.records[g.keep:]...)
+	if len(g.records) > 2*g.maxRecords {
+		g.records = append(g.records[:0], g.records[g.maxRecords:]...)
 	}
-	if record.splits() && len(g.split) < maxSplitRecords {
-		g.split = append(g.split, record)
+	if record.mismatched() && len(g.mismatched) < maxMismatchedRecords {
+		g.mismatched = append(g.mismatched, record)
 	}
 	g.active = b.busy
 	g.barrier = g.newBarrier()
 	close(b.open)
 }
 
-func (r StepRecord) splits() bool {
+func (r StepRecord) mismatched() bool {
 	for _, version := range r.MapVersions {
 		if version != r.MapVersions[0] {
 			return true
@@ -133,16 +133,16 @@
 	return false
 }
 
-// Steps returns the records of the last steps.
+// Steps returns the retained step records.
 func (g *Group) Steps() []StepRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]StepRecord{}, g.records...)
 }
 
-// MismatchedSteps returns the records of steps in which ranks used different maps.
+// MismatchedSteps returns the records of steps whose ranks used different maps.
 func (g *Group) MismatchedSteps() []StepRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]StepRecord{}, g.split...)
+	return append([]StepRecord{}, g.mismatched...)
 }
--- a/lab/engine/http.go
+++ b/lab/engine/http.go
@@ -12,7 +12,7 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Handler returns the HTTP interface of the engine and, under /lab, of its witness and faults.
+// Handler serves the engine protocol and, under /lab, statistics and fault injection.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post(protocol.PathCompletions, e.serveCompletion)
@@ -49,10 +49,10 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // The client has gone if this fails.
+	_ = json.NewEncoder(w).Encode(body) // Fails only if the client has disconnected.
 }
 
-// readJSON decodes the body and answers 400 if it is malformed.
+// readJSON decodes the body and responds with 400 if it is malformed.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err == nil {
@@ -66,8 +66,8 @@
 	writeJSON(w, status, protocol.ErrorBody{Error: err.Error(), NotStarted: notStarted})
 }
 
-// statusOf returns the HTTP status of a refusal.
-func statusOf(err error) int {
+// httpStatus returns the response status for an error of the engine.
+func httpStatus(err error) int {
 	var epoch *epochError
 	var model *modelError
 	var order *orderError
@@ -87,7 +87,7 @@
 func (e *Engine) serveAttempt(act func(id.Attempt) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := act(id.Attempt(chi.URLParam(r, "attempt"))); err != nil {
-			writeError(w, statusOf(err), err, false)
+			writeError(w, httpStatus(err), err, false)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -122,7 +122,7 @@
 		return
 	}
 	if err := e.Order(order); err != nil {
-		writeError(w, statusOf(err), err, false)
+		writeError(w, httpStatus(err), err, false)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/lab/engine/load.go
+++ b/lab/engine/load.go
@@ -6,10 +6,10 @@
 	protocol "github.com/siskinford/siskinford/agent/engine"
 )
 
-// loadSamples is the number of load samples within the lag.
+// loadSamples is the number of samples taken within the lag.
 const loadSamples = 8
 
-// loadHistory keeps load samples so that reports can lag.
+// loadHistory retains load samples to serve reports that are lag old.
 type loadHistory struct {
 	lag     time.Duration
 	samples []loadSample
@@ -20,7 +20,7 @@
 	load protocol.Load
 }
 
-// add records a sample and forgets those that no later report can need.
+// add records a sample and discards those too old for later reports.
 func (h *loadHistory) add(now time.Time, load protocol.Load) {
 	if n := len(h.samples); n > 0 && h.lag > 0 && now.Sub(h.samples[n-1].at) < h.lag/loadSamples {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// at returns the newest sample that is at least as old as the lag, or an empty
-// report with the age of the lag if there is none.
+// at returns the newest sample that is at least lag old, or an empty report of
+// age lag if there is none.
 func (h *loadHistory) at(now time.Time) protocol.Load {
 	for i := len(h.samples) - 1; i >= 0; i-- {
 		sample := h.samples[i]
--- a/lab/engine/order.go
+++ b/lab/engine/order.go
@@ -6,33 +6,33 @@
 	protocol "github.com/siskinford/siskinford/agent/engine"
 )
 
-// maxPermits bounds the step permits that are kept.
+// maxPermits bounds the retained step permits.
 const maxPermits = 256
 
-// permit allows the steps from and through on a map version.
+// permit allows the steps in [from, through] to run on a map version.
 type permit struct {
 	from, through, version uint64
 }
 
-// epochError refuses an old fencing number.
+// epochError reports a stale fencing epoch.
 type epochError struct{ got, current uint64 }
 
 func (e *epochError) Error() string {
 	return fmt.Sprintf("epoch %d is older than epoch %d", e.got, e.current)
 }
 
-// modelError refuses a model that is not loaded.
+// modelError reports a model that is not loaded.
 type modelError struct{ model string }
 
 func (e *modelError) Error() string { return fmt.Sprintf("model %q is not loaded", e.model) }
 
-// orderError refuses a malformed order.
+// orderError reports an unknown order kind.
 type orderError struct{ kind protocol.OrderKind }
 
-func (e *orderError) Error() string { return fmt.Sprintf("order kind %q is not known", e.kind) }
+func (e *orderError) Error() string { return fmt.Sprintf("unknown order kind %q", e.kind) }
 
-// checkEpoch refuses an old fencing number if the engine honours them and
-// remembers greater ones. Zero means that the caller has none. e.mu must be held.
+// checkEpoch rejects an epoch below the current one if fencing is on, and records
+// a greater one. Zero means that the caller has no epoch. e.mu must be held.
 func (e *Engine) checkEpoch(epoch uint64) error {
 	if e.config.Fencing && epoch != 0 && epoch < e.state.Epoch {
 		return &epochError{got: epoch, current: e.state.Epoch}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Order applies an order at once.
+// Order applies an order immediately.
 func (e *Engine) Order(o protocol.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// addPermit appends a permit; a later one overrides earlier ones for the same step.
+// addPermit appends a permit; it overrides earlier permits for the same steps.
 func (e *Engine) addPermit(p permit) {
 	if len(e.permits) >= maxPermits {
 		e.permits = append(e.permits[:0], e.permits[1:]...)
@@ -72,7 +72,7 @@
 	e.permits = append(e.permits, p)
 }
 
-// permitted returns the map version on which a step may run. e.mu must be held.
+// permitted returns the map version permitted for a step. e.mu must be held.
 func (e *Engine) permitted(step uint64) (version uint64, ok bool) {
 	for i := len(e.permits) - 1; i >= 0; i-- {
 		p := e.permits[i]
--- a/lab/engine/sequence.go
+++ b/lab/engine/sequence.go
@@ -18,49 +18,49 @@
 	statusCancelled
 )
 
-// sequence is one completion. The step loop advances produced; the HTTP
-// handler writes the tokens and sleeps on ready.
+// sequence is one completion. The step loop advances produced; the HTTP handler
+// waits on changed and writes the tokens.
 type sequence struct {
-	attempt  id.Attempt
-	priority int
-	order    uint64 // arrival number
-	script   script
-	blocks   []uint64
-	prompt   int // tokens of the prompt
-	run      *AttemptStats
+	attempt      id.Attempt
+	priority     int
+	arrival      uint64 // admission number
+	script       script
+	blocks       []uint64
+	promptTokens int
+	stats        *AttemptStats
 
-	// These belong to the engine's mutex.
-	prefilled bool
-	cached    int
+	// Guarded by Engine.mu.
+	prefilled    bool
+	cachedTokens int
 
 	produced atomic.Int64
 	status   atomic.Int32
-	ready    chan struct{}
+	changed  chan struct{}
 }
 
 func (s *sequence) state() status { return status(s.status.Load()) }
 
-// set changes the status and wakes the handler.
-func (s *sequence) set(to status) {
+// setStatus sets the status and wakes the handler.
+func (s *sequence) setStatus(to status) {
 	s.status.Store(int32(to))
 	s.wake()
 }
 
 func (s *sequence) wake() {
 	select {
-	case s.ready <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
-// waitingList is ordered by priority, then by arrival.
+// waitingList is ordered by descending priority, then by arrival.
 type waitingList []*sequence
 
 func compareWaiting(a, b *sequence) int {
 	if c := cmp.Compare(b.priority, a.priority); c != 0 {
 		return c
 	}
-	return cmp.Compare(a.order, b.order)
+	return cmp.Compare(a.arrival, b.arrival)
 }
 
 func (w *waitingList) push(s *sequence) {
--- a/lab/engine/step.go
+++ b/lab/engine/step.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// loop runs steps while there is work and sleeps otherwise.
+// loop runs steps while there is work and blocks otherwise.
 func (e *Engine) loop() {
 	groupActive := e.groupActive()
 	for e.ctx.Err() == nil {
 		if !e.runnable(groupActive) {
-			if !e.sleep() {
+			if !e.waitForWork() {
 				return
 			}
 			groupActive = e.groupActive()
@@ -21,20 +21,21 @@
 			}
 			groupActive = active
 		}
-		if !e.pause(e.schedule()) {
+		if !e.waitFor(e.schedule()) {
 			return
 		}
-		e.advance()
+		e.generateTokens()
 	}
 }
 
-// groupActive reports whether another rank has work.
+// groupActive reports whether any rank of the group has work.
 func (e *Engine) groupActive() bool {
 	return e.config.Group != nil && e.config.Group.isActive()
 }
 
-// sleep blocks until the engine is notified. It returns false once it is closed.
-func (e *Engine) sleep() bool {
+// waitForWork blocks until the engine is notified. It returns false once the
+// engine is closed.
+func (e *Engine) waitForWork() bool {
 	select {
 	case <-e.ctx.Done():
 		return false
@@ -43,7 +44,7 @@
 	}
 }
 
-func (e *Engine) pause(d time.Duration) bool {
+func (e *Engine) waitFor(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -78,7 +79,7 @@
 	return ok
 }
 
-// beginStep fixes the expert map version of the step.
+// beginStep returns the expert map version of the step and whether there is work.
 func (e *Engine) beginStep() (busy bool, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +90,7 @@
 	return len(e.running)+len(e.waiting) > 0, e.state.MapVersion
 }
 
-// schedule fills free slots from the queue and returns the time of the step.
+// schedule fills free slots from the queue and returns the duration of the step.
 func (e *Engine) schedule() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,7 +98,7 @@
 	prefill := 0
 	for len(e.running) < e.config.Slots && len(e.waiting) > 0 {
 		s := e.waiting.pop()
-		prefill += e.enter(s, now)
+		prefill += e.startSequence(s, now)
 	}
 	step := e.config.StepTime
 	step += e.config.SequenceTime * time.Duration(len(e.running))
@@ -110,38 +111,39 @@
 	return step
 }
 
-// enter puts a sequence into the batch and returns the prompt tokens to compute.
-func (e *Engine) enter(s *sequence, now time.Time) int {
+// startSequence adds a sequence to the batch and returns its uncached prompt
+// tokens, zero when it resumes. e.mu must be held.
+func (e *Engine) startSequence(s *sequence, now time.Time) int {
 	s.status.Store(int32(statusRunning))
 	e.running = append(e.running, s)
 	if s.prefilled {
 		return 0
 	}
 	s.prefilled = true
-	s.run.Started++
-	s.cached = e.cache.use(s.blocks, now) * e.config.BlockWords
-	return s.prompt - s.cached
+	s.stats.Started++
+	s.cachedTokens = e.cache.lookup(s.blocks, now) * e.config.BlockWords
+	return s.promptTokens - s.cachedTokens
 }
 
-// advance gives each running sequence one token and removes the finished ones.
-func (e *Engine) advance() {
+// generateTokens produces one token per running sequence and removes finished sequences.
+func (e *Engine) generateTokens() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state.Step++
 	kept := e.running[:0]
 	for _, s := range e.running {
-		s.run.Tokens++
+		s.stats.Tokens++
 		produced := s.produced.Add(1)
 		if int(produced) < s.script.tokens {
 			kept = append(kept, s)
 			s.wake()
 			continue
 		}
-		s.run.Finished++
+		s.stats.Finished++
 		if e.attempts[s.attempt] == s {
 			delete(e.attempts, s.attempt)
 		}
-		s.set(statusDone)
+		s.setStatus(statusDone)
 	}
 	clear(e.running[len(kept):])
 	e.running = kept
--- a/lab/engine/stream.go
+++ b/lab/engine/stream.go
@@ -8,17 +8,17 @@
 	protocol "github.com/siskinford/siskinford/agent/engine"
 )
 
-// FinishCancelled is the finish reason of an answer that was cancelled.
+// FinishCancelled is the finish reason of a cancelled answer.
 const FinishCancelled = "cancelled"
 
 var errCancelled = errors.New("attempt was cancelled")
 
-// stream writes one completion. The headers go out with the first token.
+// stream writes one streamed completion. The header is sent with the first token.
 type stream struct {
 	w        http.ResponseWriter
 	flusher  *http.ResponseController
 	sequence *sequence
-	prefix   []byte // of each chunk, up to the text
+	prefix   []byte // of each chunk, before the text
 	buffer   []byte
 	sent     int
 	cutAfter int
@@ -31,10 +31,10 @@
 	}
 	s, err := e.admit(request)
 	if err != nil {
-		writeError(w, statusOf(err), err, true)
+		writeError(w, httpStatus(err), err, true)
 		return
 	}
-	cut := e.takeCut()
+	cut := e.nextCut()
 	if cut == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -54,9 +54,9 @@
 			return
 		case <-e.ctx.Done():
 			panic(http.ErrAbortHandler)
-		case <-s.ready:
+		case <-s.changed:
 		}
-		// The status is read before the count, so that no token is missed at the end.
+		// Reading the status before the count ensures that no final token is missed.
 		state := s.state()
 		if err := out.writeTokens(int(s.produced.Load())); err != nil {
 			return
@@ -68,19 +68,20 @@
 	}
 }
 
-// chunkPrefix returns the part that all chunks of a sequence start with.
+// chunkPrefix returns the common start of all chunks of a sequence.
 func chunkPrefix(s *sequence) []byte {
 	attempt, _ := json.Marshal(s.attempt) // Strings always encode.
 	prefix := append([]byte(`data: {"id":`), attempt...)
 	return append(prefix, `,"choices":[{"index":0,"text":"`...)
 }
 
-// writeTokens sends the tokens up to index end in one write.
+// writeTokens sends the unsent tokens before index end in one write. It aborts the
+// connection if the injected cut is due.
 func (o *stream) writeTokens(end int) error {
 	if o.sent >= end {
 		return nil
 	}
-	o.start()
+	o.writeHeader()
 	o.buffer = o.buffer[:0]
 	cut := o.cutAfter != noCut && end >= o.cutAfter
 	if cut {
@@ -101,7 +102,7 @@
 	return err
 }
 
-func (o *stream) start() {
+func (o *stream) writeHeader() {
 	if o.sent > 0 {
 		return
 	}
@@ -109,7 +110,7 @@
 	o.w.WriteHeader(http.StatusOK)
 }
 
-// finishStream writes the chunk with usage and the end of the stream.
+// finishStream writes the usage chunk and the end-of-stream marker.
 func (e *Engine) finishStream(o *stream, state status) {
 	if o.sent == 0 {
 		e.writeCancelled(o.w, o.sequence)
@@ -119,10 +120,10 @@
 	o.buffer = append(o.buffer[:0], "data: "...)
 	o.buffer = append(o.buffer, body...)
 	o.buffer = append(o.buffer, "\n\ndata: "+protocol.StreamEnd+"\n\n"...)
-	_, _ = o.w.Write(o.buffer) // The client has gone if this fails.
+	_, _ = o.w.Write(o.buffer) // Fails only if the client has disconnected.
 }
 
-// writeCancelled answers for a sequence that was cancelled before its first token.
+// writeCancelled responds for a sequence cancelled before its first token was sent.
 func (e *Engine) writeCancelled(w http.ResponseWriter, s *sequence) {
 	e.mu.Lock()
 	started := s.prefilled
@@ -141,9 +142,9 @@
 		ID:      string(s.attempt),
 		Choices: []protocol.Choice{{Text: text, FinishReason: finish}},
 		Usage: &protocol.CompletionUsage{
-			PromptTokens:     s.prompt,
+			PromptTokens:     s.promptTokens,
 			CompletionTokens: int(s.produced.Load()),
-			CachedTokens:     s.cached,
+			CachedTokens:     s.cachedTokens,
 		},
 	}
 }
@@ -155,7 +156,7 @@
 			return
 		case <-e.ctx.Done():
 			panic(http.ErrAbortHandler)
-		case <-s.ready:
+		case <-s.changed:
 		}
 		state := s.state()
 		if cut != noCut && int(s.produced.Load()) >= cut {
--- a/lab/engine/token.go
+++ b/lab/engine/token.go
@@ -21,7 +21,7 @@
 	FinishStop   = "stop"
 )
 
-// script is the predetermined answer to a prompt.
+// script determines the answer to a prompt.
 type script struct {
 	hash   uint64
 	mark   string
@@ -29,15 +29,15 @@
 	finish string
 }
 
-// newScript reads the mark and the optional length out of the prompt. The
-// answer has maxTokens tokens unless the prompt names a smaller length.
+// newScript parses the optional mark= and tokens= parameters of the prompt. The
+// answer has maxTokens tokens unless tokens= is smaller.
 func newScript(prompt string, maxTokens int) script {
 	s := script{hash: xxhash.Sum64String(prompt), tokens: maxTokens, finish: FinishLength}
 	if s.tokens <= 0 {
 		s.tokens = defaultMaxTokens
 	}
-	s.mark = value(prompt, markPrefix)
-	n, err := strconv.Atoi(value(prompt, lengthPrefix))
+	s.mark = promptParam(prompt, markPrefix)
+	n, err := strconv.Atoi(promptParam(prompt, lengthPrefix))
 	if err == nil && n > 0 && n < s.tokens {
 		s.tokens = n
 		s.finish = FinishStop
@@ -45,8 +45,8 @@
 	return s
 }
 
-// value returns the rest of the first word that starts with prefix.
-func value(prompt, prefix string) string {
+// promptParam returns the text from the first occurrence of prefix to the next space.
+func promptParam(prompt, prefix string) string {
 	start := strings.Index(prompt, prefix)
 	if start < 0 {
 		return ""
@@ -81,7 +81,7 @@
 	return append(b, quoted[1:len(quoted)-1]...)
 }
 
-// Answer returns the whole text that the engine generates for a prompt.
+// Answer returns the complete text generated for a prompt.
 func Answer(prompt string, maxTokens int) string {
 	return newScript(prompt, maxTokens).text()
 }
