--- a/lab/engine/group.go
+++ b/lab/engine/group.go
@@ -116,7 +116,7 @@
 	if len(g.records) > 2*g.maxRecords {
 		g.records = append(g.records[:0], g.records[g.maxRecords:]...)
 	}
-	if record.mismatched() && len(g.mismatched) < maxMismatchedRecords {
+	if record.mapsDiffer() && len(g.mismatched) < maxMismatchedRecords {
 		g.mismatched = append(g.mismatched, record)
 	}
 	g.active = b.busy
@@ -124,7 +124,7 @@
 	close(b.open)
 }
 
-func (r StepRecord) mismatched() bool {
+func (r StepRecord) mapsDiffer() bool {
 	for _, version := range r.MapVersions {
 		if version != r.MapVersions[0] {
 			return true
--- a/lab/replicas/engine.go
+++ b/lab/replicas/engine.go
@@ -9,10 +9,9 @@
 	"github.com/siskinford/siskinford/wire/relay"
 )
 
-// errMissing means that a rank does not answer.
-var errMissing = errors.New("the rank does not answer")
+var errRankUnavailable = errors.New("rank is unavailable")
 
-// Engine returns the view of a rank that relays and coordinators have.
+// Engine returns the relay interface of a rank.
 func (g *Group) Engine(rankIndex int) relay.Engine { return engine{g, rankIndex} }
 
 type engine struct {
@@ -23,7 +22,7 @@
 // rank returns the engine's rank. The caller holds mu.
 func (e engine) rank() (*rank, error) {
 	if _, lost := e.group.missing[e.index]; lost {
-		return nil, errMissing
+		return nil, errRankUnavailable
 	}
 	return e.group.ranks[e.index], nil
 }
@@ -38,11 +37,11 @@
 		return relay.State{}, err
 	}
 	s := relay.State{
-		StartMillis: r.born, Group: g.cfg.Name, Epoch: g.epoch, Rank: e.index, Size: len(g.ranks),
-		Open: len(g.missing) == 0 && g.formingAt.IsZero(), Step: g.step, MapVersion: r.version, Armed: r.armed, Held: r.held,
+		StartMillis: r.startMillis, Group: g.cfg.Name, Epoch: g.epoch, Rank: e.index, Size: len(g.ranks),
+		Open: len(g.missing) == 0 && g.opensAt.IsZero(), Step: g.step, MapVersion: r.version, Armed: r.armed, Held: r.heldStep,
 		Waiting: len(r.waiting), Running: len(r.running), Pace: 1,
 	}
-	if r.prepared != 0 && !time.Now().Before(r.readyAt) {
+	if r.prepared != 0 && !time.Now().Before(r.preparedAt) {
 		s.Prepared = r.prepared
 	}
 	return s, nil
@@ -77,18 +76,18 @@
 	g := e.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.rng.Float64() < g.late {
-		time.AfterFunc(g.lateBy, func() {
+	if g.rng.Float64() < g.delayedShare {
+		time.AfterFunc(g.orderDelay, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			_ = e.apply(o) // Nobody waits for the result.
+			_ = e.apply(o) // The order was already reported as unanswered.
 		})
 		return relay.Result{Outcome: relay.Unknown, Detail: "no answer"}
 	}
 	return relay.Result{Outcome: e.apply(o)}
 }
 
-// apply carries an order out. The caller holds mu.
+// apply applies an order. The caller holds mu.
 func (e engine) apply(o relay.Order) relay.Outcome {
 	g := e.group
 	r, err := e.rank()
@@ -102,25 +101,25 @@
 	case relay.Prepare:
 		return g.prepare(e.index, r, o)
 	case relay.Arm:
-		if r.prepared != o.Version || time.Now().Before(r.readyAt) || o.Step <= g.step {
+		if r.prepared != o.Version || time.Now().Before(r.preparedAt) || o.Step <= g.step {
 			return relay.Conflict
 		}
-		r.armed, r.armedAt = o.Version, o.Step
+		r.armed, r.armedStep = o.Version, o.Step
 	case relay.Disarm:
 		if o.Version == r.version {
 			return relay.Conflict
 		}
 		if r.armed == o.Version {
-			r.armed, r.armedAt = 0, 0
+			r.armed, r.armedStep = 0, 0
 		}
 	case relay.Hold:
-		if o.Step <= g.step || (r.held > g.step && r.held != o.Step) {
+		if o.Step <= g.step || (r.heldStep > g.step && r.heldStep != o.Step) {
 			return relay.Conflict
 		}
-		r.held = o.Step
+		r.heldStep = o.Step
 	case relay.Release:
-		if r.held == o.Step {
-			r.held = 0
+		if r.heldStep == o.Step {
+			r.heldStep = 0
 		}
 	default:
 		return relay.Refused
@@ -134,28 +133,28 @@
 		return relay.Conflict
 	case o.Version == r.prepared:
 		return relay.Done
-	case o.Version <= r.highest || len(o.Experts) != g.cfg.LayerSets:
+	case o.Version <= r.highestVersion || len(o.Experts) != g.cfg.LayerSets:
 		return relay.Conflict
 	}
-	copies := 0
+	newExperts := 0
 	experts := make([][]int, g.cfg.LayerSets)
 	for set := range experts {
 		if len(o.Experts[set]) != len(g.ranks) || len(o.Experts[set][index]) > g.cfg.MaxPerRank {
 			return relay.Refused
 		}
 		experts[set] = slices.Clone(o.Experts[set][index])
-		fresh := 0
+		added := 0
 		for _, e := range experts[set] {
 			if !slices.Contains(r.experts[set], e) {
-				fresh++
+				added++
 			}
 		}
-		if fresh > g.cfg.MaxNewPerMap {
+		if added > g.cfg.MaxNewPerMap {
 			return relay.Conflict
 		}
-		copies += fresh
+		newExperts += added
 	}
-	r.prepared, r.highest, r.preparedExperts = o.Version, o.Version, experts
-	r.readyAt = time.Now().Add(time.Duration(copies) * g.cfg.CopyTime)
+	r.prepared, r.highestVersion, r.preparedExperts = o.Version, o.Version, experts
+	r.preparedAt = time.Now().Add(time.Duration(newExperts) * g.cfg.CopyTime)
 	return relay.Done
 }
--- a/lab/replicas/executions.go
+++ b/lab/replicas/executions.go
@@ -6,28 +6,28 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// ExecutionCounter counts how often each request ran, over all back ends.
+// ExecutionCounter counts executions per request across all back ends.
 type ExecutionCounter struct {
-	mu   sync.Mutex // leaf lock
-	runs map[id.Request]int
+	mu        sync.Mutex // leaf lock
+	byRequest map[id.Request]int
 }
 
-// NewExecutionCounter returns an empty ledger.
+// NewExecutionCounter returns an empty counter.
 func NewExecutionCounter() *ExecutionCounter {
-	return &ExecutionCounter{runs: make(map[id.Request]int)}
+	return &ExecutionCounter{byRequest: make(map[id.Request]int)}
 }
 
-// Record records a run and returns how many there were with it.
-func (l *ExecutionCounter) Record(r id.Request) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[r]++
-	return l.runs[r]
+// Record counts an execution and returns the new count.
+func (c *ExecutionCounter) Record(r id.Request) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.byRequest[r]++
+	return c.byRequest[r]
 }
 
-// Count returns how often a request ran.
-func (l *ExecutionCounter) Count(r id.Request) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.runs[r]
+// Count returns the number of executions of a request.
+func (c *ExecutionCounter) Count(r id.Request) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byRequest[r]
 }
--- a/lab/replicas/group.go
+++ b/lab/replicas/group.go
@@ -1,7 +1,7 @@
-// Package replicas is a stand-in for back ends that entries reach directly: a
-// group of model engines whose ranks run in lock-step on an expert map, and a
-// plain service. It checks what must hold: no pass begins with two maps, and no
-// non-idempotent request runs twice.
+// Package replicas simulates back ends that entries call directly: a group of model
+// engines whose ranks run in lock-step on an expert map, and a counter of request
+// executions. It records passes whose ranks used different maps, and lets tests
+// detect a non-idempotent request that was executed twice.
 package replicas
 
 import (
@@ -15,84 +15,83 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// GroupConfig describes a group of ranks. Times are those of a small engine, so
-// that tests see many passes.
+// GroupConfig configures a Group. Its durations are short, so that a test sees many passes.
 type GroupConfig struct {
 	Name  id.Group
 	Ranks int
-	// Slots is the number of streams that a rank runs at the same time, and MaxWaiting
-	// the number that wait.
+	// Slots and MaxWaiting bound the running and the queued streams of a rank.
 	Slots, MaxWaiting int
-	// LayerSets, ExpertsPerSet, MaxPerRank and MaxNewPerMap describe the experts of a set of layers.
+	// Layers are grouped in LayerSets, each with ExpertsPerSet experts. In each set a
+	// rank holds at most MaxPerRank experts, of which a map adds at most MaxNewPerMap.
 	LayerSets, ExpertsPerSet, MaxPerRank, MaxNewPerMap int
-	// StepTime is the time of a pass without load, and TimePerStream is added for the
-	// streams of a rank with an even map.
+	// StepTime is the duration of a pass without load. TimePerStream, times the skew, is
+	// added for each stream of the busiest rank.
 	StepTime, TimePerStream time.Duration
-	// CopyTime is the time in which a rank copies one expert.
+	// CopyTime is the time to load one new expert.
 	CopyTime time.Duration
-	// FormTime is the time in which the group opens after its last rank is back, and
-	// StallTimeout the time for which work waits for a lost rank.
+	// FormTime is the time from the return of the last missing rank to the next epoch.
+	// StallTimeout is the time for which streams wait for a missing rank.
 	FormTime, StallTimeout time.Duration
 	Seed                   uint64
 }
 
-// ErrQueueFull means that a rank has no place for a stream, which was not started.
-var ErrQueueFull = errors.New("the rank is full")
+// ErrQueueFull means that a stream was rejected because the rank's queue is full.
+var ErrQueueFull = errors.New("rank queue is full")
 
-// MissingRankError means that the group lacks a rank. The stream was not started.
+// MissingRankError means that a stream was rejected because another rank is missing.
 type MissingRankError struct{ Rank int }
 
 func (e *MissingRankError) Error() string { return fmt.Sprintf("rank %d is missing", e.Rank) }
 
-// Group is a group of ranks. It is safe for concurrent use.
+// Group is a simulated group of ranks. It is safe for concurrent use.
 type Group struct {
 	cfg  GroupConfig
 	stop chan struct{}
 
-	mu         sync.Mutex // leaf lock
-	rng        *rand.Rand
-	ranks      []*rank
-	epoch      uint64
-	step       uint64
-	formingAt  time.Time // zero while the group is open or lacks a rank
-	missing    map[int]time.Time
-	popular    [][]int // experts by set, the most wanted first
-	violations []string
-	switches   int
-	skew       float64
-	late       float64
-	lateBy     time.Duration
-}
-
-// rank is one engine.
+	mu           sync.Mutex // leaf lock
+	rng          *rand.Rand
+	ranks        []*rank
+	epoch        uint64
+	step         uint64
+	opensAt      time.Time // start of the next epoch; zero while open or a rank is missing
+	missing      map[int]time.Time
+	popular      [][]int // experts by set, most popular first
+	violations   []string
+	mapSwitches  int
+	skew         float64
+	delayedShare float64
+	orderDelay   time.Duration
+}
+
+// rank is the state of one engine.
 type rank struct {
-	born     int64
-	waiting  []*Stream
-	running  []*Stream
-	counts   []uint64
-	version  uint64
-	experts  [][]int // by set
-	highest  uint64
-	prepared uint64
-	// readyAt is when the copy of the prepared map is complete.
-	readyAt         time.Time
-	preparedExperts [][]int
-	armed, armedAt  uint64
-	held            uint64
-}
-
-// Stream is one request at a rank.
+	startMillis    int64
+	waiting        []*Stream
+	running        []*Stream
+	counts         []uint64
+	version        uint64
+	experts        [][]int // by set
+	highestVersion uint64
+	prepared       uint64
+	// preparedAt is when the experts of the prepared map are loaded.
+	preparedAt       time.Time
+	preparedExperts  [][]int
+	armed, armedStep uint64
+	heldStep         uint64
+}
+
+// Stream is one streamed request.
 type Stream struct {
-	// Events receives the numbers of the events. It is closed at the end, or
-	// before the last event if the stream breaks off.
-	Events chan int
-	next   int
-	last   int
-	prompt bool // the prompt is not read yet
-	gone   bool
+	// Events receives the event numbers. It is closed after the last event, or
+	// earlier if the stream is aborted.
+	Events        chan int
+	next          int
+	last          int
+	promptPending bool // prefill is outstanding
+	cancelled     bool
 }
 
-// NewGroup starts a group that is open.
+// NewGroup starts an open group.
 func NewGroup(cfg GroupConfig) *Group {
 	g := &Group{
 		cfg: cfg, stop: make(chan struct{}), rng: rand.New(rand.NewPCG(cfg.Seed, 7)), missing: make(map[int]time.Time),
@@ -101,9 +100,9 @@
 		g.popular = append(g.popular, g.rng.Perm(cfg.ExpertsPerSet))
 	}
 	for range cfg.Ranks {
-		g.ranks = append(g.ranks, &rank{born: time.Now().UnixMilli(), counts: make([]uint64, cfg.LayerSets*cfg.ExpertsPerSet)})
+		g.ranks = append(g.ranks, &rank{startMillis: time.Now().UnixMilli(), counts: make([]uint64, cfg.LayerSets*cfg.ExpertsPerSet)})
 	}
-	g.form()
+	g.startEpoch()
 	go g.run()
 	return g
 }
@@ -111,11 +110,11 @@
 // Close stops the group.
 func (g *Group) Close() { close(g.stop) }
 
-// form opens the group in a new epoch with the initial map.
-func (g *Group) form() {
+// startEpoch starts an epoch with the initial map. The caller holds mu.
+func (g *Group) startEpoch() {
 	g.epoch++
 	for i, r := range g.ranks {
-		r.version, r.highest, r.prepared, r.armed, r.armedAt, r.held = 0, 0, 0, 0, 0, 0
+		r.version, r.highestVersion, r.prepared, r.armed, r.armedStep, r.heldStep = 0, 0, 0, 0, 0, 0
 		r.experts = make([][]int, g.cfg.LayerSets)
 		for s := range r.experts {
 			for e := i; e < g.cfg.ExpertsPerSet; e += g.cfg.Ranks {
@@ -125,7 +124,7 @@
 	}
 }
 
-// Start asks a rank to run a stream from after an event up to the last one.
+// Start queues a stream at a rank, with the events after+1 to last.
 func (g *Group) Start(rankIndex, after, last int) (*Stream, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -138,40 +137,42 @@
 	if len(r.running)+len(r.waiting) >= g.cfg.Slots+g.cfg.MaxWaiting {
 		return nil, ErrQueueFull
 	}
-	s := &Stream{Events: make(chan int, last+1), next: after + 1, last: last, prompt: true}
+	s := &Stream{Events: make(chan int, last+1), next: after + 1, last: last, promptPending: true}
 	r.waiting = append(r.waiting, s)
 	return s, nil
 }
 
-// Cancel ends a stream whose caller has gone.
+// Cancel stops a stream whose caller has disconnected.
 func (g *Group) Cancel(s *Stream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s.gone = true
+	s.cancelled = true
 }
 
-// FailRank takes a rank away; its streams break off at once and all others after the stall.
+// FailRank makes a rank unavailable. Its streams are aborted at once, those of other
+// ranks after StallTimeout.
 func (g *Group) FailRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.missing[i] = time.Now()
-	g.formingAt = time.Time{}
-	g.breakOff(g.ranks[i])
+	g.opensAt = time.Time{}
+	g.closeStreams(g.ranks[i])
 }
 
-// RestoreRank brings a rank back under the same name. The group forms anew.
+// RestoreRank restarts a failed rank. Once no rank is missing, the group starts a new
+// epoch after FormTime.
 func (g *Group) RestoreRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.missing, i)
 	r := g.ranks[i]
-	*r = rank{born: time.Now().UnixMilli(), counts: make([]uint64, g.cfg.LayerSets*g.cfg.ExpertsPerSet), experts: r.experts}
+	*r = rank{startMillis: time.Now().UnixMilli(), counts: make([]uint64, g.cfg.LayerSets*g.cfg.ExpertsPerSet), experts: r.experts}
 	if len(g.missing) == 0 {
-		g.formingAt = time.Now().Add(g.cfg.FormTime)
+		g.opensAt = time.Now().Add(g.cfg.FormTime)
 	}
 }
 
-// ShiftPopularity makes other experts popular.
+// ShiftPopularity draws a new popularity order of the experts.
 func (g *Group) ShiftPopularity() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,38 +181,39 @@
 	}
 }
 
-// DelayOrders leaves a share of the orders unanswered and carries them out later.
+// DelayOrders reports a share of the orders as unanswered and applies them after by.
 func (g *Group) DelayOrders(share float64, by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.late, g.lateBy = share, by
+	g.delayedShare, g.orderDelay = share, by
 }
 
-// Status tells what a test wants to know.
+// Status is a snapshot of a Group.
 type Status struct {
-	// Skew is the largest rank load over the mean in the last pass, averaged over the sets.
+	// Skew is the ratio of the highest rank load to the mean in the last pass, averaged
+	// over the sets.
 	Skew float64
-	// MapSwitches counts the maps taken into use, and Step the passes.
+	// MapSwitches counts activated maps, and Step passes.
 	MapSwitches int
 	Step        uint64
-	// Held is true while a rank keeps the group from a step to come.
+	// Held reports whether an order holds a future step.
 	Held bool
-	// Violations tell where two ranks had different maps.
+	// Violations describes passes whose ranks used different maps.
 	Violations []string
 }
 
-// Status returns the state of the group.
+// Status returns a snapshot of the group.
 func (g *Group) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Status{Skew: g.skew, MapSwitches: g.switches, Step: g.step, Held: g.held(), Violations: g.violations}
+	return Status{Skew: g.skew, MapSwitches: g.mapSwitches, Step: g.step, Held: g.held(), Violations: g.violations}
 }
 
 func (g *Group) held() bool {
-	return slices.ContainsFunc(g.ranks, func(r *rank) bool { return r.held > g.step })
+	return slices.ContainsFunc(g.ranks, func(r *rank) bool { return r.heldStep > g.step })
 }
 
-func (g *Group) breakOff(r *rank) {
+func (g *Group) closeStreams(r *rank) {
 	for _, s := range append(r.running, r.waiting...) {
 		close(s.Events)
 	}
--- a/lab/replicas/pass.go
+++ b/lab/replicas/pass.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// idlePause is the time between looks for work.
-	idlePause = 2 * time.Millisecond
-	// picksPerEvent and picksPerPrompt count the experts' tokens of an event and of a prompt.
-	picksPerEvent, picksPerPrompt = 40, 2000
+	// idlePollInterval is the interval at which an idle group polls for work.
+	idlePollInterval = 2 * time.Millisecond
+	// tokensPerEvent and tokensPerPrompt are the tokens routed to the experts of a set.
+	tokensPerEvent, tokensPerPrompt = 40, 2000
 )
 
-// run executes passes until the group is closed.
+// run executes passes until Close.
 func (g *Group) run() {
 	for {
-		pause := idlePause
+		pause := idlePollInterval
 		g.mu.Lock()
-		if g.ready(time.Now()) && g.hasWork() && !g.heldAt(g.step+1) {
-			pause = g.begin()
+		if g.checkOpen(time.Now()) && g.hasWork() && !g.heldAt(g.step+1) {
+			pause = g.runPass()
 		}
 		g.mu.Unlock()
 		select {
@@ -30,24 +30,25 @@
 	}
 }
 
-// ready reports whether the group is open, and forms it when its time has come.
-func (g *Group) ready(now time.Time) bool {
+// checkOpen reports whether the group is open. It aborts streams whose stall timed
+// out and starts an epoch that is due. The caller holds mu.
+func (g *Group) checkOpen(now time.Time) bool {
 	for _, since := range g.missing {
 		if now.Sub(since) > g.cfg.StallTimeout {
 			for _, r := range g.ranks {
-				g.breakOff(r)
+				g.closeStreams(r)
 			}
 		}
 	}
 	if len(g.missing) > 0 {
 		return false
 	}
-	if !g.formingAt.IsZero() {
-		if now.Before(g.formingAt) {
+	if !g.opensAt.IsZero() {
+		if now.Before(g.opensAt) {
 			return false
 		}
-		g.formingAt = time.Time{}
-		g.form()
+		g.opensAt = time.Time{}
+		g.startEpoch()
 	}
 	return true
 }
@@ -57,12 +58,12 @@
 }
 
 func (g *Group) heldAt(step uint64) bool {
-	return slices.ContainsFunc(g.ranks, func(r *rank) bool { return r.held == step })
+	return slices.ContainsFunc(g.ranks, func(r *rank) bool { return r.heldStep == step })
 }
 
-// begin begins a pass and returns its length. Its events are made at its begin,
-// which tests cannot tell from its end.
-func (g *Group) begin() time.Duration {
+// runPass starts a pass and returns its duration. It sends events at the start of the
+// pass, which callers can't distinguish from its end. The caller holds mu.
+func (g *Group) runPass() time.Duration {
 	g.step++
 	g.switchMaps()
 	fullest := 0
@@ -72,7 +73,7 @@
 			r.waiting = r.waiting[1:]
 		}
 		fullest = max(fullest, len(r.running))
-		g.work(r)
+		g.runStreams(r)
 	}
 	g.skew = g.measureSkew()
 	return g.cfg.StepTime + time.Duration(float64(fullest)*g.skew*float64(g.cfg.TimePerStream))
@@ -81,14 +82,14 @@
 func (g *Group) switchMaps() {
 	switched := false
 	for _, r := range g.ranks {
-		if r.armed != 0 && r.armedAt == g.step {
+		if r.armed != 0 && r.armedStep == g.step {
 			r.version, r.experts = r.armed, r.preparedExperts
-			r.armed, r.armedAt, r.prepared = 0, 0, 0
+			r.armed, r.armedStep, r.prepared = 0, 0, 0
 			switched = true
 		}
 	}
 	if switched {
-		g.switches++
+		g.mapSwitches++
 	}
 	for i, r := range g.ranks {
 		if r.version != g.ranks[0].version {
@@ -98,22 +99,22 @@
 	}
 }
 
-// work makes the events of a rank's streams and counts their experts.
-func (g *Group) work(r *rank) {
+// runStreams sends the events of a rank's streams and counts tokens by expert.
+func (g *Group) runStreams(r *rank) {
 	r.running = slices.DeleteFunc(r.running, func(s *Stream) bool {
-		if s.gone {
+		if s.cancelled {
 			return true
 		}
-		picks := picksPerEvent
-		if s.prompt {
-			s.prompt, picks = false, picksPerPrompt
+		tokens := tokensPerEvent
+		if s.promptPending {
+			s.promptPending, tokens = false, tokensPerPrompt
 		} else {
 			s.Events <- s.next
 			s.next++
 		}
 		for set := range g.popular {
-			for range picks {
-				r.counts[set*g.cfg.ExpertsPerSet+g.choose(set)]++
+			for range tokens {
+				r.counts[set*g.cfg.ExpertsPerSet+g.pickExpert(set)]++
 			}
 		}
 		if s.next > s.last {
@@ -124,8 +125,9 @@
 	})
 }
 
-// choose picks an expert; each is half as popular as the one before, to a floor.
-func (g *Group) choose(set int) int {
+// pickExpert draws an expert. Each of the six most popular is half as likely as the one
+// before; the remaining probability is spread evenly over all.
+func (g *Group) pickExpert(set int) int {
 	i := 0
 	for i < 6 && g.rng.IntN(2) == 0 {
 		i++
@@ -136,8 +138,8 @@
 	return g.popular[set][i%g.cfg.ExpertsPerSet]
 }
 
-// measureSkew returns the largest rank load over the mean under the popularity
-// in force, averaged over the sets.
+// measureSkew returns the ratio of the highest rank load to the mean under the current
+// popularity, averaged over the sets.
 func (g *Group) measureSkew() float64 {
 	var sum float64
 	for set := range g.popular {
