--- a/lab/ranks/group.go
+++ b/lab/ranks/group.go
@@ -11,31 +11,31 @@
 	"github.com/siskinford/siskinford/balance/lockstep"
 )
 
-// pollInterval is the time between looks at which ranks can begin a step.
+// pollInterval is the interval at which Run advances the group.
 const pollInterval = 500 * time.Microsecond
 
-// Group runs the engines of all ranks of a group. It is safe for concurrent use.
+// Group simulates the engines of all ranks. It is safe for concurrent use.
 type Group struct {
 	config Config
 
-	// mu is a leaf lock that guards all fields below.
+	// mu guards the fields below. No other lock is taken while it is held.
 	mu         sync.Mutex
 	rand       *rand.Rand
 	engines    []*engine
-	witness    *witness
+	recorder   *recorder
 	popularity *popularity
-	drifted    time.Time
-	// replicas holds the number of replicas of each expert by map, then layer.
+	lastDrift  time.Time
+	// replicas caches the replica count of each expert by map, then layer. It holds one map.
 	replicas map[lockstep.Version][][]int
 }
 
-// New returns a group whose ranks are outside any formation.
+// New returns a group whose ranks are in no formation.
 func New(c Config) *Group {
 	c = c.withDefaults()
 	now := time.Now()
 	g := &Group{
-		config: c, rand: rand.New(rand.NewPCG(c.Seed, 2)), witness: newWitness(c.Size, c.MaxRecords, now),
-		popularity: newPopularity(c), drifted: now, replicas: map[lockstep.Version][][]int{},
+		config: c, rand: rand.New(rand.NewPCG(c.Seed, 2)), recorder: newRecorder(c.Size, c.MaxRecords, now),
+		popularity: newPopularity(c), lastDrift: now, replicas: map[lockstep.Version][][]int{},
 	}
 	for range c.Size {
 		g.engines = append(g.engines, newEngine())
@@ -43,7 +43,7 @@
 	return g
 }
 
-// Run runs steps until ctx ends.
+// Run calls Advance periodically until ctx ends.
 func (g *Group) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -57,46 +57,47 @@
 	}
 }
 
-// Advance lets each rank begin its next step if it can at now.
+// Advance applies what is due at now and starts each rank's next step where possible.
 func (g *Group) Advance(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.config.DriftInterval > 0 && now.Sub(g.drifted) >= g.config.DriftInterval {
-		g.drifted = now
+	if g.config.DriftInterval > 0 && now.Sub(g.lastDrift) >= g.config.DriftInterval {
+		g.lastDrift = now
 		g.popularity.drift()
 	}
 	for _, e := range g.engines {
-		e.advance(now, g.config.Fencing)
+		e.applyDue(now, g.config.Fencing)
 	}
 	for rank := range g.engines {
-		g.begin(rank, now)
+		g.beginStep(rank, now)
 	}
 }
 
-// begin lets a rank begin its next step if its order and the other ranks permit it.
-func (g *Group) begin(rank int, now time.Time) {
+// beginStep starts the next step of a rank if its order and the other ranks permit it.
+func (g *Group) beginStep(rank int, now time.Time) {
 	e := g.engines[rank]
 	v := e.nextMap()
-	if v == 0 || now.Before(e.freeAt) || !g.reached(e, now) {
+	if v == 0 || now.Before(e.readyAt) || !g.ranksReady(e, now) {
 		return
 	}
 	key := stepKey{formation: e.state.Order.Formation, step: e.state.Next}
-	tokens := e.begin(v, g.popularity.loads, g.replicasOf(v))
+	tokens := e.runStep(v, g.popularity.loads, g.replicasOf(v))
 	d := g.config.StepTime + time.Duration(tokens*float64(g.config.TokenTime))
-	e.freeAt = now.Add(d)
+	e.readyAt = now.Add(d)
 	if g.config.Jitter > 0 {
-		e.freeAt = e.freeAt.Add(time.Duration(g.rand.Int64N(int64(g.config.Jitter))))
+		e.readyAt = e.readyAt.Add(time.Duration(g.rand.Int64N(int64(g.config.Jitter))))
 	}
-	g.witness.begin(rank, key, v, d, now)
+	g.recorder.begin(rank, key, v, d, now)
 }
 
-// reached reports whether every rank has finished the step before e's next one.
-func (g *Group) reached(e *engine, now time.Time) bool {
+// ranksReady reports whether every rank is in e's formation and has finished the step
+// before e's next one.
+func (g *Group) ranksReady(e *engine, now time.Time) bool {
 	for _, other := range g.engines {
 		if other.state.Order.Formation != e.state.Order.Formation || other.state.Next < e.state.Next {
 			return false
 		}
-		if other.state.Next == e.state.Next && now.Before(other.freeAt) {
+		if other.state.Next == e.state.Next && now.Before(other.readyAt) {
 			return false
 		}
 	}
@@ -111,7 +112,7 @@
 	for i := range out {
 		out[i] = make([]int, g.config.Experts)
 		for _, e := range g.engines {
-			g.count(out[i], e.layouts[v], i)
+			g.countReplicas(out[i], e.layouts[v], i)
 		}
 	}
 	clear(g.replicas)
@@ -119,7 +120,7 @@
 	return out
 }
 
-func (g *Group) count(replicas []int, l groupmsg.Layout, layer int) {
+func (g *Group) countReplicas(replicas []int, l groupmsg.Layout, layer int) {
 	if layer >= len(l) {
 		return
 	}
@@ -130,24 +131,24 @@
 	}
 }
 
-// Steps returns the records of the last steps that every rank began.
+// Steps returns the retained records of steps that every rank started.
 func (g *Group) Steps() []StepRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.witness.records)
+	return slices.Clone(g.recorder.records)
 }
 
-// Summary returns the state of the witness.
+// Summary returns a copy of the summary of all recorded steps.
 func (g *Group) Summary() Summary {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := g.witness.summary
+	s := g.recorder.summary
 	s.Violations = slices.Clone(s.Violations)
 	s.Maps = slices.Clone(s.Maps)
 	return s
 }
 
-// SetFaults replaces the faults of a rank.
+// SetFaults replaces the injected faults of a rank.
 func (g *Group) SetFaults(rank int, f Faults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -159,15 +160,15 @@
 	}
 }
 
-// Restart replaces the engine of a rank by one that holds nothing.
+// Restart replaces the engine of a rank by a new one without maps and orders.
 func (g *Group) Restart(rank int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.engines[rank] = newEngine()
 }
 
-// enter waits while the rank is stalled and calls f with the lock held.
-func (g *Group) enter(ctx context.Context, rank int, f func(e *engine) error) error {
+// withEngine blocks while the rank is stalled, then calls f with mu held.
+func (g *Group) withEngine(ctx context.Context, rank int, f func(e *engine) error) error {
 	for {
 		g.mu.Lock()
 		e := g.engines[rank]
--- a/lab/ranks/handler.go
+++ b/lab/ranks/handler.go
@@ -18,8 +18,8 @@
 // maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 4 << 20
 
-// Handler returns the HTTP interfaces of the engines, that of rank n under
-// /ranks/n, and under /lab those of the witness and the faults.
+// Handler serves the engine protocol of rank n under /ranks/n and, under /lab, step
+// records and fault injection.
 func (g *Group) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/lab/steps", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, g.Steps()) })
@@ -46,34 +46,34 @@
 }
 
 func (g *Group) rankRoutes(r chi.Router, rank int) {
-	r.Get(protocol.PathRankState, g.answer(rank, func(_ *http.Request, e *engine) (any, error) {
+	r.Get(protocol.PathRankState, g.serveRead(rank, func(_ *http.Request, e *engine) (any, error) {
 		s := e.state
 		s.Staged = slices.Clone(s.Staged)
 		return s, nil
 	}))
-	r.Post(protocol.PathRankLoads, g.answer(rank, func(_ *http.Request, e *engine) (any, error) {
+	r.Post(protocol.PathRankLoads, g.serveRead(rank, func(_ *http.Request, e *engine) (any, error) {
 		l := e.counts
 		e.counts = groupmsg.Loads{}
 		return l, nil
 	}))
-	r.Get(protocol.PathRankLayouts+"{version}", g.answer(rank, func(r *http.Request, e *engine) (any, error) {
+	r.Get(protocol.PathRankLayouts+"{version}", g.serveRead(rank, func(r *http.Request, e *engine) (any, error) {
 		v, err := strconv.ParseUint(chi.URLParam(r, "version"), 10, 64)
 		layout := e.layouts[lockstep.Version(v)]
 		if err != nil || layout == nil {
-			return nil, errUnknown
+			return nil, errUnknownMap
 		}
 		return layout, nil
 	}))
 	r.Post(protocol.PathRankOrder, func(w http.ResponseWriter, r *http.Request) {
 		var o lockstep.EngineOrder
 		if readJSON(w, r, &o) {
-			g.act(w, r, rank, func(e *engine) error { return e.order(o, g.config.Fencing, time.Now()) })
+			g.serveUpdate(w, r, rank, func(e *engine) error { return e.acceptOrder(o, g.config.Fencing, time.Now()) })
 		}
 	})
 	r.Post(protocol.PathRankWeights, func(w http.ResponseWriter, r *http.Request) {
 		var weights groupmsg.Weights
 		if readJSON(w, r, &weights) {
-			g.act(w, r, rank, func(e *engine) error {
+			g.serveUpdate(w, r, rank, func(e *engine) error {
 				e.stage(weights, time.Now().Add(g.config.StageTime))
 				return nil
 			})
@@ -81,11 +81,11 @@
 	})
 }
 
-// answer serves what read returns for the engine of a rank.
-func (g *Group) answer(rank int, read func(*http.Request, *engine) (any, error)) http.HandlerFunc {
+// serveRead returns a handler that responds with the result of read.
+func (g *Group) serveRead(rank int, read func(*http.Request, *engine) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var body any
-		err := g.enter(r.Context(), rank, func(e *engine) error {
+		err := g.withEngine(r.Context(), rank, func(e *engine) error {
 			var err error
 			body, err = read(r, e)
 			return err
@@ -98,8 +98,8 @@
 	}
 }
 
-func (g *Group) act(w http.ResponseWriter, r *http.Request, rank int, do func(*engine) error) {
-	if err := g.enter(r.Context(), rank, do); err != nil {
+func (g *Group) serveUpdate(w http.ResponseWriter, r *http.Request, rank int, do func(*engine) error) {
+	if err := g.withEngine(r.Context(), rank, do); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -109,9 +109,9 @@
 func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
-	case errors.Is(err, errFenced), errors.Is(err, errOutside):
+	case errors.Is(err, errFenced), errors.Is(err, errOtherFormation):
 		status = http.StatusConflict
-	case errors.Is(err, errUnknown):
+	case errors.Is(err, errUnknownMap):
 		status = http.StatusNotFound
 	}
 	writeJSON(w, status, protocol.ErrorBody{Error: err.Error()})
@@ -120,7 +120,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // The client has gone if this fails.
+	_ = json.NewEncoder(w).Encode(body) // Fails only if the client has disconnected.
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
--- a/lab/ranks/popularity.go
+++ b/lab/ranks/popularity.go
@@ -7,11 +7,11 @@
 	"github.com/siskinford/siskinford/balance/expertmap"
 )
 
-// driftSwaps is the number of pairs of experts that exchange their popularity
-// in one change.
+// driftSwaps is the number of random experts per layer that one drift swaps with
+// others, besides the hottest.
 const driftSwaps = 3
 
-// popularity is the load of each expert by layer, drawn from a Zipf distribution.
+// popularity holds the load of each expert by layer, Zipf-distributed.
 type popularity struct {
 	rand  *rand.Rand
 	loads []expertmap.Load
@@ -39,7 +39,7 @@
 	return load
 }
 
-// drift exchanges the hottest expert of each layer, and some random ones, with others.
+// drift swaps the loads of the hottest and some random experts of each layer with others.
 func (p *popularity) drift() {
 	for _, load := range p.loads {
 		p.swap(load, hottest(load))
--- a/lab/ranks/rank.go
+++ b/lab/ranks/rank.go
@@ -11,19 +11,19 @@
 )
 
 var (
-	errFenced  = errors.New("order has an old fencing number")
-	errOutside = errors.New("engine is not in the order's formation")
-	errUnknown = errors.New("map is not known")
+	errFenced         = errors.New("order has a stale fencing token")
+	errOtherFormation = errors.New("engine is not in the order's formation")
+	errUnknownMap     = errors.New("unknown map")
 )
 
-// maxMaps bounds the maps whose weights a rank holds.
+// maxMaps bounds the maps staged on a rank.
 const maxMaps = 4
 
-// Faults are injected failures of one rank.
+// Faults are the injected faults of one rank.
 type Faults struct {
-	// Stall keeps the rank from answering and from beginning steps.
+	// Stall blocks the responses and the steps of the rank.
 	Stall bool `json:"stall"`
-	// OrderDelayMS is the time until an accepted order takes effect. Unit: milliseconds.
+	// OrderDelayMS delays the effect of accepted orders.
 	OrderDelayMS int `json:"order_delay_ms"`
 }
 
@@ -31,13 +31,13 @@
 type engine struct {
 	state   lockstep.EngineState
 	layouts map[lockstep.Version]groupmsg.Layout
-	loading map[lockstep.Version]time.Time
+	staging map[lockstep.Version]time.Time
 	counts  groupmsg.Loads
 	delayed []delayedOrder
 	faults  Faults
-	// freeAt is the end of the current step, and the delay before the next.
-	freeAt time.Time
-	// resumed is closed and replaced when a stall ends.
+	// readyAt is the end of the current step and of the jitter after it.
+	readyAt time.Time
+	// resumed is closed and replaced when the stall is cleared.
 	resumed chan struct{}
 }
 
@@ -48,18 +48,18 @@
 
 func newEngine() *engine {
 	return &engine{
-		layouts: map[lockstep.Version]groupmsg.Layout{}, loading: map[lockstep.Version]time.Time{},
+		layouts: map[lockstep.Version]groupmsg.Layout{}, staging: map[lockstep.Version]time.Time{},
 		resumed: make(chan struct{}),
 	}
 }
 
-// order takes an order, which takes effect at once unless the rank delays it.
-func (e *engine) order(o lockstep.EngineOrder, fencing bool, now time.Time) error {
+// acceptOrder checks an order and applies it at once, or after the injected delay.
+func (e *engine) acceptOrder(o lockstep.EngineOrder, fencing bool, now time.Time) error {
 	if fencing && o.Older(e.state.Order) {
 		return errFenced
 	}
 	if o.Formation != e.state.Order.Formation && !o.EntersFormation() {
-		return errOutside
+		return errOtherFormation
 	}
 	if e.faults.OrderDelayMS > 0 {
 		at := now.Add(time.Duration(e.faults.OrderDelayMS) * time.Millisecond)
@@ -77,8 +77,8 @@
 	e.state.Order = o
 }
 
-// advance lets weights arrive and delayed orders take effect.
-func (e *engine) advance(now time.Time, fencing bool) {
+// applyDue completes staged weights and applies delayed orders that are due.
+func (e *engine) applyDue(now time.Time, fencing bool) {
 	for len(e.delayed) > 0 && !now.Before(e.delayed[0].at) {
 		o := e.delayed[0].order
 		e.delayed = e.delayed[1:]
@@ -86,18 +86,18 @@
 			e.apply(o)
 		}
 	}
-	for v, at := range e.loading {
+	for v, at := range e.staging {
 		if now.Before(at) {
 			continue
 		}
-		delete(e.loading, v)
+		delete(e.staging, v)
 		e.state.Staged = append(e.state.Staged, v)
 		slices.Sort(e.state.Staged)
 	}
 	e.evict()
 }
 
-// evict drops the oldest maps that are not in use, beyond the bound.
+// evict drops the oldest unused maps in excess of maxMaps.
 func (e *engine) evict() {
 	for len(e.state.Staged) > maxMaps {
 		i := slices.IndexFunc(e.state.Staged, func(v lockstep.Version) bool {
@@ -111,11 +111,11 @@
 func (e *engine) stage(w groupmsg.Weights, until time.Time) {
 	if e.layouts[w.Map] == nil {
 		e.layouts[w.Map] = w.Layout
-		e.loading[w.Map] = until
+		e.staging[w.Map] = until
 	}
 }
 
-// nextMap returns the map of the step that the engine may begin, zero for none.
+// nextMap returns the map of the next step, or zero if the step may not start.
 func (e *engine) nextMap() lockstep.Version {
 	v := e.state.Order.MapAt(e.state.Next)
 	if e.faults.Stall || e.state.Order.Formation == 0 || !slices.Contains(e.state.Staged, v) {
@@ -124,8 +124,8 @@
 	return v
 }
 
-// begin runs one step on map v and returns its tokens.
-func (e *engine) begin(v lockstep.Version, loads []expertmap.Load, replicas [][]int) float64 {
+// runStep runs one step on map v and returns the tokens routed to the rank.
+func (e *engine) runStep(v lockstep.Version, loads []expertmap.Load, replicas [][]int) float64 {
 	if e.counts.Map != v {
 		e.counts = groupmsg.Loads{Map: v, Tokens: make([][]uint64, len(loads))}
 	}
--- a/lab/ranks/ranks_test.go
+++ b/lab/ranks/ranks_test.go
@@ -16,32 +16,32 @@
 
 var _ rank.Engine = (*protocol.RankHTTP)(nil)
 
-func TestWitnessFindsViolations(t *testing.T) {
+func TestRecorderFindsViolations(t *testing.T) {
 	tests := []struct {
 		name   string
-		begin  func(w *witness)
+		begin  func(w *recorder)
 		splits int
 	}{
-		{"one map", func(w *witness) {
+		{"one map", func(w *recorder) {
 			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
 			w.begin(1, stepKey{1, 0}, 7, 1, time.Time{})
 		}, 0},
-		{"two maps", func(w *witness) {
+		{"two maps", func(w *recorder) {
 			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
 			w.begin(1, stepKey{1, 0}, 8, 1, time.Time{})
 		}, 1},
-		{"step repeated", func(w *witness) {
+		{"step repeated", func(w *recorder) {
 			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
 			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
 		}, 1},
-		{"earlier formation", func(w *witness) {
+		{"earlier formation", func(w *recorder) {
 			w.begin(0, stepKey{2, 0}, 7, 1, time.Time{})
 			w.begin(1, stepKey{1, 9}, 7, 1, time.Time{})
 		}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWitness(2, 4, time.Time{})
+			w := newRecorder(2, 4, time.Time{})
 			tt.begin(w)
 			assert.Equal(t, len(w.summary.Violations), tt.splits)
 		})
@@ -56,9 +56,9 @@
 	return c
 }
 
-// TestStepsNeedEveryRank verifies the interface of the engines: no rank steps
-// without an order, or ahead of a rank that may not.
-func TestStepsNeedEveryRank(t *testing.T) {
+// TestStepNeedsOrderAndAllRanks guards against a rank that steps without an order, or
+// ahead of a rank that isn't permitted to step, through the engines' HTTP interface.
+func TestStepNeedsOrderAndAllRanks(t *testing.T) {
 	g := New(Config{Size: 2, Layers: 1, Experts: 3, StepTime: time.Millisecond, StageTime: time.Millisecond, Fencing: true})
 	server := httptest.NewServer(g.Handler())
 	t.Cleanup(server.Close)
@@ -98,6 +98,6 @@
 	old := lockstep.EngineOrder{Epoch: 8, Formation: 8, Map: 5}
 	assert.ErrorContains(t, engines[0].SetMap(ctx, old), errFenced.Error())
 	g.Restart(0)
-	assert.ErrorContains(t, engines[0].SetMap(ctx, forward), errOutside.Error())
+	assert.ErrorContains(t, engines[0].SetMap(ctx, forward), errOtherFormation.Error())
 	assert.Equal(t, len(g.Summary().Violations), 0)
 }
