--- a/lab/ranks/popularity.go
+++ b/lab/ranks/popularity.go
@@ -25,7 +25,7 @@
 	return p
 }
 
-// draw returns loads that sum up to c.Tokens, in random order.
+// draw returns loads in random order that sum to c.TokensPerLayer.
 func (p *popularity) draw(c Config) expertmap.Load {
 	load := make(expertmap.Load, c.Experts)
 	var sum float64
--- a/lab/ranks/recorder.go
+++ b/lab/ranks/recorder.go
@@ -64,7 +64,7 @@
 
 // begin records that a rank starts a step of duration d on map v.
 func (w *recorder) begin(rank int, key stepKey, v lockstep.Version, d time.Duration, now time.Time) {
-	s := w.openStep(key, now)
+	s := w.stepFor(key, now)
 	again := s.record.MapVersions[rank] != 0
 	s.record.MapVersions[rank] = v
 	s.ranksBegun++
@@ -81,7 +81,7 @@
 	}
 }
 
-func (w *recorder) openStep(key stepKey, now time.Time) *openStep {
+func (w *recorder) stepFor(key stepKey, now time.Time) *openStep {
 	s := w.open[key]
 	if s == nil {
 		s = &openStep{record: StepRecord{
