--- a/lab/plainservice/contract_test.go
+++ b/lab/plainservice/contract_test.go
@@ -23,7 +23,7 @@
 func (r *recorder) Head(head msg.ResponseHead) error { r.status = head.Status; return nil }
 func (r *recorder) Write(data []byte) (int, error)   { return r.body.Write(data) }
 
-// start returns a service, and a function that sends it a request and decodes the answer.
+// start returns a service and a function that sends a request and decodes the response.
 func start(t *testing.T) (*plainservice.Service, func(p msg.HTTPRequest) (int, plainservice.Record, error)) {
 	t.Helper()
 	service := plainservice.New(plainservice.Config{})
@@ -71,7 +71,7 @@
 		assert.Equal(t, record.Mark, step.request.Header[1].Value)
 	}
 	assert.DeepEqual(t, service.Executions(), map[string]int{"k1": 1, "k2": 2, "k3": 1, "k4": 1, "k5": 1, "k6": 1})
-	assert.Equal(t, len(service.Tags("bay-7")), 2, "the stand-in must not remove duplicates")
+	assert.Equal(t, len(service.Tags("bay-7")), 2, "the service must not deduplicate")
 
 	status, _, err := send(request("POST", "/tags", "k7", `{}`))
 	assert.NilError(t, err)
@@ -79,7 +79,7 @@
 	assert.Equal(t, service.Executions()["k7"], 0)
 }
 
-func TestFaultsAndWitness(t *testing.T) {
+func TestFaultsAndExecutionCounts(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults plainservice.Faults
@@ -95,8 +95,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			service, send := start(t)
-			// The first request leaves a kept-alive connection, over which the
-			// standard transport would repeat the second one.
+			// The first request leaves an idle connection. Go's http.Transport would
+			// repeat the second request if that connection broke.
 			_, _, err := send(request("POST", "/tags", "k1", `{"id":"bay-7"}`))
 			assert.NilError(t, err)
 			service.SetFaults(test.faults)
--- a/lab/plainservice/plainservice.go
+++ b/lab/plainservice/plainservice.go
@@ -1,6 +1,6 @@
-// Package plainservice is a stand-in for a plain service with reservations and
-// tags. It runs every request that it reads, never removes duplicates, and
-// counts the runs of each key as a witness of how often an action ran.
+// Package plainservice simulates an HTTP service with reservations and tags for tests.
+// It executes every request that it reads, without deduplication, and counts the
+// executions of each key, so that tests can detect repeated requests.
 package plainservice
 
 import (
@@ -15,44 +15,44 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Header fields by which runs are counted. The idempotency key goes first.
+// Headers whose value keys the execution counts. HeaderKey takes precedence.
 const (
 	HeaderKey  = "Idempotency-Key"
 	HeaderMark = "X-Mark"
 )
 
 const (
-	maxBodyBytes   = 1 << 20
-	defaultMaxRuns = 1 << 20
-	stockRange     = 100
+	maxBodyBytes          = 1 << 20
+	defaultMaxTrackedKeys = 1 << 20
+	stockRange            = 100
 )
 
-// Config sets up a Service. The zero value is usable.
+// Config configures a Service. The zero value is usable.
 type Config struct {
-	// Delay is the time that each run takes. Default 0.
+	// Delay is the time from execution to response. Default 0.
 	Delay time.Duration
-	// MaxTrackedKeys bounds the keys that are counted. Default 1,048,576.
+	// MaxTrackedKeys bounds the keys with counts. Default 1,048,576.
 	MaxTrackedKeys int
 }
 
 // Faults are the injected faults of a service.
 type Faults struct {
-	// Delay is added to each run, in nanoseconds.
+	// Delay is added to Config.Delay, in nanoseconds.
 	Delay time.Duration `json:"delay"`
-	// CutNext is the number of requests that run and get no answer: the
-	// connection is closed instead.
+	// CutNext is the number of next requests that are executed and whose connection
+	// is closed without a response.
 	CutNext int `json:"cut_next"`
-	// CutBodyNext is the number of requests that run and whose answer is cut
-	// in the middle of the body.
+	// CutBodyNext is the number of next requests that are executed and whose
+	// connection is closed within the response body.
 	CutBodyNext int `json:"cut_body_next"`
-	// FailNext is the number of requests to refuse with status 503, without a run.
+	// FailNext is the number of next requests rejected with status 503, not executed.
 	FailNext int `json:"fail_next"`
-	// HangNext is the number of requests that run and are answered only when
-	// the caller gives up.
+	// HangNext is the number of next requests that are executed and get no response;
+	// the connection stays open until the caller gives up.
 	HangNext int `json:"hang_next"`
 }
 
-// Record is a reservation, tag or stock answer.
+// Record is a reservation, a tag or a stock count.
 type Record struct {
 	ID     string `json:"id"`
 	Mark   string `json:"mark,omitempty"`
@@ -62,7 +62,7 @@
 	Stock  int    `json:"stock,omitempty"`
 }
 
-// Order is the body of a reservation or of the issue of a tag.
+// Order is the request body that creates a reservation or issues a tag.
 type Order struct {
 	ID     string `json:"id"`
 	Item   string `json:"item"`
@@ -75,19 +75,19 @@
 }
 
 var (
-	errNoID     = errors.New("id is missing")
-	errInjected = errors.New("injected failure")
-	errNoTag    = errors.New("tag does not exist")
+	errMissingID  = errors.New("id is missing")
+	errInjected   = errors.New("injected failure")
+	errUnknownTag = errors.New("tag does not exist")
 )
 
-// Service is the stand-in. Its methods are safe for concurrent use.
+// Service is a simulated service. It is safe for concurrent use.
 type Service struct {
 	config Config
 
-	// mu is a leaf lock.
+	// mu guards the fields below. No other lock is taken while it is held.
 	mu           sync.Mutex
 	faults       Faults
-	runs         map[string]int
+	executions   map[string]int
 	lostRuns     int
 	reservations map[string][]Record
 	tags         map[string][]Record
@@ -96,24 +96,24 @@
 // New returns a service without reservations and tags.
 func New(c Config) *Service {
 	if c.MaxTrackedKeys <= 0 {
-		c.MaxTrackedKeys = defaultMaxRuns
+		c.MaxTrackedKeys = defaultMaxTrackedKeys
 	}
 	return &Service{
 		config:       c,
-		runs:         make(map[string]int),
+		executions:   make(map[string]int),
 		reservations: make(map[string][]Record),
 		tags:         make(map[string][]Record),
 	}
 }
 
-// Handler returns the HTTP interface and, under /lab, its witness and faults.
+// Handler serves the actions and, under /lab, execution counts and fault injection.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/reservations", s.run(s.reserve))
-	r.Post("/tags", s.run(s.issue))
-	r.Delete("/tags/{id}", s.run(s.void))
-	r.Get("/tags/{id}", s.run(s.tag))
-	r.Get("/stock/{id}", s.run(s.stock))
+	r.Post("/reservations", s.serve(s.reserve))
+	r.Post("/tags", s.serve(s.issue))
+	r.Delete("/tags/{id}", s.serve(s.void))
+	r.Get("/tags/{id}", s.serve(s.tag))
+	r.Get("/stock/{id}", s.serve(s.stock))
 	r.Get("/lab/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Executions()) })
 	r.Get("/lab/tags/{id}", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, s.Tags(chi.URLParam(r, "id")))
@@ -125,32 +125,32 @@
 	return r
 }
 
-// Executions returns how often requests of each key ran.
+// Executions returns the number of executions by key.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	runs := make(map[string]int, len(s.runs))
-	for key, n := range s.runs {
+	runs := make(map[string]int, len(s.executions))
+	for key, n := range s.executions {
 		runs[key] = n
 	}
 	return runs
 }
 
-// Tags returns all issues of a tag. More than one that is not void is a double issue.
+// Tags returns all issues of a tag. More than one non-void issue is a duplicate.
 func (s *Service) Tags(id string) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.tags[id])
 }
 
-// Reservations returns all reservations of an ID.
+// Reservations returns all reservations with an ID, duplicates included.
 func (s *Service) Reservations(id string) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.reservations[id])
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,37 +167,37 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// call is one request that has been read whole.
+// call is a completely read request.
 type call struct {
 	id    string
 	mark  string
 	order Order
 }
 
-// action performs a call. s.mu is held.
+// action executes a call with s.mu held.
 type action func(c call) (status int, body any)
 
-func (s *Service) run(act action) http.HandlerFunc {
+func (s *Service) serve(act action) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c, err := readCall(w, r)
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, problem{Error: err.Error(), Mark: c.mark})
 			return
 		}
-		delay, refuse := s.before()
+		delay, refuse := s.admit()
 		if refuse {
 			writeJSON(w, http.StatusServiceUnavailable, problem{Error: errInjected.Error(), Mark: c.mark})
 			return
 		}
-		status, body, end := s.perform(runKey(r), c, act)
-		if !wait(r, delay) && end == endAnswer {
+		status, body, end := s.execute(executionKey(r), c, act)
+		if !wait(r, delay) && end == respondWhole {
 			return
 		}
-		answer(w, r, status, body, end)
+		respond(w, r, status, body, end)
 	}
 }
 
-// readCall reads a request whole, so that nothing runs of a request that was cut.
+// readCall reads a complete request, so that a truncated one is never executed.
 func readCall(w http.ResponseWriter, r *http.Request) (call, error) {
 	c := call{id: chi.URLParam(r, "id"), mark: r.Header.Get(HeaderMark)}
 	if r.Method != http.MethodPost {
@@ -205,21 +205,21 @@
 	}
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&c.order)
 	if err == nil && c.order.ID == "" {
-		err = errNoID
+		err = errMissingID
 	}
 	c.id = c.order.ID
 	return c, err
 }
 
-func runKey(r *http.Request) string {
+func executionKey(r *http.Request) string {
 	if key := r.Header.Get(HeaderKey); key != "" {
 		return key
 	}
 	return r.Header.Get(HeaderMark)
 }
 
-// before takes the faults that apply ahead of a run.
-func (s *Service) before() (delay time.Duration, refuse bool) {
+// admit consumes an injected rejection, or returns the delay before the response.
+func (s *Service) admit() (delay time.Duration, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.FailNext > 0 {
@@ -229,42 +229,42 @@
 	return s.config.Delay + s.faults.Delay, false
 }
 
-// ending tells how a request that ran is answered.
-type ending int
+// responseFault is the injected fault in the response to an executed request.
+type responseFault int
 
 const (
-	endAnswer ending = iota
-	endCut
-	endCutBody
-	endHang
+	respondWhole responseFault = iota
+	abortBeforeResponse
+	abortInBody
+	hangUntilCancelled
 )
 
-// perform counts and runs a call.
-func (s *Service) perform(key string, c call, act action) (int, any, ending) {
+// execute counts and executes a call, and consumes an injected response fault.
+func (s *Service) execute(key string, c call, act action) (int, any, responseFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.runs[key]; known || len(s.runs) < s.config.MaxTrackedKeys {
-		s.runs[key]++
+	if _, known := s.executions[key]; known || len(s.executions) < s.config.MaxTrackedKeys {
+		s.executions[key]++
 	} else {
 		s.lostRuns++
 	}
 	status, body := act(c)
-	return status, body, s.ending()
+	return status, body, s.nextResponseFault()
 }
 
-func (s *Service) ending() ending {
+func (s *Service) nextResponseFault() responseFault {
 	switch {
 	case s.faults.CutNext > 0:
 		s.faults.CutNext--
-		return endCut
+		return abortBeforeResponse
 	case s.faults.CutBodyNext > 0:
 		s.faults.CutBodyNext--
-		return endCutBody
+		return abortInBody
 	case s.faults.HangNext > 0:
 		s.faults.HangNext--
-		return endHang
+		return hangUntilCancelled
 	}
-	return endAnswer
+	return respondWhole
 }
 
 func wait(r *http.Request, d time.Duration) bool {
@@ -281,14 +281,14 @@
 	}
 }
 
-func answer(w http.ResponseWriter, r *http.Request, status int, body any, end ending) {
+func respond(w http.ResponseWriter, r *http.Request, status int, body any, end responseFault) {
 	switch end {
-	case endCut:
+	case abortBeforeResponse:
 		panic(http.ErrAbortHandler)
-	case endHang:
+	case hangUntilCancelled:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case endCutBody:
+	case abortInBody:
 		w.Header().Set("Content-Length", "4096")
 		writeJSON(w, status, body)
 		_ = http.NewResponseController(w).Flush() // The connection is aborted anyway.
@@ -300,7 +300,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // The client has gone if this fails.
+	_ = json.NewEncoder(w).Encode(body) // Fails only if the client has disconnected.
 }
 
 func (s *Service) reserve(c call) (int, any) {
@@ -315,11 +315,11 @@
 	return http.StatusCreated, record
 }
 
-// void marks the last issue of a tag void.
+// void marks the latest issue of a tag as void.
 func (s *Service) void(c call) (int, any) {
 	issues := s.tags[c.id]
 	if len(issues) == 0 {
-		return http.StatusNotFound, problem{Error: errNoTag.Error(), Mark: c.mark}
+		return http.StatusNotFound, problem{Error: errUnknownTag.Error(), Mark: c.mark}
 	}
 	last := &issues[len(issues)-1]
 	last.Void = true
@@ -329,14 +329,14 @@
 func (s *Service) tag(c call) (int, any) {
 	issues := s.tags[c.id]
 	if len(issues) == 0 {
-		return http.StatusNotFound, problem{Error: errNoTag.Error(), Mark: c.mark}
+		return http.StatusNotFound, problem{Error: errUnknownTag.Error(), Mark: c.mark}
 	}
 	record := issues[len(issues)-1]
 	record.Mark = c.mark
 	return http.StatusOK, record
 }
 
-// stock answers a number that depends on the ID only.
+// stock returns a count derived from the ID.
 func (s *Service) stock(c call) (int, any) {
 	stock := int(xxhash.Sum64String(c.id)%stockRange) + 1
 	return http.StatusOK, Record{ID: c.id, Mark: c.mark, Stock: stock}
