--- a/lab/plainservice/plainservice.go
+++ b/lab/plainservice/plainservice.go
@@ -88,7 +88,7 @@
 	mu           sync.Mutex
 	faults       Faults
 	executions   map[string]int
-	lostRuns     int
+	untracked    int
 	reservations map[string][]Record
 	tags         map[string][]Record
 }
@@ -246,7 +246,7 @@
 	if _, known := s.executions[key]; known || len(s.executions) < s.config.MaxTrackedKeys {
 		s.executions[key]++
 	} else {
-		s.lostRuns++
+		s.untracked++
 	}
 	status, body := act(c)
 	return status, body, s.nextResponseFault()
--- a/lab/platform/calls.go
+++ b/lab/platform/calls.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// CallKind names a kind of call to the platform.
+// CallKind is the kind of an API call.
 type CallKind string
 
 // The kinds of call.
@@ -17,15 +17,15 @@
 
 func (k CallKind) isWrite() bool { return k == CallPut || k == CallDelete }
 
-// Calls counts the calls that arrived, refused ones included.
+// Calls counts received calls, including rejected ones.
 type Calls struct {
 	// Total is the number of all calls.
 	Total int64 `json:"total"`
-	// Limited is the number of calls refused for their rate.
+	// Limited is the number of calls rejected by a rate limit.
 	Limited int64 `json:"limited"`
 	// ByKind counts by kind of call.
 	ByKind map[CallKind]int64 `json:"by_kind"`
-	// ByCaller counts by the caller named in the request header, then by kind.
+	// ByCaller counts by the caller given in the request header, then by kind.
 	ByCaller map[string]map[CallKind]int64 `json:"by_caller"`
 }
 
@@ -56,7 +56,7 @@
 	p.calls = newCalls()
 }
 
-func (p *Platform) count(caller string, kind CallKind) {
+func (p *Platform) countCall(caller string, kind CallKind) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls.Total++
--- a/lab/platform/claim_test.go
+++ b/lab/platform/claim_test.go
@@ -15,8 +15,8 @@
 	lab "github.com/siskinford/siskinford/lab/platform"
 )
 
-// TestClaimsOverHTTP makes claims through the client under each fault of the
-// platform. A second claimant must learn the same record.
+// TestClaimsOverHTTP guards against two claimants of one key that get different
+// records, under lost responses, held writes and stale reads.
 func TestClaimsOverHTTP(t *testing.T) {
 	cases := map[string]lab.Faults{
 		"no fault":             {},
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestClaimDuringOutage has claims refused during an outage without effect.
+// TestClaimDuringOutage checks that claims fail as unavailable during an outage.
 func TestClaimDuringOutage(t *testing.T) {
 	key, err := claim.ParseKey("017f22e2-79b0-7cc3-98c4-dc0c0c07398f")
 	assert.NilError(t, err)
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestLeaseOverHTTP has a renewal whose answer is lost after it took effect.
+// TestLeaseOverHTTP checks that a lease renewal survives each write and read fault.
 func TestLeaseOverHTTP(t *testing.T) {
 	p, c := client(t, nil)
 	now := time.Unix(1000, 0)
--- a/lab/platform/contract_test.go
+++ b/lab/platform/contract_test.go
@@ -16,7 +16,7 @@
 
 const kind = "thing"
 
-// client starts a platform and returns it with a client that has short timeouts.
+// client starts a platform and returns it with a client with short timeouts.
 func client(t *testing.T, change func(*objectapi.ClientConfig)) (*lab.Platform, *objectapi.Client) {
 	t.Helper()
 	p := lab.New(lab.Config{})
@@ -46,7 +46,7 @@
 	return c
 }
 
-// TestStoreContract runs the same cases on every implementation of objectapi.Store.
+// TestStoreContract runs the same cases against every objectapi.Store implementation.
 func TestStoreContract(t *testing.T) {
 	implementations := map[string]func(t *testing.T) objectapi.Store{
 		"client": func(t *testing.T) objectapi.Store {
@@ -124,7 +124,7 @@
 	assert.Assert(t, len(changes) == 1 && changes[0].Deleted)
 	again, err := s.Put(ctx, objectapi.Object{Kind: kind, Name: "a"})
 	assert.NilError(t, err)
-	assert.Assert(t, again.Version > o.Version, "versions grow over a deletion")
+	assert.Assert(t, again.Version > o.Version, "a deletion must not reset the version")
 }
 
 func contractWatch(t *testing.T, s objectapi.Store) {
@@ -164,7 +164,7 @@
 	assert.Assert(t, errors.As(err, &tooLarge), "%v", err)
 }
 
-func TestClientConfigFindings(t *testing.T) {
+func TestClientConfigValidation(t *testing.T) {
 	_, err := objectapi.NewClient(objectapi.ClientConfig{BaseURL: "localhost", CallTimeout: -1})
 	assert.ErrorContains(t, err, "base URL")
 	assert.ErrorContains(t, err, "caller")
--- a/lab/platform/switches.go
+++ b/lab/platform/control.go
@@ -9,10 +9,10 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// maxSwitchBytes limits the body of a request that sets faults or hosts.
-const maxSwitchBytes = 1 << 20
+// maxBodyBytes limits the request body for faults and hosts.
+const maxBodyBytes = 1 << 20
 
-// labRoutes adds the switches, which are not part of the platform's API.
+// labRoutes adds the test-control routes, which the real platform doesn't have.
 func (p *Platform) labRoutes(r chi.Router) {
 	r.Get("/lab/calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, p.Calls()) })
 	r.Delete("/lab/calls", func(w http.ResponseWriter, _ *http.Request) {
@@ -27,9 +27,9 @@
 	})
 }
 
-// Released is the answer to a request that releases held writes.
+// Released is the response body of /lab/held/release.
 type Released struct {
-	// Writes is the number of writes that were released.
+	// Writes is the number of released writes.
 	Writes int `json:"writes"`
 }
 
@@ -55,7 +55,7 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSwitchBytes))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/lab/platform/fault_test.go
+++ b/lab/platform/fault_test.go
@@ -24,8 +24,8 @@
 	return objectapi.Object{Kind: kind, Name: name, Value: []byte(value)}
 }
 
-// TestLostAnswers covers writes whose answers are lost, for the writer alone
-// and with another writer between.
+// TestLostAnswers guards against a write that is reported wrongly or applied twice when
+// its response is lost or its first attempt arrives late.
 func TestLostAnswers(t *testing.T) {
 	cases := map[string]struct {
 		faults  lab.Faults
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestLostAnswerThenOtherWriters has other writers act while the answer is out.
+// TestLostAnswerThenOtherWriters checks the reported outcome if other writers write
+// between a lost response and the read-back.
 func TestLostAnswerThenOtherWriters(t *testing.T) {
 	cases := map[string]struct {
 		faults  lab.Faults
@@ -86,7 +87,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			p := lab.New(lab.Config{})
-			// The others act before the first read-back is served.
+			// The other writes happen before the first read-back is served.
 			handler := p.Handler()
 			var acted atomic.Bool
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -118,8 +119,8 @@
 	assert.Check(t, err)
 }
 
-// TestOutcomeUnknownMayArriveLater shows why a read-back of the old version
-// proves nothing: the write takes effect after the client gave up.
+// TestOutcomeUnknownMayArriveLater guards against taking a read-back of the old version
+// as failure: the write can still take effect after the client gave up.
 func TestOutcomeUnknownMayArriveLater(t *testing.T) {
 	p, c := client(t, func(cfg *objectapi.ClientConfig) { cfg.ResolveTimeout = time.Second })
 	assert.NilError(t, p.SetFaults(lab.Faults{HoldWrites: 1000}))
@@ -144,7 +145,8 @@
 	assert.ErrorContains(t, err, "does not exist")
 }
 
-// TestOutage covers every method during each kind of outage.
+// TestOutage checks the errors of client methods during each kind of outage, and that a
+// client in backoff sends no calls.
 func TestOutage(t *testing.T) {
 	for _, outage := range []lab.Outage{lab.OutageRefuse, lab.OutageHang} {
 		p, c := client(t, func(cfg *objectapi.ClientConfig) {
@@ -171,7 +173,7 @@
 		assert.Assert(t, errors.As(err, &unavailable), "%v", err)
 		_, err = c.Put(ctx, object("a", "x"))
 		assert.Assert(t, errors.As(err, &unavailable), "%v", err)
-		assert.Equal(t, p.Calls().Total, int64(0), "a suspended client calls the platform")
+		assert.Equal(t, p.Calls().Total, int64(0), "a client in backoff called the platform")
 	}
 }
 
@@ -184,7 +186,7 @@
 	assert.Assert(t, errors.As(err, &unavailable), "%v", err)
 }
 
-func TestRateLimitAndOwnBudget(t *testing.T) {
+func TestRateLimitOfPlatformAndClient(t *testing.T) {
 	p := lab.New(lab.Config{WritesPerSecond: 1e-9})
 	server := httptest.NewServer(p.Handler())
 	t.Cleanup(server.Close)
@@ -204,8 +206,8 @@
 	assert.Equal(t, p.Calls().ByCaller["test"][lab.CallList], int64(1))
 }
 
-// TestWriteIsNotReplayed cuts the connection at each point of a write and
-// counts what reaches the server under which write ID.
+// TestWriteIsNotReplayed guards against the HTTP transport resending a write when its
+// connection is closed, at each point of the request.
 func TestWriteIsNotReplayed(t *testing.T) {
 	for _, cut := range []string{"after accept", "after header", "after request"} {
 		for _, method := range []string{http.MethodPut, http.MethodDelete} {
@@ -229,7 +231,7 @@
 	}
 }
 
-// cutServer answers reads and, once cutting, closes each new connection at a
+// cutServer responds to reads. Once cutting is set, it closes each connection at a given
 // point and counts the attempts to send a write.
 type cutServer struct {
 	listener net.Listener
@@ -261,7 +263,7 @@
 	if !s.cutting.Load() {
 		readHeader(conn)
 		_, _ = io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
-		// A write on this kept-alive connection is cut without an answer.
+		// A write on this idle connection gets no response.
 		if readHeader(conn) {
 			s.attempts.Add(1)
 		}
@@ -277,7 +279,7 @@
 	}
 }
 
-// readHeader reads up to the end of a header and reports whether it came.
+// readHeader reads a header and reports whether it was complete.
 func readHeader(conn net.Conn) bool {
 	var b []byte
 	one := make([]byte, 1)
@@ -290,7 +292,7 @@
 	return true
 }
 
-func TestSwitchesOverHTTP(t *testing.T) {
+func TestFaultControlOverHTTP(t *testing.T) {
 	p := lab.New(lab.Config{})
 	server := httptest.NewServer(p.Handler())
 	t.Cleanup(server.Close)
--- a/lab/platform/faults.go
+++ b/lab/platform/faults.go
@@ -7,34 +7,35 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// Outage tells how the platform fails while it is down.
+// Outage is a failure mode of the whole platform.
 type Outage string
 
 const (
 	// OutageNone means that the platform is up.
 	OutageNone Outage = ""
-	// OutageRefuse answers every call with status 503.
+	// OutageRefuse rejects every call with status 503.
 	OutageRefuse Outage = "refuse"
-	// OutageHang answers no call until the outage ends.
+	// OutageHang blocks every call until the outage ends.
 	OutageHang Outage = "hang"
 )
 
-// Faults are the switchable faults of the platform. The zero value has none.
+// Faults are the injected faults of the platform. The zero value injects none.
 type Faults struct {
-	// Outage takes the platform down.
+	// Outage is the current outage, if any.
 	Outage Outage `json:"outage"`
-	// DelayMS delays each answer. Unit: milliseconds.
+	// DelayMS delays each call.
 	DelayMS int `json:"delay_ms"`
-	// LoseAnswers cuts the connection of that many next writes after they took effect.
+	// LoseAnswers is the number of next writes that take effect and whose connection is
+	// then closed without a response.
 	LoseAnswers int `json:"lose_answers"`
-	// HoldWrites cuts the connection of that many next writes before they take
-	// effect and holds the writes until they are released.
+	// HoldWrites is the number of next writes whose connection is closed without a
+	// response and which take effect only when ReleaseWrites is called.
 	HoldWrites int `json:"hold_writes"`
-	// StaleVersions makes reads show objects as they were that many writes ago, at most four.
+	// StaleVersions makes reads return the state before that many writes, at most four.
 	StaleVersions int `json:"stale_versions"`
 }
 
-// Validate returns all findings in f.
+// Validate returns all problems in f.
 func (f Faults) Validate() finding.List {
 	var l finding.List
 	if f.Outage != OutageNone && f.Outage != OutageRefuse && f.Outage != OutageHang {
@@ -56,7 +57,7 @@
 	return l
 }
 
-// SetFaults replaces the faults. Calls that hang go on when the outage ends.
+// SetFaults replaces the injected faults. Hanging calls resume when the outage ends.
 func (p *Platform) SetFaults(f Faults) error {
 	if err := f.Validate().Err(); err != nil {
 		return fmt.Errorf("faults: %w", err)
@@ -69,19 +70,18 @@
 	return nil
 }
 
-// Faults returns the faults that are set, with the counts that remain.
+// Faults returns the injected faults with their remaining counts.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// ReleaseWrites lets the held writes take effect in the order of their arrival
-// and returns their number.
+// ReleaseWrites applies the held writes in arrival order and returns their number.
 func (p *Platform) ReleaseWrites() int {
 	p.mu.Lock()
-	held := p.held
-	p.held = nil
+	held := p.heldWrites
+	p.heldWrites = nil
 	p.mu.Unlock()
 	for _, apply := range held {
 		apply()
@@ -89,20 +89,20 @@
 	return len(held)
 }
 
-// takeHold consumes one held write and stores apply for later.
-func (p *Platform) takeHold(apply func()) bool {
+// holdWrite consumes an injected hold and queues apply for ReleaseWrites.
+func (p *Platform) holdWrite(apply func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.HoldWrites == 0 {
 		return false
 	}
 	p.faults.HoldWrites--
-	p.held = append(p.held, apply)
+	p.heldWrites = append(p.heldWrites, apply)
 	return true
 }
 
-// takeLoss consumes one lost answer.
-func (p *Platform) takeLoss() bool {
+// dropsAnswer consumes an injected answer loss.
+func (p *Platform) dropsAnswer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.LoseAnswers == 0 {
@@ -112,7 +112,7 @@
 	return true
 }
 
-func (p *Platform) outage() (Faults, <-chan struct{}) {
+func (p *Platform) currentFaults() (Faults, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults, p.faultsChanged
--- a/lab/platform/handler.go
+++ b/lab/platform/handler.go
@@ -15,25 +15,25 @@
 	"github.com/siskinford/siskinford/fleet/objectapi"
 )
 
-// defaultPollWait bounds a watch that asks for no bound of its own.
+// defaultPollWait bounds a watch whose request has no valid wait parameter.
 const defaultPollWait = 5 * time.Second
 
-// Handler serves the object API under /v1 and the fault switches under /lab.
+// Handler serves the object API under /v1 and fault injection under /lab.
 func (p *Platform) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get(objectapi.PathObjects+"/{kind}/{name}", p.call(CallGet, p.get))
-	r.Put(objectapi.PathObjects+"/{kind}/{name}", p.call(CallPut, p.put))
-	r.Delete(objectapi.PathObjects+"/{kind}/{name}", p.call(CallDelete, p.delete))
+	r.Get(objectapi.PathObjects+"/{kind}/{name}", p.handleCall(CallGet, p.get))
+	r.Put(objectapi.PathObjects+"/{kind}/{name}", p.handleCall(CallPut, p.put))
+	r.Delete(objectapi.PathObjects+"/{kind}/{name}", p.handleCall(CallDelete, p.delete))
 	r.Get(objectapi.PathObjects+"/{kind}", p.listOrWatch)
-	r.Get(objectapi.PathHosts, p.call(CallHosts, p.listHosts))
+	r.Get(objectapi.PathHosts, p.handleCall(CallHosts, p.listHosts))
 	p.labRoutes(r)
 	return r
 }
 
-// call counts a call, applies its rate limit, outage and delay, then runs it.
-func (p *Platform) call(kind CallKind, next http.HandlerFunc) http.HandlerFunc {
+// handleCall wraps next with the call count, rate limit, outage and delay.
+func (p *Platform) handleCall(kind CallKind, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		p.count(r.Header.Get(objectapi.HeaderCaller), kind)
+		p.countCall(r.Header.Get(objectapi.HeaderCaller), kind)
 		limit := p.reads
 		if kind.isWrite() {
 			limit = p.writes
@@ -43,18 +43,18 @@
 			http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
-		if !p.pass(w, r) {
+		if !p.applyOutage(w, r) {
 			return
 		}
 		next(w, r)
 	}
 }
 
-// pass blocks a call for the length of a hang and of the delay. It reports
-// whether the call goes on.
-func (p *Platform) pass(w http.ResponseWriter, r *http.Request) bool {
+// applyOutage blocks a call during a hang and for the injected delay. It reports whether
+// the call may proceed.
+func (p *Platform) applyOutage(w http.ResponseWriter, r *http.Request) bool {
 	for {
-		faults, changed := p.outage()
+		faults, changed := p.currentFaults()
 		switch faults.Outage {
 		case OutageRefuse:
 			http.Error(w, "platform outage", http.StatusServiceUnavailable)
@@ -98,10 +98,10 @@
 
 func (p *Platform) listOrWatch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Has(objectapi.QueryAfter) {
-		p.call(CallWatch, p.watch)(w, r)
+		p.handleCall(CallWatch, p.watch)(w, r)
 		return
 	}
-	p.call(CallList, p.list)(w, r)
+	p.handleCall(CallList, p.list)(w, r)
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
@@ -129,8 +129,8 @@
 	if err != nil {
 		return
 	}
-	// A poll that began before an outage must not be answered during it.
-	if !p.pass(w, r) {
+	// A watch that started before an outage must not be answered during it.
+	if !p.applyOutage(w, r) {
 		return
 	}
 	writeJSON(w, http.StatusOK, objectapi.ObjectList{Revision: revision, Objects: objects})
@@ -179,15 +179,15 @@
 	})
 }
 
-// write applies a write with the faults that concern writes. A write takes
-// effect even if its caller has gone.
+// write applies a write under the injected write faults. It takes effect even if the
+// caller has disconnected.
 func (p *Platform) write(w http.ResponseWriter, apply func(context.Context) (objectapi.Object, error)) {
 	ctx := context.Background()
-	if p.takeHold(func() { _, _ = apply(ctx) }) {
+	if p.holdWrite(func() { _, _ = apply(ctx) }) {
 		panic(http.ErrAbortHandler)
 	}
 	o, err := apply(ctx)
-	if p.takeLoss() {
+	if p.dropsAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
@@ -205,7 +205,8 @@
 	return pathParam(r, "kind"), pathParam(r, "name")
 }
 
-// pathParam returns a path parameter, which chi leaves escaped if the path has an escape.
+// pathParam returns an unescaped path parameter. chi leaves parameters escaped if the
+// path contains an escape.
 func pathParam(r *http.Request, name string) string {
 	value := chi.URLParam(r, name)
 	if r.URL.RawPath == "" {
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -1,7 +1,6 @@
-// Package platform is a stand-in for the platform's object API: versioned
-// objects, conditional updates, long-poll watches, rate limits, a lagging host
-// list, counters of calls and switchable faults. It leaves out durability,
-// authentication and replication.
+// Package platform simulates the platform's object API for tests: versioned objects,
+// conditional updates, long-poll watches, rate limits, a delayed host list, call
+// counters and fault injection. It has no durability, authentication or replication.
 package platform
 
 import (
@@ -25,28 +24,28 @@
 	WritesPerSecond float64
 	// ReadsPerSecond limits reads, lists, watches and host lists. Default: 2,000.
 	ReadsPerSecond float64
-	// HostLag is the time after which a change of the host list shows. Default: 0.
+	// HostLag is the delay before a host list change is visible. Default: 0.
 	HostLag time.Duration
 }
 
-// Platform is the stand-in. It is safe for concurrent use.
+// Platform is a simulated platform. It is safe for concurrent use.
 type Platform struct {
-	store  *memstore.Store
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	lag    time.Duration
+	store   *memstore.Store
+	writes  *rate.Limiter
+	reads   *rate.Limiter
+	hostLag time.Duration
 
-	mu            sync.Mutex // guards the fields below; the store is never called under it
+	mu            sync.Mutex // guards the fields below; never held while calling the store
 	faults        Faults
 	faultsChanged chan struct{}
-	held          []func()
+	heldWrites    []func()
 	hosts         []hostSet
 	calls         Calls
 }
 
 type hostSet struct {
-	since time.Time
-	hosts []objectapi.Host
+	visibleAt time.Time
+	hosts     []objectapi.Host
 }
 
 // New returns an empty platform.
@@ -61,7 +60,7 @@
 		store:         memstore.New(memstore.Config{PollWait: objectapi.MaxPollWait}),
 		writes:        limiter(cfg.WritesPerSecond),
 		reads:         limiter(cfg.ReadsPerSecond),
-		lag:           cfg.HostLag,
+		hostLag:       cfg.HostLag,
 		faultsChanged: make(chan struct{}),
 		calls:         newCalls(),
 	}
@@ -71,31 +70,31 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Store returns the objects without HTTP, limits and faults.
+// Store returns the underlying store, without rate limits and faults.
 func (p *Platform) Store() *memstore.Store { return p.store }
 
-// SetHosts replaces the host list. The change shows after the lag.
+// SetHosts replaces the host list. The change is visible after the host lag.
 func (p *Platform) SetHosts(hosts []objectapi.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	set := hostSet{since: time.Now().Add(p.lag), hosts: append([]objectapi.Host{}, hosts...)}
+	set := hostSet{visibleAt: time.Now().Add(p.hostLag), hosts: append([]objectapi.Host{}, hosts...)}
 	p.hosts = append(p.hosts, set)
 }
 
-// SetHostLag changes the lag of later changes of the host list.
+// SetHostLag sets the host lag of later SetHosts calls.
 func (p *Platform) SetHostLag(lag time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lag = lag
+	p.hostLag = lag
 }
 
-// visibleHosts returns the latest host list that is due at now and forgets earlier ones.
+// visibleHosts returns the latest host list visible at now and discards earlier ones.
 func (p *Platform) visibleHosts(now time.Time) []objectapi.Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := -1
 	for i, set := range p.hosts {
-		if !set.since.After(now) {
+		if !set.visibleAt.After(now) {
 			last = i
 		}
 	}
--- a/lab/platform/silent_test.go
+++ b/lab/platform/silent_test.go
@@ -17,8 +17,8 @@
 	lab "github.com/siskinford/siskinford/lab/platform"
 )
 
-// TestSilentConnection has the client's open connections go silent for good
-// while new ones work. Each call must succeed on a fresh connection.
+// TestSilentConnection guards against calls that fail because the client's pooled
+// connections stopped responding. Each call must succeed on a new connection.
 func TestSilentConnection(t *testing.T) {
 	p := lab.New(lab.Config{})
 	server := httptest.NewServer(p.Handler())
@@ -54,8 +54,8 @@
 	assert.Equal(t, written.Version, uint64(2))
 }
 
-// TestSilentWatch has the connection of a waiting watch go silent. The watch
-// ends with an error past its bound, and the next one reports the change.
+// TestSilentWatch guards against a watch that blocks forever on a connection that stopped
+// responding. It must time out, and the next watch must report the change.
 func TestSilentWatch(t *testing.T) {
 	p := lab.New(lab.Config{})
 	server := httptest.NewServer(p.Handler())
@@ -74,7 +74,7 @@
 		watched <- err
 	}()
 	for p.Calls().ByKind[lab.CallWatch] == 0 {
-		_, _, err = c.List(ctx, kind) // passes time by work
+		_, _, err = c.List(ctx, kind) // lets time pass
 		assert.NilError(t, err)
 	}
 	proxy.SilenceExisting()
@@ -88,8 +88,8 @@
 	assert.Equal(t, len(objects), 1)
 }
 
-// TestOutageBoundsCalls has many clients call in loops through an outage. The
-// calls that reach the platform are bounded by the backoff of each client.
+// TestOutageBoundsCalls guards against clients overloading the platform in an outage:
+// each client's backoff must bound its calls, however often its users call.
 func TestOutageBoundsCalls(t *testing.T) {
 	const (
 		clients   = 40
