--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -31,16 +31,16 @@
 	Entry int
 }
 
-// Shape describes the arrivals of a scenario.
-type Shape struct {
+// Workload describes the arrivals of a scenario.
+type Workload struct {
 	// Duration is the time over which requests arrive.
 	Duration time.Duration
 	// Rate is the mean number of requests a second outside of a swing.
 	Rate float64
-	// SwingAt and SwingFor bound the time in which the rate is multiplied by
-	// SwingFactor. The rate rises and falls linearly within SwingRise.
-	SwingAt, SwingFor, SwingRise time.Duration
-	SwingFactor                  float64
+	// SwingStart and SwingDuration bound the time in which the rate is multiplied by
+	// SwingFactor. The rate rises and falls linearly within SwingRamp.
+	SwingStart, SwingDuration, SwingRamp time.Duration
+	SwingFactor                          float64
 	// ShortTokens is the length of a short answer.
 	ShortTokens int
 	// LongShare is the share of requests that are LongFactor times longer.
@@ -55,20 +55,20 @@
 }
 
 // rate returns the rate in force at a time.
-func (s Shape) rate(at time.Duration) float64 {
-	if s.SwingFor == 0 || at < s.SwingAt || at > s.SwingAt+s.SwingFor {
+func (s Workload) rate(at time.Duration) float64 {
+	if s.SwingDuration == 0 || at < s.SwingStart || at > s.SwingStart+s.SwingDuration {
 		return s.Rate
 	}
-	into, left := at-s.SwingAt, s.SwingAt+s.SwingFor-at
+	into, left := at-s.SwingStart, s.SwingStart+s.SwingDuration-at
 	ramp := 1.0
-	if s.SwingRise > 0 {
-		ramp = min(float64(min(into, left))/float64(s.SwingRise), 1)
+	if s.SwingRamp > 0 {
+		ramp = min(float64(min(into, left))/float64(s.SwingRamp), 1)
 	}
 	return s.Rate * (1 + (s.SwingFactor-1)*ramp)
 }
 
 // Schedule returns the arrivals of a shape. The same seed gives the same schedule.
-func (s Shape) Schedule(seed uint64, entries int) []Arrival {
+func (s Workload) Schedule(seed uint64, entries int) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	peak := s.Rate * max(s.SwingFactor, 1)
 	var out []Arrival
@@ -84,7 +84,7 @@
 	}
 }
 
-func (s Shape) arrival(rng *rand.Rand, at time.Duration, index, entries int) Arrival {
+func (s Workload) arrival(rng *rand.Rand, at time.Duration, index, entries int) Arrival {
 	a := Arrival{At: at, Class: Short, Tokens: s.ShortTokens, Team: s.team(rng), Entry: rng.IntN(entries)}
 	if rng.Float64() < s.LongShare {
 		a.Class = Long
@@ -95,7 +95,7 @@
 }
 
 // team returns the first team with GreedyFactor times the probability of each other.
-func (s Shape) team(rng *rand.Rand) int {
+func (s Workload) team(rng *rand.Rand) int {
 	if s.Teams <= 1 {
 		return 0
 	}
@@ -108,7 +108,7 @@
 }
 
 // prompt returns a prompt with one of the shared prefixes, skewed to the first ones.
-func (s Shape) prompt(rng *rand.Rand, index int) string {
+func (s Workload) prompt(rng *rand.Rand, index int) string {
 	own := fmt.Sprintf("mark=r%d a fitting for family %d", index, index)
 	if s.Prefixes == 0 {
 		return own
--- a/lab/load/command.go
+++ b/lab/load/command.go
@@ -33,7 +33,7 @@
 	var b strings.Builder
 	b.WriteString("load --scenario NAME [--seed N] [--plot FILE.svg]\n")
 	for _, s := range Scenarios() {
-		fmt.Fprintf(&b, "  %-10s %s\n", s.Name, s.About)
+		fmt.Fprintf(&b, "  %-10s %s\n", s.Name, s.Description)
 	}
 	return b.String()
 }
@@ -96,14 +96,14 @@
 }
 
 func printTable(w io.Writer, s Scenario, results []Result) {
-	fmt.Fprintf(w, "%s: %s\n", s.Name, s.About)
+	fmt.Fprintf(w, "%s: %s\n", s.Name, s.Description)
 	fmt.Fprintf(w, "%-18s %-8s %7s %7s %7s %7s %7s | %24s | %24s | %8s %7s\n", "variant", "class", "sent", "good",
 		"late", "refused", "unknown", "first token ms p50/95/99", "token gap ms p50/95/99", "ref. p95", "cpu s")
 	for _, r := range results {
 		for _, c := range append(r.Classes, r.Teams...) {
 			fmt.Fprintf(w, "%-18s %-8s %7d %7d %7d %7d %7d | %7.0f %7.0f %8.0f | %7.1f %7.1f %8.1f | %8.1f %7.1f\n", r.Variant, c.Class,
-				c.Requests, c.Good, c.Late, c.Refused, c.Unknown, c.First.P50, c.First.P95, c.First.P99,
-				c.Gap.P50, c.Gap.P95, c.Gap.P99, c.RefusalP95, r.ProductCPU)
+				c.Requests, c.Good, c.Late, c.Refused, c.Unknown, c.FirstToken.P50, c.FirstToken.P95, c.FirstToken.P99,
+				c.TokenGap.P50, c.TokenGap.P95, c.TokenGap.P99, c.RefusalP95, r.ProductCPUSeconds)
 		}
 	}
 }
--- a/lab/load/plot.go
+++ b/lab/load/plot.go
@@ -16,13 +16,13 @@
 // draw plots requests sent and good answers over time for each variant.
 func draw(path string, s Scenario, results []Result) error {
 	p := plot.New()
-	p.Title.Text = s.Name + ": " + s.About
+	p.Title.Text = s.Name + ": " + s.Description
 	p.X.Label.Text = "time in s"
 	p.Y.Label.Text = "requests per second"
 	p.Legend.Top = true
-	lines := []any{"sent", points(results[0].Course.At, results[0].Course.Sent)}
+	lines := []any{"sent", points(results[0].TimeSeries.At, results[0].TimeSeries.Sent)}
 	for _, r := range results {
-		lines = append(lines, "good, "+r.Variant, points(r.Course.At, r.Course.Good))
+		lines = append(lines, "good, "+r.Variant, points(r.TimeSeries.At, r.TimeSeries.Good))
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return err
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -27,15 +27,15 @@
 	Seed     uint64    `json:"seed"`
 	Classes  []Summary `json:"classes"`
 	Teams    []Summary `json:"teams,omitempty"`
-	// ProductCPU is the processor time of all entries and agents in seconds.
-	ProductCPU float64 `json:"product_cpu_s"`
-	Course     Course  `json:"course"`
+	// ProductCPUSeconds is the processor time of all entries and agents in seconds.
+	ProductCPUSeconds float64    `json:"product_cpu_s"`
+	TimeSeries        TimeSeries `json:"course"`
 }
 
 // runVariant starts a fleet, sends the schedule and summarizes.
 func runVariant(ctx context.Context, b procs.Binaries, s Scenario, v Variant, seed uint64) (Result, error) {
 	c, err := procs.NewCluster(ctx, procs.Options{
-		Binaries: b, Zones: zones, Entries: entries, Models: s.Models, NoProxy: true, Teams: s.Shape.Teams,
+		Binaries: b, Zones: zones, Entries: entries, Models: s.Models, NoProxy: true, Teams: s.Workload.Teams,
 		Services: []config.Service{{
 			Name: procs.ModelService, Type: config.ServiceTypeModel, Model: procs.Model,
 			DeadlineMS: int(deadline.Milliseconds()), Idempotent: true,
@@ -49,20 +49,20 @@
 	}
 	defer c.Close()
 	all := send(ctx, c, s, seed)
-	r := Result{Scenario: s.Name, Variant: v.Name, Seed: seed, Course: course(all, s.Shape.Duration)}
+	r := Result{Scenario: s.Name, Variant: v.Name, Seed: seed, TimeSeries: course(all, s.Workload.Duration)}
 	for _, class := range []Class{Short, Long} {
 		summary := summarize(class, all, func(o observation) bool { return o.arrival.Class == class })
 		if summary.Requests > 0 {
 			r.Classes = append(r.Classes, summary)
 		}
 	}
-	if s.Shape.Teams > 1 {
-		for team := range s.Shape.Teams {
+	if s.Workload.Teams > 1 {
+		for team := range s.Workload.Teams {
 			name := Class(fmt.Sprintf("team-%d", team))
 			r.Teams = append(r.Teams, summarize(name, all, func(o observation) bool { return o.arrival.Team == team }))
 		}
 	}
-	r.ProductCPU = productCPU(c)
+	r.ProductCPUSeconds = productCPU(c)
 	return r, nil
 }
 
@@ -92,7 +92,7 @@
 			s.Fault(c)
 		})
 	}
-	for _, a := range s.Shape.Schedule(seed, len(c.Entries)) {
+	for _, a := range s.Workload.Schedule(seed, len(c.Entries)) {
 		time.Sleep(time.Until(start.Add(a.At)))
 		wg.Go(func() { r.add(request(ctx, client, c, a, start.Add(a.At))) })
 	}
--- a/lab/load/stats.go
+++ b/lab/load/stats.go
@@ -43,15 +43,15 @@
 	Unknown int `json:"unknown"`
 	// Late counts complete answers past the deadline.
 	Late int `json:"late"`
-	// First and Gap are in milliseconds. First covers complete answers.
-	First Milliseconds `json:"first_token_ms"`
-	Gap   Milliseconds `json:"gap_ms"`
+	// FirstToken and Gap are in milliseconds. FirstToken covers complete answers.
+	FirstToken QuantilesMillis `json:"first_token_ms"`
+	TokenGap   QuantilesMillis `json:"gap_ms"`
 	// RefusalP95 is the time until a refusal in milliseconds.
 	RefusalP95 float64 `json:"refusal_p95_ms"`
 }
 
-// Milliseconds are quantiles.
-type Milliseconds struct {
+// QuantilesMillis holds quantiles in milliseconds.
+type QuantilesMillis struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
@@ -96,15 +96,15 @@
 			}
 		}
 	}
-	s.First, s.Gap = quantiles(first), quantiles(gap)
+	s.FirstToken, s.TokenGap = quantiles(first), quantiles(gap)
 	s.RefusalP95 = milliseconds(refusal.ValueAtQuantile(95))
 	return s
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxRecorded), 3) }
 
-func quantiles(h *hdrhistogram.Histogram) Milliseconds {
-	return Milliseconds{
+func quantiles(h *hdrhistogram.Histogram) QuantilesMillis {
+	return QuantilesMillis{
 		P50: milliseconds(h.ValueAtQuantile(50)),
 		P95: milliseconds(h.ValueAtQuantile(95)),
 		P99: milliseconds(h.ValueAtQuantile(99)),
@@ -113,8 +113,8 @@
 
 func milliseconds(ns int64) float64 { return float64(ns) / float64(time.Millisecond) }
 
-// Course is the service over time.
-type Course struct {
+// TimeSeries is the service over time.
+type TimeSeries struct {
 	// At is the start of each interval in seconds.
 	At []float64 `json:"at_s"`
 	// Sent and Good are requests a second by intended time of sending.
@@ -124,7 +124,7 @@
 	P95 []float64 `json:"first_token_p95_ms"`
 }
 
-func course(all []observation, duration time.Duration) Course {
+func course(all []observation, duration time.Duration) TimeSeries {
 	n := int(duration/bucket) + 1
 	sent, good := make([]float64, n), make([]float64, n)
 	first := make([]*hdrhistogram.Histogram, n)
@@ -141,7 +141,7 @@
 			_ = first[i].RecordValue(int64(o.first))
 		}
 	}
-	var c Course
+	var c TimeSeries
 	for i := range n {
 		c.At = append(c.At, (time.Duration(i) * bucket).Seconds())
 		c.Sent = append(c.Sent, sent[i]/bucket.Seconds())
