--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -64,15 +64,15 @@
 	Endpoints int `json:"endpoints"`
 	Entries   int `json:"entries"`
 	// Bytes per second of the entry's links, both directions, without UDP and IP headers.
-	AgentBytes   float64 `json:"entry_agent_bytes_per_s"`
-	AgentPackets float64 `json:"entry_agent_packets_per_s"`
-	PeerBytes    float64 `json:"entry_peer_bytes_per_s"`
+	AgentBytesPerSecond   float64 `json:"entry_agent_bytes_per_s"`
+	AgentPacketsPerSecond float64 `json:"entry_agent_packets_per_s"`
+	PeerBytesPerSecond    float64 `json:"entry_peer_bytes_per_s"`
 	// Core shares are processor seconds per second.
-	EntryCore float64 `json:"entry_core_share"`
-	AgentCore float64 `json:"agent_core_share"`
+	EntryCoreShare float64 `json:"entry_core_share"`
+	AgentCoreShare float64 `json:"agent_core_share"`
 	// Resident memory in bytes.
-	EntryMemory int64 `json:"entry_memory_bytes"`
-	AgentMemory int64 `json:"agent_memory_bytes"`
+	EntryMemoryBytes int64 `json:"entry_memory_bytes"`
+	AgentMemoryBytes int64 `json:"agent_memory_bytes"`
 }
 
 // settle is the time before the measurement in which connections are set up.
@@ -127,15 +127,15 @@
 		}
 		return total / seconds
 	}
-	r.AgentBytes = rate("siskinford_link_bytes_total", "agents")
-	r.AgentPackets = rate("siskinford_link_packets_total", "agents")
-	r.PeerBytes = rate("siskinford_link_bytes_total", "entries")
-	r.EntryCore = (after.entry - before.entry).Seconds() / seconds
-	r.AgentCore = (after.agt - before.agt).Seconds() / seconds
-	if r.EntryMemory, err = cluster.Entries[0].Process.Memory(); err != nil {
+	r.AgentBytesPerSecond = rate("siskinford_link_bytes_total", "agents")
+	r.AgentPacketsPerSecond = rate("siskinford_link_packets_total", "agents")
+	r.PeerBytesPerSecond = rate("siskinford_link_bytes_total", "entries")
+	r.EntryCoreShare = (after.entry - before.entry).Seconds() / seconds
+	r.AgentCoreShare = (after.agt - before.agt).Seconds() / seconds
+	if r.EntryMemoryBytes, err = cluster.Entries[0].Process.Memory(); err != nil {
 		return err
 	}
-	r.AgentMemory, err = cluster.Endpoints[0].Agent.Memory()
+	r.AgentMemoryBytes, err = cluster.Endpoints[0].Agent.Memory()
 	return err
 }
 
--- a/lab/measure/path.go
+++ b/lab/measure/path.go
@@ -79,10 +79,10 @@
 type Throughput struct {
 	Tokens int64         `json:"tokens"`
 	CPU    time.Duration `json:"cpu_ns"`
-	// PerCPUSecond is the number of tokens per second of processor time.
-	PerCPUSecond float64 `json:"tokens_per_cpu_second"`
-	// PerSecond is the number of tokens per second of time.
-	PerSecond float64 `json:"tokens_per_second"`
+	// TokensPerCPUSecond is the number of tokens per second of processor time.
+	TokensPerCPUSecond float64 `json:"tokens_per_cpu_second"`
+	// TokensPerSecond is the number of tokens per second of time.
+	TokensPerSecond float64 `json:"tokens_per_second"`
 }
 
 // PathResult is the result of the path measurement.
@@ -91,14 +91,14 @@
 	Product  Quantiles     `json:"product"`
 	Proxy    Quantiles     `json:"proxy"`
 	AddedP99 time.Duration `json:"added_p99_ns"`
-	// EntryShare is the entry's part of the product's processor time.
-	EntryShare   float64    `json:"entry_cpu_share"`
-	ProductRate  Throughput `json:"product_throughput"`
-	BaselineRate Throughput `json:"baseline_throughput"`
+	// EntryCPUShare is the entry's part of the product's processor time.
+	EntryCPUShare      float64    `json:"entry_cpu_share"`
+	ProductThroughput  Throughput `json:"product_throughput"`
+	BaselineThroughput Throughput `json:"baseline_throughput"`
 	// Ratio is the product's tokens per second of processor time over the baseline's.
 	Ratio float64 `json:"ratio"`
-	// BaselineBroken counts answers that the reverse proxy did not complete.
-	BaselineBroken int64 `json:"baseline_broken"`
+	// BaselineIncomplete counts answers that the reverse proxy did not complete.
+	BaselineIncomplete int64 `json:"baseline_broken"`
 }
 
 func (r PathResult) print(w io.Writer) {
@@ -108,9 +108,9 @@
 	fmt.Fprintf(w, "%-22s %12v %12v\n", "entry and agent", r.Product.P50, r.Product.P99)
 	fmt.Fprintf(w, "added at p99: %v\n\n", r.AddedP99)
 	fmt.Fprintf(w, "%-22s %14s %14s\n", "streaming", "tokens/s", "tokens/cpu-s")
-	fmt.Fprintf(w, "%-22s %14.0f %14.0f\n", "reverse proxy", r.BaselineRate.PerSecond, r.BaselineRate.PerCPUSecond)
-	fmt.Fprintf(w, "%-22s %14.0f %14.0f\n", "entry and agent", r.ProductRate.PerSecond, r.ProductRate.PerCPUSecond)
-	fmt.Fprintf(w, "ratio: %.2f, entry's share of the processor time: %.2f\n", r.Ratio, r.EntryShare)
+	fmt.Fprintf(w, "%-22s %14.0f %14.0f\n", "reverse proxy", r.BaselineThroughput.TokensPerSecond, r.BaselineThroughput.TokensPerCPUSecond)
+	fmt.Fprintf(w, "%-22s %14.0f %14.0f\n", "entry and agent", r.ProductThroughput.TokensPerSecond, r.ProductThroughput.TokensPerCPUSecond)
+	fmt.Fprintf(w, "ratio: %.2f, entry's share of the processor time: %.2f\n", r.Ratio, r.EntryCPUShare)
 	line, _ := json.Marshal(r) // the type has no member that can fail
 	fmt.Fprintf(w, "%s\n", line)
 }
@@ -217,7 +217,7 @@
 	r.Proxy = quantiles(histograms[&w.plain])
 	r.Product = quantiles(histograms[&w.product])
 	r.AddedP99 = r.Product.P99 - r.Direct.P99
-	r.BaselineBroken = w.plain.broken.Load()
+	r.BaselineIncomplete = w.plain.broken.Load()
 	return nil
 }
 
@@ -271,7 +271,7 @@
 	}
 	defer w.close()
 	entry, agent := w.cluster.Entries[0].Process, w.cluster.Endpoints[0].Agent
-	if r.BaselineRate, err = c.load(ctx, &w.plain, w.proxy); err != nil {
+	if r.BaselineThroughput, err = c.load(ctx, &w.plain, w.proxy); err != nil {
 		return err
 	}
 	before, err := entry.CPU()
@@ -280,7 +280,7 @@
 	}
 	var profiling sync.WaitGroup
 	c.profile(ctx, &profiling, w.cluster)
-	if r.ProductRate, err = c.load(ctx, &w.product, entry, agent); err != nil {
+	if r.ProductThroughput, err = c.load(ctx, &w.product, entry, agent); err != nil {
 		return errors.Wrapf(err, "entry printed %s, agent printed %s", entry.Output(), agent.Output())
 	}
 	profiling.Wait()
@@ -288,9 +288,9 @@
 	if err != nil {
 		return err
 	}
-	r.BaselineBroken += w.plain.broken.Load()
-	r.EntryShare = float64(after-before) / float64(r.ProductRate.CPU)
-	r.Ratio = r.ProductRate.PerCPUSecond / r.BaselineRate.PerCPUSecond
+	r.BaselineIncomplete += w.plain.broken.Load()
+	r.EntryCPUShare = float64(after-before) / float64(r.ProductThroughput.CPU)
+	r.Ratio = r.ProductThroughput.TokensPerCPUSecond / r.BaselineThroughput.TokensPerCPUSecond
 	return nil
 }
 
@@ -312,8 +312,8 @@
 		return Throughput{}, err
 	}
 	t := Throughput{Tokens: tokens, CPU: after - before}
-	t.PerCPUSecond = float64(tokens) / t.CPU.Seconds()
-	t.PerSecond = float64(tokens) / elapsed.Seconds()
+	t.TokensPerCPUSecond = float64(tokens) / t.CPU.Seconds()
+	t.TokensPerSecond = float64(tokens) / elapsed.Seconds()
 	return t, nil
 }
 
