--- a/lab/slopes/member.go
+++ b/lab/slopes/member.go
@@ -33,28 +33,28 @@
 	return []int{full, many}
 }
 
-func membershipRow(ctx context.Context, c Config, n, zones int) (Membership, error) {
+func membershipRow(ctx context.Context, c Config, n, zones int) (MembershipCost, error) {
 	before := heap()
 	b, err := newBench(ctx, c, ModeZoneReader, n, (n+zones-1)/zones, 0)
 	if err != nil {
-		return Membership{}, err
+		return MembershipCost{}, err
 	}
 	defer b.close()
-	row := Membership{Nodes: n, Zones: b.zones}
-	row.Heap = max(0, heap()-before) / float64(n)
+	row := MembershipCost{Nodes: n, Zones: b.zones}
+	row.HeapBytes = max(0, heap()-before) / float64(n)
 	start, cpu := time.Now(), processorTime()
 	first := b.traffic()
 	if err := timer.Sleep(ctx, c.Window); err != nil {
 		return row, err
 	}
 	seconds := time.Since(start).Seconds()
-	row.CoreShare = 100 * (processorTime() - cpu).Seconds() / seconds / float64(n)
+	row.CorePercent = 100 * (processorTime() - cpu).Seconds() / seconds / float64(n)
 	for i, t := range b.traffic() {
 		sent := float64(t.sent-first[i].sent) / seconds
 		row.SentMean += sent / float64(n)
 		row.SentMax = max(row.SentMax, sent)
 		row.ReceivedMean += float64(t.received-first[i].received) / seconds / float64(n)
-		row.Calls += float64(t.calls-first[i].calls) / seconds / float64(n)
+		row.CallsMean += float64(t.calls-first[i].calls) / seconds / float64(n)
 	}
 	return row, nil
 }
--- a/lab/slopes/memory.go
+++ b/lab/slopes/memory.go
@@ -104,7 +104,7 @@
 const copies = 50
 
 // heapOf builds a state several times and divides the heap by its objects.
-func heapOf(object string, count int, build func() any) Memory {
+func heapOf(object string, count int, build func() any) HeapCost {
 	before := heap()
 	states := make([]any, copies)
 	for i := range states {
@@ -112,7 +112,7 @@
 	}
 	used := heap() - before
 	runtime.KeepAlive(states)
-	return Memory{Object: object, Count: count, Bytes: used / copies / float64(count)}
+	return HeapCost{Object: object, Count: count, Bytes: used / copies / float64(count)}
 }
 
 // otherZones is the number of zones besides the own.
--- a/lab/slopes/notice.go
+++ b/lab/slopes/notice.go
@@ -75,7 +75,7 @@
 // same time.
 func measureNotice(ctx context.Context, c Config, r *Result) error {
 	for _, f := range faults() {
-		rounds := make([]Notice, c.Rounds)
+		rounds := make([]Detection, c.Rounds)
 		g, ctx := errgroup.WithContext(ctx)
 		for i := range rounds {
 			g.Go(func() error { return noticeRound(ctx, c, f, i, &rounds[i]) })
@@ -83,25 +83,25 @@
 		if err := g.Wait(); err != nil {
 			return err
 		}
-		row := Notice{Fault: f.name, Nodes: c.ZoneSize, Rounds: c.Rounds}
+		row := Detection{Fault: f.name, Nodes: c.ZoneSize, Rounds: c.Rounds}
 		for _, round := range rounds {
 			row.add(round)
 		}
-		r.Notice = append(r.Notice, row)
+		r.Detection = append(r.Detection, row)
 	}
 	return nil
 }
 
-func (row *Notice) add(round Notice) {
+func (row *Detection) add(round Detection) {
 	row.SuspectFirst = max(row.SuspectFirst, round.SuspectFirst)
 	row.SuspectAll = max(row.SuspectAll, round.SuspectAll)
 	row.DeadAll = max(row.DeadAll, round.DeadAll)
 	row.FalseSuspicions += round.FalseSuspicions
 	row.FalseDeaths += round.FalseDeaths
-	row.Observed += round.Observed
+	row.ObservedHostSeconds += round.ObservedHostSeconds
 }
 
-func noticeRound(ctx context.Context, c Config, f fault, round int, row *Notice) error {
+func noticeRound(ctx context.Context, c Config, f fault, round int, row *Detection) error {
 	c.Seed += uint64(round)
 	b, err := newBench(ctx, c, ModeZoneReader, c.ZoneSize, c.ZoneSize, f.loss)
 	if err != nil {
@@ -117,14 +117,14 @@
 	if err := timer.Sleep(ctx, noticeSpan-time.Since(start)); err != nil {
 		return err
 	}
-	row.Observed = time.Since(start).Seconds() * float64(len(b.nodes))
+	row.ObservedHostSeconds = time.Since(start).Seconds() * float64(len(b.nodes))
 	victim.net.Resume()
 	row.take(b.takeChanges(), f, victim.host, start, len(b.nodes)-1)
 	return nil
 }
 
 // take fills in the changes of belief of one round.
-func (row *Notice) take(changes []change, f fault, victim id.Host, start time.Time, others int) {
+func (row *Detection) take(changes []change, f fault, victim id.Host, start time.Time, others int) {
 	suspected := make(map[id.Host]time.Time) // first suspicion of the victim by observer
 	dead := make(map[id.Host]time.Time)
 	falseSuspects := make(map[id.Host]bool)
--- a/lab/slopes/outage.go
+++ b/lab/slopes/outage.go
@@ -58,12 +58,12 @@
 		switch {
 		case c.At.Before(start):
 		case c.At.Before(back):
-			row.During++
+			row.CallsDuring++
 		case c.At.Sub(back) < returnSpan:
-			row.First++
+			row.CallsFirst10s++
 			second := int(c.At.Sub(back) / time.Second)
 			perSecond[second]++
-			row.Peak = max(row.Peak, perSecond[second])
+			row.PeakCalls = max(row.PeakCalls, perSecond[second])
 		}
 	}
 }
--- a/lab/slopes/result.go
+++ b/lab/slopes/result.go
@@ -18,8 +18,8 @@
 // Millis is a time in milliseconds.
 type Millis float64
 
-// Spread is the cost and delay of configuration changes.
-type Spread struct {
+// Propagation is the cost and delay of configuration changes.
+type Propagation struct {
 	Mode  Mode    `json:"mode"`
 	Nodes int     `json:"nodes"`
 	Zones int     `json:"zones"`
@@ -28,20 +28,20 @@
 	IdleCallsPerSecond float64 `json:"idle_platform_calls_per_second"`
 	// CallsPerChange are calls to the platform for one change, of all entries.
 	CallsPerChange float64 `json:"platform_calls_per_change"`
-	// Median and Max are the time until a change is in force at all entries.
-	Median Millis `json:"in_force_everywhere_median_ms"`
-	Max    Millis `json:"in_force_everywhere_max_ms"`
-	// DeadReader is the time until a change is in force at all others when the
+	// InForceMedian and Max are the time until a change is in force at all entries.
+	InForceMedian Millis `json:"in_force_everywhere_median_ms"`
+	InForceMax    Millis `json:"in_force_everywhere_max_ms"`
+	// InForceReaderDead is the time until a change is in force at all others when the
 	// reader of a zone dies just before it. It is zero without readers.
-	DeadReader Millis `json:"dead_reader_in_force_ms"`
+	InForceReaderDead Millis `json:"dead_reader_in_force_ms"`
 	// Missed are changes that were not in force everywhere within the bound.
 	Missed int `json:"changes_not_in_force_within_19s"`
 	// MaxSentPerChange is the most that one entry sent for a change. Unit: bytes.
 	MaxSentPerChange float64 `json:"max_bytes_sent_by_an_entry_per_change"`
 }
 
-// Membership is the cost of liveness and digests for one entry, without changes.
-type Membership struct {
+// MembershipCost is the cost of liveness and digests for one entry, without changes.
+type MembershipCost struct {
 	Nodes int     `json:"nodes"`
 	Zones int     `json:"zones"`
 	Loss  float64 `json:"loss"`
@@ -49,17 +49,17 @@
 	SentMean     float64 `json:"sent_bytes_per_second_mean"`
 	SentMax      float64 `json:"sent_bytes_per_second_max"`
 	ReceivedMean float64 `json:"received_bytes_per_second_mean"`
-	// Calls are calls that an entry makes in a second, on average.
-	Calls float64 `json:"calls_per_second_mean"`
-	// CoreShare is processor time of a node, network of the bench included.
+	// CallsMean are calls that an entry makes in a second, on average.
+	CallsMean float64 `json:"calls_per_second_mean"`
+	// CorePercent is processor time of a node, network of the bench included.
 	// Unit: percent of a core.
-	CoreShare float64 `json:"core_percent"`
-	// Heap is the heap in use for a node, network of the bench included. Unit: bytes.
-	Heap float64 `json:"heap_bytes"`
+	CorePercent float64 `json:"core_percent"`
+	// HeapBytes is the heap in use for a node, network of the bench included. Unit: bytes.
+	HeapBytes float64 `json:"heap_bytes"`
 }
 
-// Notice is how a fault of one entry is noticed by the others of its zone.
-type Notice struct {
+// Detection is how a fault of one entry is noticed by the others of its zone.
+type Detection struct {
 	Fault  string `json:"fault"`
 	Nodes  int    `json:"nodes"`
 	Rounds int    `json:"rounds"`
@@ -74,8 +74,8 @@
 	// less than the bound, each counted once a round.
 	FalseSuspicions int `json:"false_suspicions"`
 	FalseDeaths     int `json:"false_deaths"`
-	// Observed is the time over which they were counted. Unit: host seconds.
-	Observed float64 `json:"observed_host_seconds"`
+	// ObservedHostSeconds is the time over which they were counted. Unit: host seconds.
+	ObservedHostSeconds float64 `json:"observed_host_seconds"`
 }
 
 // Outage is the behaviour around an outage of the platform.
@@ -84,46 +84,46 @@
 	Nodes   int     `json:"nodes"`
 	Zones   int     `json:"zones"`
 	Seconds float64 `json:"outage_seconds"`
-	// During are calls in the outage, First those in the ten seconds after the
+	// CallsDuring are calls in the outage, First those in the ten seconds after the
 	// return, and Peak the most in one of these seconds.
-	During int `json:"calls_in_outage"`
-	First  int `json:"calls_in_first_10s"`
-	Peak   int `json:"peak_calls_in_a_second"`
+	CallsDuring   int `json:"calls_in_outage"`
+	CallsFirst10s int `json:"calls_in_first_10s"`
+	PeakCalls     int `json:"peak_calls_in_a_second"`
 	// InForce is the time from the return until a change made in the outage is
 	// in force everywhere.
 	InForce Millis `json:"in_force_everywhere_ms"`
 }
 
-// Memory is the heap that one object costs.
-type Memory struct {
+// HeapCost is the heap that one object costs.
+type HeapCost struct {
 	Object string `json:"object"`
 	Count  int    `json:"count"`
 	// Bytes is the heap for one object.
 	Bytes float64 `json:"bytes_each"`
 }
 
-// Size is the encoded size of a message.
-type Size struct {
+// MessageSize is the encoded size of a message.
+type MessageSize struct {
 	Message string `json:"message"`
 	Bytes   int    `json:"bytes"`
 }
 
-// Apply is the cost of bringing a configuration into force at one entry.
-type Apply struct {
+// ApplyCost is the cost of bringing a configuration into force at one entry.
+type ApplyCost struct {
 	Kind    string `json:"kind"`
 	Objects int    `json:"objects"`
 	// ValueBytes and DeflatedBytes are the sizes in the platform and between entries.
 	ValueBytes    int `json:"value_bytes"`
 	DeflatedBytes int `json:"deflated_bytes"`
-	// Apply is processor time for decoding and indexing, Pass for packing and unpacking.
-	Apply Millis `json:"apply_cpu_ms"`
-	Pass  Millis `json:"deflate_and_inflate_cpu_ms"`
+	// ApplyCPU is processor time for decoding and indexing, Pass for packing and unpacking.
+	ApplyCPU          Millis `json:"apply_cpu_ms"`
+	DeflateInflateCPU Millis `json:"deflate_and_inflate_cpu_ms"`
 }
 
-// Wire is what messages cost as UDP packets over QUIC, headers of IP and UDP included.
-type Wire struct {
-	What  string `json:"what"`
-	Count int    `json:"count"`
+// WireCost is what messages cost as UDP packets over QUIC, headers of IP and UDP included.
+type WireCost struct {
+	Operation string `json:"what"`
+	Count     int    `json:"count"`
 	// Packets and Bytes are for one message or second, in both directions together.
 	Packets float64 `json:"packets_each"`
 	Bytes   float64 `json:"bytes_each"`
@@ -133,14 +133,14 @@
 
 // Result holds all measured slopes.
 type Result struct {
-	Seed       uint64       `json:"seed"`
-	Processors int          `json:"processors"`
-	Spread     []Spread     `json:"spread"`
-	Membership []Membership `json:"membership"`
-	Notice     []Notice     `json:"notice"`
-	Outage     []Outage     `json:"outage"`
-	Memory     []Memory     `json:"memory"`
-	Sizes      []Size       `json:"sizes"`
-	Apply      []Apply      `json:"apply"`
-	Wire       []Wire       `json:"wire"`
+	Seed        uint64           `json:"seed"`
+	Processors  int              `json:"processors"`
+	Propagation []Propagation    `json:"spread"`
+	Membership  []MembershipCost `json:"membership"`
+	Detection   []Detection      `json:"notice"`
+	Outage      []Outage         `json:"outage"`
+	Memory      []HeapCost       `json:"memory"`
+	Sizes       []MessageSize    `json:"sizes"`
+	Apply       []ApplyCost      `json:"apply"`
+	Wire        []WireCost       `json:"wire"`
 }
--- a/lab/slopes/size.go
+++ b/lab/slopes/size.go
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		r.Sizes = append(r.Sizes, Size{Message: s.name, Bytes: len(b)})
+		r.Sizes = append(r.Sizes, MessageSize{Message: s.name, Bytes: len(b)})
 	}
 	return nil
 }
@@ -98,15 +98,15 @@
 // applyRounds is the number of versions over which processor time is averaged.
 const applyRounds = 20
 
-func applyRow(holder *configsync.SnapshotApplier, kind config.Kind, value []byte) (Apply, error) {
-	a := Apply{Kind: string(kind), ValueBytes: len(value)}
+func applyRow(holder *configsync.SnapshotApplier, kind config.Kind, value []byte) (ApplyCost, error) {
+	a := ApplyCost{Kind: string(kind), ValueBytes: len(value)}
 	start := processorTime()
 	for version := range uint64(applyRounds) {
 		if err := holder.Apply(kind, version+1, value); err != nil {
 			return a, err
 		}
 	}
-	a.Apply = millis((processorTime() - start) / applyRounds)
+	a.ApplyCPU = millis((processorTime() - start) / applyRounds)
 	start = processorTime()
 	for range applyRounds {
 		deflated, err := configsync.Deflate(value)
@@ -118,6 +118,6 @@
 		}
 		a.DeflatedBytes = len(deflated)
 	}
-	a.Pass = millis((processorTime() - start) / time.Duration(applyRounds))
+	a.DeflateInflateCPU = millis((processorTime() - start) / time.Duration(applyRounds))
 	return a, nil
 }
--- a/lab/slopes/slopes_test.go
+++ b/lab/slopes/slopes_test.go
@@ -36,21 +36,21 @@
 		}
 		t.Run(s.name, func(t *testing.T) { synctest.Test(t, run) })
 	}
-	assert.Equal(t, len(r.Spread), 7)
-	for _, s := range r.Spread {
+	assert.Equal(t, len(r.Propagation), 7)
+	for _, s := range r.Propagation {
 		assert.Equal(t, s.Missed, 0, "%+v", s)
-		assert.Assert(t, s.Max > 0, "%+v", s)
+		assert.Assert(t, s.InForceMax > 0, "%+v", s)
 	}
 	assert.Equal(t, len(r.Membership), 1)
 	assert.Assert(t, r.Membership[0].SentMean > 0)
-	assert.Equal(t, len(r.Notice), len(faults()))
-	assert.Assert(t, r.Notice[0].SuspectAll > 0, "%+v", r.Notice[0])
+	assert.Equal(t, len(r.Detection), len(faults()))
+	assert.Assert(t, r.Detection[0].SuspectAll > 0, "%+v", r.Detection[0])
 	assert.Equal(t, len(r.Outage), 2)
 	for _, rows := range []int{len(r.Memory), len(r.Sizes), len(r.Apply), len(r.Wire)} {
 		assert.Assert(t, rows > 2)
 	}
 	for _, w := range r.Wire {
-		assert.Assert(t, w.Bytes > packetHeaders || w.What == "second of an idle connection without probes", "%+v", w)
+		assert.Assert(t, w.Bytes > packetHeaders || w.Operation == "second of an idle connection without probes", "%+v", w)
 	}
 	var text bytes.Buffer
 	assert.NilError(t, json.NewEncoder(&text).Encode(r))
--- a/lab/slopes/spread.go
+++ b/lab/slopes/spread.go
@@ -25,20 +25,20 @@
 				if err != nil {
 					return err
 				}
-				r.Spread = append(r.Spread, row)
+				r.Propagation = append(r.Propagation, row)
 			}
 		}
 	}
 	return nil
 }
 
-func spreadRow(ctx context.Context, c Config, mode Mode, n int, loss float64) (Spread, error) {
+func spreadRow(ctx context.Context, c Config, mode Mode, n int, loss float64) (Propagation, error) {
 	b, err := newBench(ctx, c, mode, n, c.ZoneSize, loss)
 	if err != nil {
-		return Spread{}, err
+		return Propagation{}, err
 	}
 	defer b.close()
-	row := Spread{Mode: mode, Nodes: n, Zones: b.zones, Loss: loss}
+	row := Propagation{Mode: mode, Nodes: n, Zones: b.zones, Loss: loss}
 	idle, err := b.idleCalls(ctx, c.Window)
 	if err != nil {
 		return row, err
@@ -64,7 +64,7 @@
 
 // spreadChanges makes changes and fills in their delay and cost. The calls that
 // the readers make without changes are taken off.
-func (b *bench) spreadChanges(ctx context.Context, changes int, row *Spread) error {
+func (b *bench) spreadChanges(ctx context.Context, changes int, row *Propagation) error {
 	calls := len(b.platform.Calls())
 	start := time.Now()
 	var delays []time.Duration
@@ -85,8 +85,8 @@
 		}
 	}
 	slices.Sort(delays)
-	row.Median = millis(delays[len(delays)/2])
-	row.Max = millis(delays[len(delays)-1])
+	row.InForceMedian = millis(delays[len(delays)/2])
+	row.InForceMax = millis(delays[len(delays)-1])
 	idle := row.IdleCallsPerSecond * time.Since(start).Seconds()
 	row.CallsPerChange = max(0, float64(len(b.platform.Calls())-calls)-idle) / float64(changes)
 	return nil
@@ -110,7 +110,7 @@
 }
 
 // deadReader kills the reader of a zone and measures the next change.
-func (b *bench) deadReader(ctx context.Context, row *Spread) error {
+func (b *bench) deadReader(ctx context.Context, row *Propagation) error {
 	zone := b.nodes[0].zone
 	for i, n := range b.nodes {
 		if n.zone != zone || !n.members.Owns("reader/"+string(zone)) {
@@ -126,7 +126,7 @@
 		if !ok {
 			row.Missed++
 		}
-		row.DeadReader = millis(took)
+		row.InForceReaderDead = millis(took)
 		return nil
 	}
 	return nil
--- a/lab/slopes/wire.go
+++ b/lab/slopes/wire.go
@@ -130,29 +130,29 @@
 		if err != nil {
 			return err
 		}
-		w.What = row.what
+		w.Operation = row.what
 		r.Wire = append(r.Wire, w)
 	}
 	return nil
 }
 
-func wireRow(ctx context.Context, c Config, l link.Config, load wireLoad) (Wire, error) {
+func wireRow(ctx context.Context, c Config, l link.Config, load wireLoad) (WireCost, error) {
 	b, err := newWireBench(ctx, c, l)
 	if err != nil {
-		return Wire{}, err
+		return WireCost{}, err
 	}
 	defer b.close()
 	if err := b.warmUp(ctx); err != nil {
-		return Wire{}, err
+		return WireCost{}, err
 	}
 	packets, bytes := b.proxy.Traffic()
 	cpu := processorTime()
 	n, err := load(ctx, b, c.Window)
 	if err != nil {
-		return Wire{}, err
+		return WireCost{}, err
 	}
 	packetsAfter, bytesAfter := b.proxy.Traffic()
-	w := Wire{Count: n}
+	w := WireCost{Count: n}
 	w.Packets = float64(packetsAfter-packets) / float64(n)
 	w.Bytes = float64(bytesAfter-bytes)/float64(n) + w.Packets*packetHeaders
 	w.CPU = millis((processorTime() - cpu) / time.Duration(n))
