--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -1,5 +1,5 @@
-// Package load sends open-loop load to a fleet of real processes and compares a
-// policy with its baseline in one run.
+// Package load sends open-loop load to a fleet of real processes and compares the
+// variants of a scenario, such as a policy and its baseline, in one run.
 package load
 
 import (
@@ -8,66 +8,66 @@
 	"time"
 )
 
-// Class names the kind of a request in reports.
+// Class groups requests in reports, by length or by team.
 type Class string
 
 const (
-	// Short marks requests of the usual length.
+	// Short requests generate Workload.ShortTokens tokens.
 	Short Class = "short"
-	// Long marks requests that run many times longer.
+	// Long requests generate Workload.LongFactor times as many.
 	Long Class = "long"
 )
 
-// Arrival is one request of the schedule.
+// Arrival is one scheduled request.
 type Arrival struct {
-	// At is the intended time of sending, counted from the start of the run.
+	// At is the intended send time, relative to the start of the run.
 	At     time.Duration
 	Class  Class
 	Tokens int
 	Prompt string
 	// Team is the index of the sending team.
 	Team int
-	// Entry is the index of the entry that receives the request.
+	// Entry is the index of the receiving entry.
 	Entry int
 }
 
-// Workload describes the arrivals of a scenario.
+// Workload describes the arrival process of a scenario.
 type Workload struct {
-	// Duration is the time over which requests arrive.
+	// Duration is the length of the arrival schedule.
 	Duration time.Duration
-	// Rate is the mean number of requests a second outside of a swing.
+	// Rate is the mean arrival rate outside a swing, in requests per second.
 	Rate float64
-	// SwingStart and SwingDuration bound the time in which the rate is multiplied by
-	// SwingFactor. The rate rises and falls linearly within SwingRamp.
+	// During a swing, the rate is SwingFactor times higher. It rises and falls
+	// linearly over SwingRamp.
 	SwingStart, SwingDuration, SwingRamp time.Duration
 	SwingFactor                          float64
-	// ShortTokens is the length of a short answer.
+	// ShortTokens is the length of a short response.
 	ShortTokens int
-	// LongShare is the share of requests that are LongFactor times longer.
+	// LongShare is the fraction of requests that are LongFactor times longer.
 	LongShare  float64
 	LongFactor int
-	// Prefixes is the number of different prompt prefixes; zero means that all
-	// prompts differ. PrefixWords is their length.
+	// Prefixes is the number of distinct prompt prefixes; zero adds none.
+	// PrefixWords is the length of a prefix.
 	Prefixes, PrefixWords int
-	// Teams is the number of teams. GreedyFactor multiplies the rate of the first.
+	// Teams is the number of teams. GreedyFactor multiplies the first team's rate.
 	Teams        int
 	GreedyFactor float64
 }
 
-// rate returns the rate in force at a time.
+// rate returns the arrival rate at a time, in requests per second.
 func (s Workload) rate(at time.Duration) float64 {
 	if s.SwingDuration == 0 || at < s.SwingStart || at > s.SwingStart+s.SwingDuration {
 		return s.Rate
 	}
-	into, left := at-s.SwingStart, s.SwingStart+s.SwingDuration-at
+	elapsed, remaining := at-s.SwingStart, s.SwingStart+s.SwingDuration-at
 	ramp := 1.0
 	if s.SwingRamp > 0 {
-		ramp = min(float64(min(into, left))/float64(s.SwingRamp), 1)
+		ramp = min(float64(min(elapsed, remaining))/float64(s.SwingRamp), 1)
 	}
 	return s.Rate * (1 + (s.SwingFactor-1)*ramp)
 }
 
-// Schedule returns the arrivals of a shape. The same seed gives the same schedule.
+// Schedule draws Poisson arrivals by thinning. It is deterministic for a seed.
 func (s Workload) Schedule(seed uint64, entries int) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	peak := s.Rate * max(s.SwingFactor, 1)
@@ -94,7 +94,7 @@
 	return a
 }
 
-// team returns the first team with GreedyFactor times the probability of each other.
+// team picks a team; the first is GreedyFactor times as likely as any other.
 func (s Workload) team(rng *rand.Rand) int {
 	if s.Teams <= 1 {
 		return 0
@@ -107,16 +107,16 @@
 	return 1 + int(pick-factor)
 }
 
-// prompt returns a prompt with one of the shared prefixes, skewed to the first ones.
+// prompt returns a prompt with a shared prefix; low prefix indices are more likely.
 func (s Workload) prompt(rng *rand.Rand, index int) string {
-	own := fmt.Sprintf("mark=r%d a fitting for family %d", index, index)
+	suffix := fmt.Sprintf("mark=r%d a fitting for family %d", index, index)
 	if s.Prefixes == 0 {
-		return own
+		return suffix
 	}
-	which := int(float64(s.Prefixes) * rng.Float64() * rng.Float64())
+	prefixIndex := int(float64(s.Prefixes) * rng.Float64() * rng.Float64())
 	prefix := ""
 	for i := range s.PrefixWords {
-		prefix += fmt.Sprintf("p%dw%d ", which, i)
+		prefix += fmt.Sprintf("p%dw%d ", prefixIndex, i)
 	}
-	return prefix + own
+	return prefix + suffix
 }
--- a/lab/load/command.go
+++ b/lab/load/command.go
@@ -55,7 +55,7 @@
 }
 
 func (c *Command) run(ctx context.Context, out io.Writer) error {
-	scenario, err := find(c.scenario)
+	scenario, err := findScenario(c.scenario)
 	if err != nil {
 		return err
 	}
@@ -77,16 +77,16 @@
 		results = append(results, r)
 	}
 	printTable(out, scenario, results)
-	if err := printLine(out, results); err != nil {
+	if err := printJSON(out, results); err != nil {
 		return err
 	}
 	if c.plot == "" {
 		return nil
 	}
-	return draw(c.plot, scenario, results)
+	return savePlot(c.plot, scenario, results)
 }
 
-func find(name string) (Scenario, error) {
+func findScenario(name string) (Scenario, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
 			return s, nil
@@ -108,7 +108,7 @@
 	}
 }
 
-func printLine(w io.Writer, results []Result) error {
+func printJSON(w io.Writer, results []Result) error {
 	line, err := json.Marshal(results)
 	if err != nil {
 		return err
--- a/lab/load/fault.go
+++ b/lab/load/fault.go
@@ -9,14 +9,14 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// slowFactor is the factor of the slow endpoint.
-const slowFactor = `{"slow":5}`
+// slowFaultBody makes an engine slower by a factor of 5.
+const slowFaultBody = `{"slow":5}`
 
-// slowDown makes the first engine slower.
-func slowDown(c *procs.Cluster) {
+// slowFirstEngine injects slowFaultBody into the first engine. It ignores errors.
+func slowFirstEngine(c *procs.Cluster) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, c.Endpoints[0].BackendURL+"/lab/faults", strings.NewReader(slowFactor))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, c.Endpoints[0].BackendURL+"/lab/faults", strings.NewReader(slowFaultBody))
 	if err != nil {
 		return
 	}
@@ -26,9 +26,9 @@
 	}
 }
 
-// loseZone kills the agents of the last zone and freezes nothing else: entries of
-// the zone stay, as callers reach them through the platform's balancer.
-func loseZone(c *procs.Cluster) {
+// killLastZone kills the agents of the last zone. The zone's entries keep running,
+// since callers reach them through the platform's load balancer.
+func killLastZone(c *procs.Cluster) {
 	lost := zones[len(zones)-1]
 	for _, e := range c.Endpoints {
 		if e.Config.Zone == lost {
--- a/lab/load/plot.go
+++ b/lab/load/plot.go
@@ -7,14 +7,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 )
 
-// draw plots requests sent and good answers over time for each variant.
-func draw(path string, s Scenario, results []Result) error {
+// savePlot plots the rate of requests, and of good responses for each variant.
+func savePlot(path string, s Scenario, results []Result) error {
 	p := plot.New()
 	p.Title.Text = s.Name + ": " + s.Description
 	p.X.Label.Text = "time in s"
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -17,8 +17,8 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// entries is the number of entry hosts in each scenario.
-const entries = 4
+// entryHosts is the number of entries in each scenario.
+const entryHosts = 4
 
 // Result is the outcome of one variant.
 type Result struct {
@@ -27,15 +27,15 @@
 	Seed     uint64    `json:"seed"`
 	Classes  []Summary `json:"classes"`
 	Teams    []Summary `json:"teams,omitempty"`
-	// ProductCPUSeconds is the processor time of all entries and agents in seconds.
+	// ProductCPUSeconds is the CPU time of all entries and agents.
 	ProductCPUSeconds float64    `json:"product_cpu_s"`
 	TimeSeries        TimeSeries `json:"course"`
 }
 
-// runVariant starts a fleet, sends the schedule and summarizes.
+// runVariant starts a fleet, sends the scheduled requests and summarizes the responses.
 func runVariant(ctx context.Context, b procs.Binaries, s Scenario, v Variant, seed uint64) (Result, error) {
 	c, err := procs.NewCluster(ctx, procs.Options{
-		Binaries: b, Zones: zones, Entries: entries, Models: s.Models, NoProxy: true, Teams: s.Workload.Teams,
+		Binaries: b, Zones: zones, Entries: entryHosts, Models: s.Models, NoProxy: true, Teams: s.Workload.Teams,
 		Services: []config.Service{{
 			Name: procs.ModelService, Type: config.ServiceTypeModel, Model: procs.Model,
 			DeadlineMS: int(deadline.Milliseconds()), Idempotent: true,
@@ -48,8 +48,8 @@
 		return Result{}, err
 	}
 	defer c.Close()
-	all := send(ctx, c, s, seed)
-	r := Result{Scenario: s.Name, Variant: v.Name, Seed: seed, TimeSeries: course(all, s.Workload.Duration)}
+	all := sendAll(ctx, c, s, seed)
+	r := Result{Scenario: s.Name, Variant: v.Name, Seed: seed, TimeSeries: timeSeries(all, s.Workload.Duration)}
 	for _, class := range []Class{Short, Long} {
 		summary := summarize(class, all, func(o observation) bool { return o.arrival.Class == class })
 		if summary.Requests > 0 {
@@ -69,7 +69,7 @@
 func productCPU(c *procs.Cluster) float64 {
 	var total time.Duration
 	for _, e := range c.Entries {
-		cpu, _ := e.Process.CPU() // a process that has ended counts as zero
+		cpu, _ := e.Process.CPU() // an exited process counts as zero
 		total += cpu
 	}
 	for _, e := range c.Endpoints {
@@ -79,9 +79,9 @@
 	return total.Seconds()
 }
 
-// send sends every arrival at its time, whatever became of the earlier ones, and
-// waits for all answers.
-func send(ctx context.Context, c *procs.Cluster, s Scenario, seed uint64) []observation {
+// sendAll sends each request at its scheduled time, even while earlier ones are
+// pending, and waits for all responses.
+func sendAll(ctx context.Context, c *procs.Cluster, s Scenario, seed uint64) []observation {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}, Timeout: time.Minute}
 	var r recorder
 	var wg sync.WaitGroup
@@ -94,15 +94,15 @@
 	}
 	for _, a := range s.Workload.Schedule(seed, len(c.Entries)) {
 		time.Sleep(time.Until(start.Add(a.At)))
-		wg.Go(func() { r.add(request(ctx, client, c, a, start.Add(a.At))) })
+		wg.Go(func() { r.add(sendRequest(ctx, client, c, a, start.Add(a.At))) })
 	}
 	wg.Wait()
 	client.CloseIdleConnections()
 	return r.all
 }
 
-// request sends one request and observes its answer.
-func request(ctx context.Context, client *http.Client, c *procs.Cluster, a Arrival, intended time.Time) observation {
+// sendRequest sends one request and records its response.
+func sendRequest(ctx context.Context, client *http.Client, c *procs.Cluster, a Arrival, intended time.Time) observation {
 	o := observation{arrival: a, outcome: outcome.Unknown}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, procs.Model, a.Tokens, a.Prompt)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.Entries[a.Entry].URL+"/v1/chat/completions", bytes.NewBufferString(body))
@@ -118,15 +118,15 @@
 	defer response.Body.Close()
 	o.status = response.StatusCode
 	if response.StatusCode != http.StatusOK {
-		o.refused(response)
+		o.readProblem(response)
 	} else {
-		o.stream(response, intended)
+		o.readStream(response, intended)
 	}
 	o.last = time.Since(intended)
 	return o
 }
 
-func (o *observation) refused(response *http.Response) {
+func (o *observation) readProblem(response *http.Response) {
 	var p problem.Problem
 	data, err := io.ReadAll(response.Body)
 	if err != nil || json.Unmarshal(data, &p) != nil {
@@ -136,7 +136,7 @@
 	o.code = string(p.Code)
 }
 
-func (o *observation) stream(response *http.Response, intended time.Time) {
+func (o *observation) readStream(response *http.Response, intended time.Time) {
 	scanner := bufio.NewScanner(response.Body)
 	var previous time.Time
 	for scanner.Scan() {
--- a/lab/load/stats.go
+++ b/lab/load/stats.go
@@ -9,44 +9,44 @@
 	"github.com/siskinford/siskinford/core/outcome"
 )
 
-// maxRecorded is the longest time that a histogram holds.
-const maxRecorded = 5 * time.Minute
+// histogramMax is the largest duration that a histogram records.
+const histogramMax = 5 * time.Minute
 
-// bucket is the resolution of the course over time.
-const bucket = 250 * time.Millisecond
+// seriesInterval is the resolution of a TimeSeries.
+const seriesInterval = 250 * time.Millisecond
 
-// observation is what became of one request.
+// observation is the measured outcome of one request.
 type observation struct {
 	arrival Arrival
 	status  int
 	outcome outcome.Outcome
 	code    string
-	// first and last are counted from the intended time of sending, which
-	// corrects for coordinated omission. First is zero without a token.
+	// first and last are relative to the intended send time, which avoids
+	// coordinated omission. first is zero if no token arrived.
 	first, last time.Duration
-	// gaps are the times between tokens.
+	// gaps are the inter-token latencies.
 	gaps     []time.Duration
 	complete bool
 }
 
-// good reports whether the answer was complete and began within the deadline.
+// good reports whether the response completed and its first token met the deadline.
 func (o observation) good() bool { return o.complete && o.first <= deadline }
 
-// Summary describes one class of requests.
+// Summary aggregates the requests of a class.
 type Summary struct {
 	Class    Class `json:"class"`
 	Requests int   `json:"requests"`
-	// Good counts complete answers whose first token came within the deadline.
+	// Good counts complete responses whose first token met the deadline.
 	Good int `json:"good"`
-	// Refused counts requests that were not run, Unknown those without a certain outcome.
+	// Refused counts requests reported as not run, Unknown all other incomplete ones.
 	Refused int `json:"refused"`
 	Unknown int `json:"unknown"`
-	// Late counts complete answers past the deadline.
+	// Late counts complete responses whose first token missed the deadline.
 	Late int `json:"late"`
-	// FirstToken and Gap are in milliseconds. FirstToken covers complete answers.
+	// FirstToken and TokenGap cover complete responses only.
 	FirstToken QuantilesMillis `json:"first_token_ms"`
 	TokenGap   QuantilesMillis `json:"gap_ms"`
-	// RefusalP95 is the time until a refusal in milliseconds.
+	// RefusalP95 is the latency of refusals in milliseconds.
 	RefusalP95 float64 `json:"refusal_p95_ms"`
 }
 
@@ -59,7 +59,7 @@
 
 // recorder collects observations. It is safe for concurrent use.
 type recorder struct {
-	mu  sync.Mutex // a leaf lock
+	mu  sync.Mutex // leaf lock
 	all []observation
 }
 
@@ -69,7 +69,7 @@
 	r.all = append(r.all, o)
 }
 
-// summarize returns the summary of the observations that keep selects.
+// summarize aggregates the observations that keep selects.
 func summarize(class Class, all []observation, keep func(observation) bool) Summary {
 	s := Summary{Class: class}
 	first, gap, refusal := newHistogram(), newHistogram(), newHistogram()
@@ -101,7 +101,7 @@
 	return s
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxRecorded), 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(histogramMax), 3) }
 
 func quantiles(h *hdrhistogram.Histogram) QuantilesMillis {
 	return QuantilesMillis{
@@ -113,26 +113,26 @@
 
 func milliseconds(ns int64) float64 { return float64(ns) / float64(time.Millisecond) }
 
-// TimeSeries is the service over time.
+// TimeSeries holds one value per interval of the run.
 type TimeSeries struct {
 	// At is the start of each interval in seconds.
 	At []float64 `json:"at_s"`
-	// Sent and Good are requests a second by intended time of sending.
+	// Sent and Good are rates in requests per second, by intended send time.
 	Sent []float64 `json:"sent"`
 	Good []float64 `json:"good"`
-	// P95 is the time to first token of complete answers in milliseconds.
+	// P95 is the time to first token of complete responses in milliseconds.
 	P95 []float64 `json:"first_token_p95_ms"`
 }
 
-func course(all []observation, duration time.Duration) TimeSeries {
-	n := int(duration/bucket) + 1
+func timeSeries(all []observation, duration time.Duration) TimeSeries {
+	n := int(duration/seriesInterval) + 1
 	sent, good := make([]float64, n), make([]float64, n)
 	first := make([]*hdrhistogram.Histogram, n)
 	for i := range first {
 		first[i] = newHistogram()
 	}
 	for _, o := range all {
-		i := min(int(o.arrival.At/bucket), n-1)
+		i := min(int(o.arrival.At/seriesInterval), n-1)
 		sent[i]++
 		if o.good() {
 			good[i]++
@@ -143,9 +143,9 @@
 	}
 	var c TimeSeries
 	for i := range n {
-		c.At = append(c.At, (time.Duration(i) * bucket).Seconds())
-		c.Sent = append(c.Sent, sent[i]/bucket.Seconds())
-		c.Good = append(c.Good, good[i]/bucket.Seconds())
+		c.At = append(c.At, (time.Duration(i) * seriesInterval).Seconds())
+		c.Sent = append(c.Sent, sent[i]/seriesInterval.Seconds())
+		c.Good = append(c.Good, good[i]/seriesInterval.Seconds())
 		c.P95 = append(c.P95, milliseconds(first[i].ValueAtQuantile(95)))
 	}
 	return c
