--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -17,8 +17,8 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// Control is the subcommand that measures what entry and agent spend without any
-// request: bytes, processor time and memory.
+// Control is the subcommand that measures the traffic, CPU time and memory of an idle
+// entry and agent.
 type Control struct {
 	endpoints int
 	entries   int
@@ -29,7 +29,7 @@
 func (*Control) Name() string { return "control" }
 
 // Synopsis implements subcommands.Command.
-func (*Control) Synopsis() string { return "measure the cost of control without requests" }
+func (*Control) Synopsis() string { return "measure the cost of an idle entry and agent" }
 
 // Usage implements subcommands.Command.
 func (*Control) Usage() string {
@@ -40,7 +40,7 @@
 func (c *Control) SetFlags(f *flag.FlagSet) {
 	f.IntVar(&c.endpoints, "endpoints", 48, "model endpoints, all in one zone")
 	f.IntVar(&c.entries, "entries", 1, "entries in the same zone")
-	f.DurationVar(&c.duration, "duration", 20*time.Second, "time of the measurement")
+	f.DurationVar(&c.duration, "duration", 20*time.Second, "duration of the measurement")
 }
 
 // Execute implements subcommands.Command.
@@ -59,26 +59,26 @@
 	return subcommands.ExitSuccess
 }
 
-// ControlResult is the cost of control of one entry and one agent.
+// ControlResult is the idle cost of one entry and one agent.
 type ControlResult struct {
 	Endpoints int `json:"endpoints"`
 	Entries   int `json:"entries"`
-	// Bytes per second of the entry's links, both directions, without UDP and IP headers.
+	// Rates cover both directions of the entry's links, without UDP and IP headers.
 	AgentBytesPerSecond   float64 `json:"entry_agent_bytes_per_s"`
 	AgentPacketsPerSecond float64 `json:"entry_agent_packets_per_s"`
 	PeerBytesPerSecond    float64 `json:"entry_peer_bytes_per_s"`
-	// Core shares are processor seconds per second.
+	// Core shares are CPU seconds per second.
 	EntryCoreShare float64 `json:"entry_core_share"`
 	AgentCoreShare float64 `json:"agent_core_share"`
-	// Resident memory in bytes.
+	// Memory is resident memory.
 	EntryMemoryBytes int64 `json:"entry_memory_bytes"`
 	AgentMemoryBytes int64 `json:"agent_memory_bytes"`
 }
 
-// settle is the time before the measurement in which connections are set up.
-const settle = 5 * time.Second
+// settleTime lets connections be set up before the measurement.
+const settleTime = 5 * time.Second
 
-// Run measures one entry and one agent.
+// Run starts a fleet and measures its first entry and first agent.
 func (c *Control) Run(ctx context.Context) (ControlResult, error) {
 	r := ControlResult{Endpoints: c.endpoints, Entries: c.entries}
 	dir, err := os.MkdirTemp("", "siskinford-control-")
@@ -97,23 +97,23 @@
 		return r, err
 	}
 	defer cluster.Close()
-	time.Sleep(settle)
-	return r, c.observe(ctx, cluster, &r)
+	time.Sleep(settleTime)
+	return r, c.measure(ctx, cluster, &r)
 }
 
-// reading is what was spent up to a moment.
-type reading struct {
-	metrics    map[string]float64
-	entry, agt time.Duration
+// usage is a snapshot of cumulative counters.
+type usage struct {
+	metrics            map[string]float64
+	entryCPU, agentCPU time.Duration
 }
 
-func (c *Control) observe(ctx context.Context, cluster *procs.Cluster, r *ControlResult) error {
-	before, err := read(ctx, cluster)
+func (c *Control) measure(ctx context.Context, cluster *procs.Cluster, r *ControlResult) error {
+	before, err := readUsage(ctx, cluster)
 	if err != nil {
 		return err
 	}
 	time.Sleep(c.duration)
-	after, err := read(ctx, cluster)
+	after, err := readUsage(ctx, cluster)
 	if err != nil {
 		return err
 	}
@@ -130,8 +130,8 @@
 	r.AgentBytesPerSecond = rate("siskinford_link_bytes_total", "agents")
 	r.AgentPacketsPerSecond = rate("siskinford_link_packets_total", "agents")
 	r.PeerBytesPerSecond = rate("siskinford_link_bytes_total", "entries")
-	r.EntryCoreShare = (after.entry - before.entry).Seconds() / seconds
-	r.AgentCoreShare = (after.agt - before.agt).Seconds() / seconds
+	r.EntryCoreShare = (after.entryCPU - before.entryCPU).Seconds() / seconds
+	r.AgentCoreShare = (after.agentCPU - before.agentCPU).Seconds() / seconds
 	if r.EntryMemoryBytes, err = cluster.Entries[0].Process.Memory(); err != nil {
 		return err
 	}
@@ -139,21 +139,21 @@
 	return err
 }
 
-func read(ctx context.Context, cluster *procs.Cluster) (reading, error) {
-	var r reading
+func readUsage(ctx context.Context, cluster *procs.Cluster) (usage, error) {
+	var r usage
 	var err error
-	if r.entry, err = cluster.Entries[0].Process.CPU(); err != nil {
+	if r.entryCPU, err = cluster.Entries[0].Process.CPU(); err != nil {
 		return r, err
 	}
-	if r.agt, err = cluster.Endpoints[0].Agent.CPU(); err != nil {
+	if r.agentCPU, err = cluster.Endpoints[0].Agent.CPU(); err != nil {
 		return r, err
 	}
-	r.metrics, err = scrape(ctx, cluster.Entries[0].Operators+"/metrics")
+	r.metrics, err = scrapeMetrics(ctx, cluster.Entries[0].Operators+"/metrics")
 	return r, err
 }
 
-// scrape returns the values of a metrics page by name and labels.
-func scrape(ctx context.Context, url string) (map[string]float64, error) {
+// scrapeMetrics returns the samples of a metrics page, keyed by name and labels.
+func scrapeMetrics(ctx context.Context, url string) (map[string]float64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
--- a/lab/measure/path.go
+++ b/lab/measure/path.go
@@ -1,4 +1,4 @@
-// Package measure runs measurements of the path against real processes.
+// Package measure measures the request path and the idle cost of real processes.
 package measure
 
 import (
@@ -24,8 +24,8 @@
 )
 
 // Path is the subcommand that measures the latency that entry and agent add to a
-// direct call, and their streamed tokens per second of processor time against a
-// plain reverse proxy.
+// direct call, and compares their streamed tokens per CPU second with those of a
+// reverse proxy.
 type Path struct {
 	requests    int
 	concurrency int
@@ -50,12 +50,12 @@
 
 // SetFlags implements subcommands.Command.
 func (c *Path) SetFlags(f *flag.FlagSet) {
-	f.IntVar(&c.requests, "requests", 3000, "requests of the latency measurement, one at a time on each way")
-	f.IntVar(&c.concurrency, "concurrency", 64, "streams at the same time in the throughput measurement")
-	f.IntVar(&c.tokens, "tokens", 200, "tokens of each streamed answer")
+	f.IntVar(&c.requests, "requests", 3000, "requests to each target in the latency measurement, one at a time")
+	f.IntVar(&c.concurrency, "concurrency", 64, "concurrent streams in the throughput measurement")
+	f.IntVar(&c.tokens, "tokens", 200, "tokens of each streamed response")
 	f.DurationVar(&c.stepTime, "step-time", 10*time.Millisecond, "engine step time in the throughput measurement")
-	f.StringVar(&c.profiles, "profiles", "", "directory for processor profiles of entry and agent; empty takes none")
-	f.DurationVar(&c.duration, "duration", 8*time.Second, "time of each throughput measurement")
+	f.StringVar(&c.profiles, "profiles", "", "directory for CPU profiles of entry and agent; empty takes none")
+	f.DurationVar(&c.duration, "duration", 8*time.Second, "duration of each throughput measurement")
 }
 
 // Execute implements subcommands.Command.
@@ -69,35 +69,35 @@
 	return subcommands.ExitSuccess
 }
 
-// Quantiles are times of one way.
+// Quantiles are the latencies of requests to one target.
 type Quantiles struct {
 	P50 time.Duration `json:"p50_ns"`
 	P99 time.Duration `json:"p99_ns"`
 }
 
-// Throughput is the cost of streaming on one way.
+// Throughput is the rate and cost of streaming from one target.
 type Throughput struct {
 	Tokens int64         `json:"tokens"`
 	CPU    time.Duration `json:"cpu_ns"`
-	// TokensPerCPUSecond is the number of tokens per second of processor time.
+	// TokensPerCPUSecond counts the CPU time of the measured processes only.
 	TokensPerCPUSecond float64 `json:"tokens_per_cpu_second"`
-	// TokensPerSecond is the number of tokens per second of time.
+	// TokensPerSecond is per second of wall time.
 	TokensPerSecond float64 `json:"tokens_per_second"`
 }
 
-// PathResult is the result of the path measurement.
+// PathResult compares the product with a direct call and a reverse proxy.
 type PathResult struct {
 	Direct   Quantiles     `json:"direct"`
 	Product  Quantiles     `json:"product"`
 	Proxy    Quantiles     `json:"proxy"`
 	AddedP99 time.Duration `json:"added_p99_ns"`
-	// EntryCPUShare is the entry's part of the product's processor time.
+	// EntryCPUShare is the entry's fraction of the CPU time of entry and agent.
 	EntryCPUShare      float64    `json:"entry_cpu_share"`
 	ProductThroughput  Throughput `json:"product_throughput"`
 	BaselineThroughput Throughput `json:"baseline_throughput"`
-	// Ratio is the product's tokens per second of processor time over the baseline's.
+	// Ratio is the product's tokens per CPU second divided by the baseline's.
 	Ratio float64 `json:"ratio"`
-	// BaselineIncomplete counts answers that the reverse proxy did not complete.
+	// BaselineIncomplete counts truncated responses of the reverse proxy.
 	BaselineIncomplete int64 `json:"baseline_broken"`
 }
 
@@ -111,11 +111,11 @@
 	fmt.Fprintf(w, "%-22s %14.0f %14.0f\n", "reverse proxy", r.BaselineThroughput.TokensPerSecond, r.BaselineThroughput.TokensPerCPUSecond)
 	fmt.Fprintf(w, "%-22s %14.0f %14.0f\n", "entry and agent", r.ProductThroughput.TokensPerSecond, r.ProductThroughput.TokensPerCPUSecond)
 	fmt.Fprintf(w, "ratio: %.2f, entry's share of the processor time: %.2f\n", r.Ratio, r.EntryCPUShare)
-	line, _ := json.Marshal(r) // the type has no member that can fail
+	line, _ := json.Marshal(r) // all fields can be encoded
 	fmt.Fprintf(w, "%s\n", line)
 }
 
-// Run measures all ways in one run.
+// Run measures latency, then throughput.
 func (c *Path) Run(ctx context.Context) (PathResult, error) {
 	dir, err := os.MkdirTemp("", "siskinford-path-")
 	if err != nil {
@@ -133,24 +133,25 @@
 	return r, c.measureThroughput(ctx, binaries, &r)
 }
 
-// ways are the addresses by which one engine is reached.
-type ways struct {
-	cluster *procs.Cluster
-	proxy   *procs.Process
-	direct  way
-	product way
-	plain   way
+// targets are the routes to one engine.
+type targets struct {
+	cluster      *procs.Cluster
+	proxyProcess *procs.Process
+	direct       target
+	product      target
+	proxy        target
 }
 
-// way is one address with the body that it takes.
-type way struct {
+// target is a URL and the request body for it.
+type target struct {
 	url  string
 	body func(tokens int) string
-	// broken counts answers that ended early. Only the baseline may break some.
-	broken *atomic.Int64
+	// incomplete counts truncated responses. If nil, as for all but the baseline, a
+	// truncated response is an error.
+	incomplete *atomic.Int64
 }
 
-func (c *Path) open(ctx context.Context, b procs.Binaries, step time.Duration) (*ways, error) {
+func (c *Path) startTargets(ctx context.Context, b procs.Binaries, step time.Duration) (*targets, error) {
 	cluster, err := procs.NewCluster(ctx, procs.Options{
 		Binaries: b, Entries: 1, Models: 1, NoProxy: true,
 		EngineArgs: []string{"--step-time=" + step.String(), fmt.Sprintf("--slots=%d", c.concurrency)},
@@ -165,20 +166,20 @@
 		cluster.Close()
 		return nil, err
 	}
-	w := &ways{cluster: cluster, proxy: proxy}
+	w := &targets{cluster: cluster, proxyProcess: proxy}
 	proxyURL, err := proxy.AwaitPrefix(ctx, "listening on ")
 	if err != nil {
 		w.close()
 		return nil, err
 	}
-	w.direct = way{url: engine + "/v1/completions", body: completionBody}
-	w.plain = way{url: proxyURL + "/v1/completions", body: completionBody, broken: new(atomic.Int64)}
-	w.product = way{url: cluster.Entries[0].URL + "/v1/chat/completions", body: chatBody}
+	w.direct = target{url: engine + "/v1/completions", body: completionBody}
+	w.proxy = target{url: proxyURL + "/v1/completions", body: completionBody, incomplete: new(atomic.Int64)}
+	w.product = target{url: cluster.Entries[0].URL + "/v1/chat/completions", body: chatBody}
 	return w, nil
 }
 
-func (w *ways) close() {
-	w.proxy.Kill()
+func (w *targets) close() {
+	w.proxyProcess.Kill()
 	w.cluster.Close()
 }
 
@@ -191,45 +192,45 @@
 }
 
 func (c *Path) measureLatency(ctx context.Context, b procs.Binaries, r *PathResult) error {
-	w, err := c.open(ctx, b, 0)
+	w, err := c.startTargets(ctx, b, 0)
 	if err != nil {
 		return err
 	}
 	defer w.close()
 	client := &http.Client{}
-	histograms := map[*way]*hdrhistogram.Histogram{}
-	order := []*way{&w.direct, &w.plain, &w.product}
-	for _, way := range order {
-		histograms[way] = hdrhistogram.New(1, int64(time.Minute), 3)
+	histograms := map[*target]*hdrhistogram.Histogram{}
+	order := []*target{&w.direct, &w.proxy, &w.product}
+	for _, target := range order {
+		histograms[target] = hdrhistogram.New(1, int64(time.Minute), 3)
 	}
-	for i := range c.requests + warmUp {
-		for _, way := range order {
-			begun := time.Now()
-			if _, err := way.stream(ctx, client, 1); err != nil {
+	for i := range c.requests + warmUpRequests {
+		for _, target := range order {
+			start := time.Now()
+			if _, err := target.stream(ctx, client, 1); err != nil {
 				return err
 			}
-			if i >= warmUp {
-				_ = histograms[way].RecordValue(int64(time.Since(begun)))
+			if i >= warmUpRequests {
+				_ = histograms[target].RecordValue(int64(time.Since(start)))
 			}
 		}
 	}
 	r.Direct = quantiles(histograms[&w.direct])
-	r.Proxy = quantiles(histograms[&w.plain])
+	r.Proxy = quantiles(histograms[&w.proxy])
 	r.Product = quantiles(histograms[&w.product])
 	r.AddedP99 = r.Product.P99 - r.Direct.P99
-	r.BaselineIncomplete = w.plain.broken.Load()
+	r.BaselineIncomplete = w.proxy.incomplete.Load()
 	return nil
 }
 
-// warmUp is the number of requests on each way before the measurement.
-const warmUp = 200
+// warmUpRequests is the number of unmeasured requests to each target.
+const warmUpRequests = 200
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	return Quantiles{P50: time.Duration(h.ValueAtQuantile(50)), P99: time.Duration(h.ValueAtQuantile(99))}
 }
 
-// stream sends one request and returns the number of events of its answer.
-func (w *way) stream(ctx context.Context, client *http.Client, tokens int) (int64, error) {
+// stream sends one request and returns the number of events in its response.
+func (w *target) stream(ctx context.Context, client *http.Client, tokens int) (int64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, w.url, bytes.NewBufferString(w.body(tokens)))
 	if err != nil {
 		return 0, err
@@ -243,14 +244,14 @@
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(response.Body)
-		return 0, errors.Newf("%s answered status %d: %s", w.url, response.StatusCode, body)
+		return 0, errors.Newf("%s responded with status %d: %s", w.url, response.StatusCode, body)
 	}
 	n, err := countEvents(response.Body)
-	if err != nil && w.broken != nil {
-		w.broken.Add(1)
+	if err != nil && w.incomplete != nil {
+		w.incomplete.Add(1)
 		return n, nil
 	}
-	return n, errors.Wrapf(err, "answer of %s, request %s", w.url, response.Header.Get(problem.HeaderRequestID))
+	return n, errors.Wrapf(err, "read response of %s, request %s", w.url, response.Header.Get(problem.HeaderRequestID))
 }
 
 func countEvents(r io.Reader) (int64, error) {
@@ -265,13 +266,13 @@
 }
 
 func (c *Path) measureThroughput(ctx context.Context, b procs.Binaries, r *PathResult) error {
-	w, err := c.open(ctx, b, c.stepTime)
+	w, err := c.startTargets(ctx, b, c.stepTime)
 	if err != nil {
 		return err
 	}
 	defer w.close()
 	entry, agent := w.cluster.Entries[0].Process, w.cluster.Endpoints[0].Agent
-	if r.BaselineThroughput, err = c.load(ctx, &w.plain, w.proxy); err != nil {
+	if r.BaselineThroughput, err = c.measureStreaming(ctx, &w.proxy, w.proxyProcess); err != nil {
 		return err
 	}
 	before, err := entry.CPU()
@@ -279,34 +280,34 @@
 		return err
 	}
 	var profiling sync.WaitGroup
-	c.profile(ctx, &profiling, w.cluster)
-	if r.ProductThroughput, err = c.load(ctx, &w.product, entry, agent); err != nil {
-		return errors.Wrapf(err, "entry printed %s, agent printed %s", entry.Output(), agent.Output())
+	c.captureProfiles(ctx, &profiling, w.cluster)
+	if r.ProductThroughput, err = c.measureStreaming(ctx, &w.product, entry, agent); err != nil {
+		return errors.Wrapf(err, "entry output: %s, agent output: %s", entry.Output(), agent.Output())
 	}
 	profiling.Wait()
 	after, err := entry.CPU()
 	if err != nil {
 		return err
 	}
-	r.BaselineIncomplete += w.plain.broken.Load()
+	r.BaselineIncomplete += w.proxy.incomplete.Load()
 	r.EntryCPUShare = float64(after-before) / float64(r.ProductThroughput.CPU)
 	r.Ratio = r.ProductThroughput.TokensPerCPUSecond / r.BaselineThroughput.TokensPerCPUSecond
 	return nil
 }
 
-// load streams from several callers at the same time and returns the processor
-// time that the measured processes used meanwhile.
-func (c *Path) load(ctx context.Context, w *way, measured ...*procs.Process) (Throughput, error) {
+// measureStreaming streams concurrently and attributes the CPU time of the measured
+// processes to the tokens.
+func (c *Path) measureStreaming(ctx context.Context, w *target, measured ...*procs.Process) (Throughput, error) {
 	before, err := totalCPU(measured)
 	if err != nil {
 		return Throughput{}, err
 	}
-	begun := time.Now()
-	tokens, err := c.callers(ctx, w)
+	start := time.Now()
+	tokens, err := c.streamConcurrently(ctx, w)
 	if err != nil {
 		return Throughput{}, err
 	}
-	elapsed := time.Since(begun)
+	elapsed := time.Since(start)
 	after, err := totalCPU(measured)
 	if err != nil {
 		return Throughput{}, err
@@ -329,9 +330,9 @@
 	return total, nil
 }
 
-// callers streams answers one after the other on each of several goroutines and
+// streamConcurrently streams response after response on c.concurrency goroutines and
 // returns the number of tokens.
-func (c *Path) callers(ctx context.Context, w *way) (int64, error) {
+func (c *Path) streamConcurrently(ctx context.Context, w *target) (int64, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.concurrency}}
 	end := time.Now().Add(c.duration)
 	var tokens atomic.Int64
--- a/lab/measure/profile.go
+++ b/lab/measure/profile.go
@@ -12,9 +12,9 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// profile takes processor profiles of the first entry and agent during the
-// throughput measurement, if a directory was given.
-func (c *Path) profile(ctx context.Context, wg *sync.WaitGroup, cluster *procs.Cluster) {
+// captureProfiles starts saving CPU profiles of the first entry and agent if
+// --profiles is set. Callers wait on wg.
+func (c *Path) captureProfiles(ctx context.Context, wg *sync.WaitGroup, cluster *procs.Cluster) {
 	if c.profiles == "" {
 		return
 	}
