--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -1,4 +1,4 @@
-// Package fleet runs a whole fleet of entries, agents and stand-ins inside one
+// Package fleet runs entries, agents and simulated back ends and platform in one
 // process on loopback.
 package fleet
 
@@ -15,42 +15,42 @@
 	"github.com/siskinford/siskinford/lab/platform"
 )
 
-// Service describes one service of the fleet.
+// Service configures one service of the fleet.
 type Service struct {
 	config.Service
-	// Replicas is the number of endpoints, spread over the zones in turn.
+	// Replicas is the number of endpoints, assigned to the zones round-robin.
 	Replicas int
 }
 
-// Team describes one team by its API key in clear.
+// Team is a team with its API key in plain text.
 type Team struct {
 	config.Team
 	Key string
 }
 
-// Config describes a fleet.
+// Config configures a fleet.
 type Config struct {
 	Region   id.Region
 	Zones    []id.Zone
 	Entries  int
 	Services []Service
 	Teams    []Team
-	// Entry and Agent are the settings that all entries and agents share.
+	// Entry and Agent apply to all entries and agents.
 	Entry  server.Config
 	Agent  gate.Config
 	Engine engine.Config
 	Plain  plainservice.Config
-	// Platform configures the platform stand-in.
+	// Platform configures the simulated platform.
 	Platform platform.Config
 }
 
 // DemoKey is the API key of the team in the demonstration fleet.
 const DemoKey = "demo-key-puno"
 
-// DemoOperatorKey is the key of the operator of the demonstration fleet.
+// DemoOperatorKey is the operator's key in the demonstration fleet.
 const DemoOperatorKey = "demo-operator-key"
 
-// BaulAndino returns the fleet of Baúl Andino: 3 zones, 4 entry hosts, 16 model
+// BaulAndino returns the demonstration fleet: 3 zones, 4 entry hosts, 16 model
 // replicas and 3 plain replicas.
 func BaulAndino() Config {
 	entry := server.DefaultConfig()
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -25,7 +25,7 @@
 	"github.com/siskinford/siskinford/wire/keys"
 )
 
-// certValidity is how long the fleet's certificates are valid.
+// certValidity is the lifetime of the fleet's certificates.
 const certValidity = 24 * time.Hour
 
 // Agent is one endpoint of the fleet with its back end.
@@ -33,10 +33,10 @@
 	Endpoint config.Endpoint
 	Gate     *gate.Agent
 	Ring     *timeline.Ring
-	// Engine or Plain is set, as the service demands.
+	// Engine is set for a model service, Plain for a plain one.
 	Engine *engine.Engine
 	Plain  *plainservice.Service
-	// URL is the address of the back end.
+	// URL is the base URL of the back end.
 	URL string
 }
 
@@ -64,8 +64,8 @@
 	closers   []func()
 }
 
-// Start starts all parts and waits until every entry is ready and knows a report
-// of each endpoint that it uses.
+// Start starts the fleet and waits until every entry is ready, which includes a load
+// report from each endpoint it uses.
 func Start(ctx context.Context, c Config) (*Fleet, error) {
 	f := &Fleet{Config: c}
 	if err := f.start(ctx); err != nil {
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	if err := f.configure(ctx); err != nil {
+	if err := f.writeConfigurations(ctx); err != nil {
 		return err
 	}
 	for i := range f.Config.Entries {
@@ -100,12 +100,12 @@
 			return err
 		}
 	}
-	f.Platform.SetHosts(f.hosts())
+	f.Platform.SetHosts(f.hostList())
 	return f.awaitReady(ctx)
 }
 
-// hosts returns the platform's host list.
-func (f *Fleet) hosts() []objectapi.Host {
+// hostList returns the hosts to publish on the platform.
+func (f *Fleet) hostList() []objectapi.Host {
 	var list []objectapi.Host
 	for _, e := range f.Entries {
 		list = append(list, objectapi.Host{
@@ -124,7 +124,7 @@
 func (f *Fleet) serve(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "listen for a stand-in")
+		return "", errors.Wrap(err, "listen on loopback")
 	}
 	s := &http.Server{Handler: h}
 	go func() { _ = s.Serve(listener) }()
@@ -132,7 +132,7 @@
 	return "http://" + listener.Addr().String(), nil
 }
 
-func (f *Fleet) keyRing(role keys.Role, host id.Host) (*keys.Credentials, error) {
+func (f *Fleet) issueCredentials(role keys.Role, host id.Host) (*keys.Credentials, error) {
 	material, err := f.authority.Issue(role, host, certValidity)
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 	a := &Agent{Ring: timeline.NewRing(string(host), 5000, timeline.NewClock(time.Now))}
 	deps := gate.Deps{Ring: a.Ring, Log: zerolog.Nop()}
 	var err error
-	if deps.Keys, err = f.keyRing(keys.RoleAgent, host); err != nil {
+	if deps.Keys, err = f.issueCredentials(keys.RoleAgent, host); err != nil {
 		return err
 	}
 	if err := f.startBackend(s, a, &deps); err != nil {
@@ -189,8 +189,8 @@
 	return err
 }
 
-// configure writes the configuration of the fleet to the platform.
-func (f *Fleet) configure(ctx context.Context) error {
+// writeConfigurations writes services, teams and endpoints to the platform.
+func (f *Fleet) writeConfigurations(ctx context.Context) error {
 	store, err := objectapi.NewClient(objectapi.ClientConfig{BaseURL: f.PlatformURL, Caller: "demo"})
 	if err != nil {
 		return err
@@ -217,14 +217,14 @@
 		{config.KindTeams, teams},
 		{config.KindEndpoints, endpoints},
 	} {
-		if err := accept(ctx, store, change.kind, change.value); err != nil {
+		if err := writeConfiguration(ctx, store, change.kind, change.value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func accept(ctx context.Context, store objectapi.Store, kind config.Kind, value any) error {
+func writeConfiguration(ctx context.Context, store objectapi.Store, kind config.Kind, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return errors.Wrapf(err, "encode configuration %q", kind)
@@ -237,7 +237,7 @@
 	host := id.Host(fmt.Sprintf("entry-%d", i))
 	e := &Entry{Host: host, Zone: f.Config.Zones[i%len(f.Config.Zones)]}
 	e.Ring = timeline.NewRing(string(host), 20_000, timeline.NewClock(time.Now))
-	ring, err := f.keyRing(keys.RoleEntry, host)
+	credentials, err := f.issueCredentials(keys.RoleEntry, host)
 	if err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 	c.Host = host
 	c.Zone = e.Zone
 	c.Region = f.Config.Region
-	if e.Server, err = server.New(c, server.Deps{Store: e.Store, Keys: ring, Ring: e.Ring, Log: zerolog.Nop()}); err != nil {
+	if e.Server, err = server.New(c, server.Deps{Store: e.Store, Keys: credentials, Ring: e.Ring, Log: zerolog.Nop()}); err != nil {
 		return err
 	}
 	if err := e.Server.Start(); err != nil {
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// readyInterval is the time between checks of readiness.
+// readyInterval is the polling interval of awaitReady.
 const readyInterval = 10 * time.Millisecond
 
 func (f *Fleet) awaitReady(ctx context.Context) error {
@@ -275,10 +275,10 @@
 	return nil
 }
 
-// shutdownTimeout bounds the shutdown of each process of the fleet.
+// shutdownTimeout bounds the shutdown of all entries and agents together.
 const shutdownTimeout = 5 * time.Second
 
-// Close shuts down entries, agents and stand-ins, in this order.
+// Close shuts down entries, agents, then back ends and platform.
 func (f *Fleet) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
