--- a/lab/slopes/config.go
+++ b/lab/slopes/config.go
@@ -1,5 +1,5 @@
-// Package slopes measures in one process how the cost and the delay of the
-// fleet's control protocols grow: with entries, zones, endpoints and teams.
+// Package slopes measures in one process how the cost and latency of the fleet's
+// control protocols scale with entries, zones, endpoints and teams.
 package slopes
 
 import (
@@ -8,33 +8,33 @@
 	"github.com/siskinford/siskinford/core/finding"
 )
 
-// Config holds the sizes of a measurement.
+// Config sets the scale and duration of the measurements.
 type Config struct {
-	// Seed selects lost messages, probes and jitter. Default: 1.
+	// Seed seeds message loss, probe order and jitter. Default: 1.
 	Seed uint64
-	// Nodes are the numbers of entries to measure at. Default: 10, 50 and 200.
+	// Nodes are the fleet sizes, in entries. Default: 10, 50 and 200.
 	Nodes []int
-	// ZoneSize is the number of entries of a zone. Unit: entries. Default: 36.
+	// ZoneSize is the number of entries per zone. Default: 36.
 	ZoneSize int
-	// Loss is the share of messages between entries that are lost in each
-	// direction in the runs with loss. Default: 0.05.
+	// Loss is the loss rate between entries, in each direction, in the runs with
+	// loss. Default: 0.05.
 	Loss float64
-	// Changes is the number of configuration changes of each run. Default: 10.
+	// Changes is the number of configuration changes per run. Default: 10.
 	Changes int
-	// Settle is the time for the entries to find each other. Default: 8s.
+	// Settle is the time allowed for peer discovery. Default: 8s.
 	Settle time.Duration
 	// Window is the time over which rates are measured. Default: 10s.
 	Window time.Duration
-	// Outage is the length of the platform outage. Default: 20s.
+	// Outage is the duration of the platform outage. Default: 20s.
 	Outage time.Duration
-	// Rounds is the number of times that each fault is caused. Default: 5.
+	// Rounds is the number of repetitions of each fault. Default: 5.
 	Rounds int
 	// Endpoints, Teams and Services are the sizes of the full configuration.
 	// Default: 1200, 890 and 32.
 	Endpoints, Teams, Services int
 }
 
-// Default returns the sizes of the recorded measurements.
+// Default returns the configuration of the recorded measurements.
 func Default() Config {
 	return Config{
 		Seed:      1,
--- a/lab/slopes/member.go
+++ b/lab/slopes/member.go
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// zoneCounts returns the numbers of zones to measure n nodes in: zones of the
-// full size and ten smaller ones.
+// zoneCounts returns the numbers of zones to split n nodes into: zones of zoneSize,
+// and ten smaller ones if they hold at least two nodes each.
 func zoneCounts(n, zoneSize int) []int {
 	full := (n + zoneSize - 1) / zoneSize
 	const many = 10
@@ -34,14 +34,14 @@
 }
 
 func membershipRow(ctx context.Context, c Config, n, zones int) (MembershipCost, error) {
-	before := heap()
+	before := liveHeapBytes()
 	b, err := newBench(ctx, c, ModeZoneReader, n, (n+zones-1)/zones, 0)
 	if err != nil {
 		return MembershipCost{}, err
 	}
 	defer b.close()
 	row := MembershipCost{Nodes: n, Zones: b.zones}
-	row.HeapBytes = max(0, heap()-before) / float64(n)
+	row.HeapBytes = max(0, liveHeapBytes()-before) / float64(n)
 	start, cpu := time.Now(), processorTime()
 	first := b.traffic()
 	if err := timer.Sleep(ctx, c.Window); err != nil {
@@ -70,7 +70,7 @@
 	return out
 }
 
-// processorTime returns the user and system time of the process so far.
+// processorTime returns the user and system time of the process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -79,8 +79,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap returns the bytes of live objects.
-func heap() float64 {
+// liveHeapBytes collects garbage and returns the size of the live objects.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/lab/slopes/memory.go
+++ b/lab/slopes/memory.go
@@ -13,7 +13,7 @@
 	"github.com/siskinford/siskinford/fleet/member"
 )
 
-// sampleTime is the wall time in encoded samples.
+// sampleTime is the timestamp in sample values.
 var sampleTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // endpointSet returns a configuration of n endpoints over ten zones.
@@ -66,7 +66,7 @@
 	return json.Marshal(config.Envelope{Writer: "operator", WrittenAt: sampleTime, Value: value})
 }
 
-// measureMemory fills in the heap for each object of the control state.
+// measureMemory measures the heap per object of the control state.
 func measureMemory(_ context.Context, c Config, r *Result) error {
 	snapshots := []struct {
 		object string
@@ -94,46 +94,46 @@
 		}
 	}
 	r.Memory = append(r.Memory,
-		heapOf("peer of the own zone in a membership table", c.ZoneSize, func() any { return tableOf(c.ZoneSize, 0) }),
-		heapOf("other zone in a membership table", otherZones, func() any { return tableOf(0, otherZones) }),
+		heapOf("peer of the own zone in a membership table", c.ZoneSize, func() any { return membershipTable(c.ZoneSize, 0) }),
+		heapOf("other zone in a membership table", otherZones, func() any { return membershipTable(0, otherZones) }),
 	)
 	return nil
 }
 
-// copies is the number of times that a state is built to measure its heap.
-const copies = 50
+// heapCopies is the number of copies over which heapOf averages.
+const heapCopies = 50
 
-// heapOf builds a state several times and divides the heap by its objects.
+// heapOf measures the heap of the state that build returns, per object in it.
 func heapOf(object string, count int, build func() any) HeapCost {
-	before := heap()
-	states := make([]any, copies)
+	before := liveHeapBytes()
+	states := make([]any, heapCopies)
 	for i := range states {
 		states[i] = build()
 	}
-	used := heap() - before
+	used := liveHeapBytes() - before
 	runtime.KeepAlive(states)
-	return HeapCost{Object: object, Count: count, Bytes: used / copies / float64(count)}
+	return HeapCost{Object: object, Count: count, Bytes: used / heapCopies / float64(count)}
 }
 
-// otherZones is the number of zones besides the own.
+// otherZones is the number of remote zones.
 const otherZones = 9
 
-// tableOf returns a membership table that knows peers of its zone and other zones.
-func tableOf(peers, zones int) *member.Table {
+// membershipTable returns a table with peers in its own zone and remote zones.
+func membershipTable(peers, zones int) *member.Table {
 	t := member.New(member.Options{Config: member.Default(), Zone: "zone-0", Host: "entry-000", Address: "10.0.0.1:7400"}, sampleTime)
 	for i := range peers {
-		t.Handle(member.Message{Type: member.Ack, Zone: "zone-0", From: peerOf(i + 1)}, sampleTime)
+		t.Handle(member.Message{Type: member.Ack, Zone: "zone-0", From: samplePeer(i + 1)}, sampleTime)
 	}
 	for i := range zones {
 		t.Handle(member.Message{
-			Type: member.ExchangeAnswer, Zone: id.Zone(fmt.Sprintf("zone-%d", i+1)), From: peerOf(i + 1),
-			Summaries: []member.Summary{summaryOf(i + 1)},
+			Type: member.ExchangeAnswer, Zone: id.Zone(fmt.Sprintf("zone-%d", i+1)), From: samplePeer(i + 1),
+			Summaries: []member.Summary{sampleSummary(i + 1)},
 		}, sampleTime)
 	}
 	return t
 }
 
-func peerOf(i int) member.Peer {
+func samplePeer(i int) member.Peer {
 	return member.Peer{
 		Host:        id.Host(fmt.Sprintf("entry-%03d", i)),
 		Address:     fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250+1),
@@ -141,9 +141,9 @@
 	}
 }
 
-func summaryOf(zone int) member.Summary {
+func sampleSummary(zone int) member.Summary {
 	return member.Summary{
 		Zone: id.Zone(fmt.Sprintf("zone-%d", zone)), Delegate: "entry-001", Stamp: sampleTime.UnixMilli(), Alive: 36,
-		Contacts: []member.Peer{peerOf(1), peerOf(2), peerOf(3)},
+		Contacts: []member.Peer{samplePeer(1), samplePeer(2), samplePeer(3)},
 	}
 }
--- a/lab/slopes/node.go
+++ b/lab/slopes/node.go
@@ -25,19 +25,19 @@
 // linkDelay is the one-way delay between entries.
 const linkDelay = 1500 * time.Microsecond
 
-// node is one entry of a bench, as far as its control protocols go.
+// node runs the control protocols of one entry.
 type node struct {
 	host    id.Host
 	zone    id.Zone
 	address string
 	net     *memnet.Node
 	members *member.Runner
-	spread  *configsync.Syncer
-	holder  *configsync.SnapshotApplier
+	syncer  *configsync.Syncer
+	applier *configsync.SnapshotApplier
 	stop    func()
 }
 
-// bench is a fleet in one process with real time.
+// bench is a fleet in one process on a simulated network, in real time.
 type bench struct {
 	mode     Mode
 	net      *memnet.Network
@@ -47,18 +47,17 @@
 	zones    int
 
 	mu      sync.Mutex // guards changes
-	changes []change
+	changes []stateChange
 }
 
-// change is a change of belief of one node about another.
-type change struct {
+// stateChange is a change in the membership state that observer holds for a peer.
+type stateChange struct {
 	observer id.Host
 	member.Change
 	at time.Time
 }
 
-// newBench starts n nodes in zones of zoneSize and returns when they had time
-// to find each other.
+// newBench starts n nodes in zones of zoneSize and waits c.Settle for their discovery.
 func newBench(ctx context.Context, c Config, mode Mode, n, zoneSize int, loss float64) (*bench, error) {
 	memory := memstore.New(memstore.Config{PollWait: objectapi.MaxPollWait})
 	b := &bench{
@@ -76,11 +75,11 @@
 			Address: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250+1), State: objectapi.HostLive,
 		})
 	}
-	if _, err := b.accept(ctx, config.KindTeams); err != nil {
+	if _, err := b.putVersion(ctx, config.KindTeams); err != nil {
 		return nil, err
 	}
 	for i, h := range list {
-		if err := b.start(ctx, c.Seed+uint64(i), h, list); err != nil {
+		if err := b.startNode(ctx, c.Seed+uint64(i), h, list); err != nil {
 			b.close()
 			return nil, err
 		}
@@ -88,39 +87,39 @@
 	return b, timer.Sleep(ctx, c.Settle)
 }
 
-func (b *bench) start(ctx context.Context, seed uint64, h objectapi.Host, list []objectapi.Host) error {
+func (b *bench) startNode(ctx context.Context, seed uint64, h objectapi.Host, list []objectapi.Host) error {
 	n := &node{
 		host: h.Name, zone: h.Zone, address: h.Address,
-		net: b.net.Join(h.Address), holder: configsync.NewSnapshotApplier(nil),
+		net: b.net.Join(h.Address), applier: configsync.NewSnapshotApplier(nil),
 	}
 	mux := transport.NewMux(n.net, metrics.NewSet())
 	var err error
 	n.members, err = member.NewRunner(member.Options{
 		Config: member.Default(), Zone: h.Zone, Host: h.Name, Address: h.Address, Seed: seed,
-		AppData:   func() []byte { return n.spread.EncodedDigest() },
-		OnAppData: func(from member.Peer, zone id.Zone, note []byte) { n.spread.HandleDigest(from, zone, note) },
+		AppData:   func() []byte { return n.syncer.EncodedDigest() },
+		OnAppData: func(from member.Peer, zone id.Zone, digest []byte) { n.syncer.HandleDigest(from, zone, digest) },
 		OnChange:  func(c member.Change) { b.record(n.host, c) },
 	}, mux.Caller(transport.Membership), time.Now)
 	if err != nil {
 		return err
 	}
-	n.spread, err = configsync.New(configsync.Options{
-		Config: b.spreadConfig(), Zone: h.Zone, Store: b.platform, Applier: n.holder, Peers: n.members,
+	n.syncer, err = configsync.New(configsync.Options{
+		Config: b.syncConfig(), Zone: h.Zone, Store: b.platform, Applier: n.applier, Peers: n.members,
 		Caller: mux.Caller(transport.Configuration), Seed: seed,
 	})
 	if err != nil {
 		return err
 	}
 	mux.Register(transport.Membership, n.members.Handle)
-	mux.Register(transport.Configuration, n.spread.Handle)
+	mux.Register(transport.Configuration, n.syncer.Handle)
 	n.members.SetHostList(list)
 	n.net.Serve(mux.Handle)
-	b.run(ctx, n, seed)
+	b.runNode(ctx, n, seed)
 	b.nodes = append(b.nodes, n)
 	return nil
 }
 
-func (b *bench) spreadConfig() configsync.Config {
+func (b *bench) syncConfig() configsync.Config {
 	c := configsync.Default()
 	switch b.mode {
 	case ModePlatformRecovery:
@@ -131,16 +130,16 @@
 	return c
 }
 
-func (b *bench) run(ctx context.Context, n *node, seed uint64) {
+func (b *bench) runNode(ctx context.Context, n *node, seed uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	ticks := make(chan time.Time)
-	wg.Go(func() { tick(ctx, n.net, seed, ticks) })
+	wg.Go(func() { sendTicks(ctx, n.net, seed, ticks) })
 	wg.Go(func() { n.members.RunTicks(ctx, ticks) })
 	if b.mode == ModeWatchEach {
-		wg.Go(func() { watchEach(ctx, b.platform, n.holder, seed) })
+		wg.Go(func() { watchEach(ctx, b.platform, n.applier, seed) })
 	} else {
-		wg.Go(func() { n.spread.Run(ctx) })
+		wg.Go(func() { n.syncer.Run(ctx) })
 	}
 	n.stop = func() {
 		n.net.Kill()
@@ -149,8 +148,8 @@
 	}
 }
 
-// tick drives a node at its own phase while it is not paused.
-func tick(ctx context.Context, n *memnet.Node, seed uint64, ticks chan<- time.Time) {
+// sendTicks sends ticks at a seeded phase, except while n is paused.
+func sendTicks(ctx context.Context, n *memnet.Node, seed uint64, ticks chan<- time.Time) {
 	phase := time.Duration(rand.New(rand.NewPCG(seed, 0)).Int64N(int64(member.TickInterval)))
 	if timer.Sleep(ctx, phase) != nil {
 		return
@@ -174,13 +173,13 @@
 	}
 }
 
-// watchEach is the baseline: it follows the platform without help of peers,
-// with the same waits after failures as the reader of a zone.
-func watchEach(ctx context.Context, store objectapi.Store, holder *configsync.SnapshotApplier, seed uint64) {
+// watchEach is the baseline: it watches the platform without peers, with the
+// backoff of a zone reader.
+func watchEach(ctx context.Context, store objectapi.Store, applier *configsync.SnapshotApplier, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	wait := configsync.Default().BackoffMin
 	for ctx.Err() == nil {
-		err := watchOnce(ctx, store, holder)
+		err := watchOnce(ctx, store, applier)
 		if err == nil {
 			wait = configsync.Default().BackoffMin
 			continue
@@ -190,11 +189,11 @@
 	}
 }
 
-func watchOnce(ctx context.Context, store objectapi.Store, holder *configsync.SnapshotApplier) error {
+func watchOnce(ctx context.Context, store objectapi.Store, applier *configsync.SnapshotApplier) error {
 	objects, revision, err := store.List(ctx, config.ObjectKind)
 	for end := time.Now().Add(configsync.Default().ListInterval); err == nil && time.Now().Before(end); {
 		for _, o := range objects {
-			if err := holder.Apply(config.Kind(o.Name), o.Version, o.Value); err != nil {
+			if err := applier.Apply(config.Kind(o.Name), o.Version, o.Value); err != nil {
 				return err
 			}
 		}
@@ -221,11 +220,11 @@
 func (b *bench) record(observer id.Host, c member.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.changes = append(b.changes, change{observer: observer, Change: c, at: time.Now()})
+	b.changes = append(b.changes, stateChange{observer: observer, Change: c, at: time.Now()})
 }
 
-// takeChanges returns the changes of belief since the last call.
-func (b *bench) takeChanges() []change {
+// drainChanges returns and clears the recorded changes.
+func (b *bench) drainChanges() []stateChange {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.changes
@@ -233,12 +232,12 @@
 	return out
 }
 
-// smallTeams is a short configuration, so that many nodes of one process do not
-// compete for processors while they decode it.
+// smallTeams is a small configuration, so that the nodes of the process do not
+// compete for CPU time to decode it.
 var smallTeams = []byte(`{"writer":"bench","written_at":"2026-01-01T00:00:00Z","value":{"teams":[]}}`)
 
-// accept writes the next version of a kind, past the platform's faults.
-func (b *bench) accept(ctx context.Context, kind config.Kind) (uint64, error) {
+// putVersion writes the next version of a kind, bypassing injected platform faults.
+func (b *bench) putVersion(ctx context.Context, kind config.Kind) (uint64, error) {
 	o := objectapi.Object{Kind: config.ObjectKind, Name: string(kind), Value: smallTeams}
 	current, err := b.memory.Get(ctx, o.Kind, o.Name)
 	var missing *objectapi.NotFoundError
@@ -250,20 +249,20 @@
 	return written.Version, err
 }
 
-// inForceBound is the time within which a change must be in force everywhere.
+// inForceBound is the deadline for a change to take effect on all nodes.
 const inForceBound = 19 * time.Second
 
-// awaitPoll is the resolution of delays.
-const awaitPoll = 2 * time.Millisecond
+// awaitInterval is the polling interval, and so the resolution, of awaitVersion.
+const awaitInterval = 2 * time.Millisecond
 
-// await returns the time until a version is in force at all nodes, and false if
-// that took longer than inForceBound.
-func (b *bench) await(ctx context.Context, kind config.Kind, version uint64, nodes []*node) (time.Duration, bool) {
+// awaitVersion returns the time until a version is in force on all nodes, and false if
+// inForceBound or ctx expires first.
+func (b *bench) awaitVersion(ctx context.Context, kind config.Kind, version uint64, nodes []*node) (time.Duration, bool) {
 	start := time.Now()
 	for {
 		behind := false
 		for _, n := range nodes {
-			if n.holder.Current().Version(kind) < version {
+			if n.applier.Current().Version(kind) < version {
 				behind = true
 				break
 			}
@@ -272,7 +271,7 @@
 		if !behind {
 			return took, true
 		}
-		if took > inForceBound || timer.Sleep(ctx, awaitPoll) != nil {
+		if took > inForceBound || timer.Sleep(ctx, awaitInterval) != nil {
 			return took, false
 		}
 	}
--- a/lab/slopes/outage.go
+++ b/lab/slopes/outage.go
@@ -10,10 +10,10 @@
 	"github.com/siskinford/siskinford/fleet/objectapi/faultstore"
 )
 
-// returnSpan is the time after the return of the platform in which calls are counted.
-const returnSpan = 10 * time.Second
+// returnWindow is the time after an outage in which calls are counted.
+const returnWindow = 10 * time.Second
 
-// measureOutage takes the platform away from the largest fleet.
+// measureOutage makes the platform unavailable to a fleet of the largest size.
 func measureOutage(ctx context.Context, c Config, r *Result) error {
 	for _, mode := range []Mode{ModeZoneReader, ModeWatchEach} {
 		row, err := outageRow(ctx, c, mode, slices.Max(c.Nodes))
@@ -37,15 +37,15 @@
 	if err := timer.Sleep(ctx, c.Outage); err != nil {
 		return row, err
 	}
-	version, err := b.accept(ctx, config.KindTeams)
+	version, err := b.putVersion(ctx, config.KindTeams)
 	if err != nil {
 		return row, err
 	}
 	back := time.Now()
 	b.platform.SetDown(false)
-	took, _ := b.await(ctx, config.KindTeams, version, b.nodes)
+	took, _ := b.awaitVersion(ctx, config.KindTeams, version, b.nodes)
 	row.InForce = millis(took)
-	if err := timer.Sleep(ctx, returnSpan-time.Since(back)); err != nil {
+	if err := timer.Sleep(ctx, returnWindow-time.Since(back)); err != nil {
 		return row, err
 	}
 	row.count(b.platform.Calls(), start, back)
@@ -59,7 +59,7 @@
 		case c.At.Before(start):
 		case c.At.Before(back):
 			row.CallsDuring++
-		case c.At.Sub(back) < returnSpan:
+		case c.At.Sub(back) < returnWindow:
 			row.CallsFirst10s++
 			second := int(c.At.Sub(back) / time.Second)
 			perSecond[second]++
--- a/lab/slopes/spread.go
+++ b/lab/slopes/propagation.go
@@ -9,19 +9,19 @@
 	"github.com/siskinford/siskinford/fleet/config"
 )
 
-// changeGap is the time between two changes of a run.
-const changeGap = 500 * time.Millisecond
+// changeInterval is the pause after each change of a run.
+const changeInterval = 500 * time.Millisecond
 
-func measureSpread(ctx context.Context, c Config, r *Result) error {
+func measurePropagation(ctx context.Context, c Config, r *Result) error {
 	modes := []Mode{ModeZoneReader, ModePlatformRecovery, ModeDirectPush, ModeWatchEach}
 	for _, n := range c.Nodes {
 		for _, mode := range modes {
 			losses := []float64{0, c.Loss}
 			if mode == ModeWatchEach {
-				losses = losses[:1] // No message travels between entries.
+				losses = losses[:1] // Entries exchange no messages.
 			}
 			for _, loss := range losses {
-				row, err := spreadRow(ctx, c, mode, n, loss)
+				row, err := propagationRow(ctx, c, mode, n, loss)
 				if err != nil {
 					return err
 				}
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func spreadRow(ctx context.Context, c Config, mode Mode, n int, loss float64) (Propagation, error) {
+func propagationRow(ctx context.Context, c Config, mode Mode, n int, loss float64) (Propagation, error) {
 	b, err := newBench(ctx, c, mode, n, c.ZoneSize, loss)
 	if err != nil {
 		return Propagation{}, err
@@ -44,16 +44,16 @@
 		return row, err
 	}
 	row.IdleCallsPerSecond = idle
-	if err := b.spreadChanges(ctx, c.Changes, &row); err != nil {
+	if err := b.measureChanges(ctx, c.Changes, &row); err != nil {
 		return row, err
 	}
 	if mode != ModeWatchEach {
-		err = b.deadReader(ctx, &row)
+		err = b.measureReaderDeath(ctx, &row)
 	}
 	return row, err
 }
 
-// idleCalls returns the calls to the platform in a second without changes.
+// idleCalls returns the platform calls per second while nothing changes.
 func (b *bench) idleCalls(ctx context.Context, window time.Duration) (float64, error) {
 	before := len(b.platform.Calls())
 	if err := timer.Sleep(ctx, window); err != nil {
@@ -62,25 +62,25 @@
 	return float64(len(b.platform.Calls())-before) / window.Seconds(), nil
 }
 
-// spreadChanges makes changes and fills in their delay and cost. The calls that
-// the readers make without changes are taken off.
-func (b *bench) spreadChanges(ctx context.Context, changes int, row *Propagation) error {
+// measureChanges makes changes and measures their latency and cost. It subtracts
+// the platform calls expected without changes.
+func (b *bench) measureChanges(ctx context.Context, changes int, row *Propagation) error {
 	calls := len(b.platform.Calls())
 	start := time.Now()
 	var delays []time.Duration
 	for range changes {
-		sent := b.sent()
-		version, err := b.accept(ctx, config.KindTeams)
+		sent := b.sentBytes()
+		version, err := b.putVersion(ctx, config.KindTeams)
 		if err != nil {
 			return err
 		}
-		took, ok := b.await(ctx, config.KindTeams, version, b.nodes)
+		took, ok := b.awaitVersion(ctx, config.KindTeams, version, b.nodes)
 		if !ok {
 			row.Missed++
 		}
 		delays = append(delays, took)
-		row.MaxSentPerChange = max(row.MaxSentPerChange, b.mostSent(sent))
-		if err := timer.Sleep(ctx, changeGap); err != nil {
+		row.MaxSentPerChange = max(row.MaxSentPerChange, b.maxSent(sent))
+		if err := timer.Sleep(ctx, changeInterval); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (b *bench) sent() []uint64 {
+func (b *bench) sentBytes() []uint64 {
 	out := make([]uint64, len(b.nodes))
 	for i, n := range b.nodes {
 		out[i] = n.net.Traffic().Sent
@@ -100,8 +100,8 @@
 	return out
 }
 
-// mostSent returns the most that a node sent since before.
-func (b *bench) mostSent(before []uint64) float64 {
+// maxSent returns the maximum number of bytes that a node has sent since before.
+func (b *bench) maxSent(before []uint64) float64 {
 	var most uint64
 	for i, n := range b.nodes {
 		most = max(most, n.net.Traffic().Sent-before[i])
@@ -109,20 +109,20 @@
 	return float64(most)
 }
 
-// deadReader kills the reader of a zone and measures the next change.
-func (b *bench) deadReader(ctx context.Context, row *Propagation) error {
+// measureReaderDeath kills a zone's reader and measures the next change.
+func (b *bench) measureReaderDeath(ctx context.Context, row *Propagation) error {
 	zone := b.nodes[0].zone
 	for i, n := range b.nodes {
 		if n.zone != zone || !n.members.Owns("reader/"+string(zone)) {
 			continue
 		}
 		n.stop()
-		version, err := b.accept(ctx, config.KindTeams)
+		version, err := b.putVersion(ctx, config.KindTeams)
 		if err != nil {
 			return err
 		}
 		alive := slices.Delete(slices.Clone(b.nodes), i, i+1)
-		took, ok := b.await(ctx, config.KindTeams, version, alive)
+		took, ok := b.awaitVersion(ctx, config.KindTeams, version, alive)
 		if !ok {
 			row.Missed++
 		}
--- a/lab/slopes/run.go
+++ b/lab/slopes/run.go
@@ -6,7 +6,7 @@
 	"runtime"
 )
 
-// Run measures all slopes. It blocks for several minutes with Default.
+// Run runs all measurements. It blocks for several minutes with Default.
 func Run(ctx context.Context, c Config) (Result, error) {
 	if err := c.Validate(); err != nil {
 		return Result{}, err
@@ -20,7 +20,7 @@
 	return r, ctx.Err()
 }
 
-// step measures a part of a result.
+// step measures one part of a Result.
 type step struct {
 	name string
 	run  func(context.Context, Config, *Result) error
@@ -33,8 +33,8 @@
 		{"apply", measureApply},
 		{"wire", measureWire},
 		{"membership", measureMembership},
-		{"spread", measureSpread},
-		{"notice", measureNotice},
+		{"spread", measurePropagation},
+		{"notice", measureDetection},
 		{"outage", measureOutage},
 	}
 }
--- a/lab/slopes/size.go
+++ b/lab/slopes/size.go
@@ -11,8 +11,8 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// report returns a load report of a busy endpoint with n cache events.
-func report(n int) msg.Report {
+// sampleReport returns a load report of a busy endpoint with n cache events.
+func sampleReport(n int) msg.Report {
 	r := msg.Report{
 		Endpoint: "endpoint-0001", Incarnation: "inc_0123456789abcdef0123456789abcdef", Seq: 123456, Healthy: true,
 		Queued: 12, Running: 24, QueuedTokens: 14000, RunningTokens: 36000, Slots: 32, StepTimeMicros: 33000, EngineLagMicros: 250000,
@@ -23,39 +23,39 @@
 	return r
 }
 
-// digest returns the digest of a host after years of changes.
-func digest() configsync.Digest {
+// sampleDigest returns a digest with version numbers as after years of changes.
+func sampleDigest() configsync.Digest {
 	return configsync.Digest{
 		Ready:    true,
 		Versions: map[config.Kind]uint64{config.KindServices: 100, config.KindTeams: 5000, config.KindEndpoints: 9000},
 	}
 }
 
-// heartbeat returns a probe with a digest and without claims.
-func heartbeat() member.Message {
-	note, err := codec.Marshal(digest())
+// sampleHeartbeat returns a probe with a digest and without membership updates.
+func sampleHeartbeat() member.Message {
+	appData, err := codec.Marshal(sampleDigest())
 	if err != nil {
 		panic(err) // The digest is a constant.
 	}
-	return member.Message{Type: member.Ping, Zone: "zone-0", From: peerOf(1), Seq: 100000, Hash: 1 << 60, AppData: note}
+	return member.Message{Type: member.Ping, Zone: "zone-0", From: samplePeer(1), Seq: 100000, Hash: 1 << 60, AppData: appData}
 }
 
-// measureSizes fills in the encoded size of control messages.
+// measureSizes measures the encoded sizes of control messages.
 func measureSizes(_ context.Context, c Config, r *Result) error {
-	full := heartbeat()
+	full := sampleHeartbeat()
 	full.Type = member.Sync
 	for i := range c.ZoneSize {
-		full.Updates = append(full.Updates, peerOf(i))
+		full.Updates = append(full.Updates, samplePeer(i))
 	}
 	samples := []struct {
 		name    string
 		message any
 	}{
-		{"load report without cache events", report(0)},
-		{"load report with 8 cache events", report(8)},
-		{"digest of versions", digest()},
-		{"heartbeat with digest", []member.Message{heartbeat()}},
-		{"summary of a zone", summaryOf(1)},
+		{"load report without cache events", sampleReport(0)},
+		{"load report with 8 cache events", sampleReport(8)},
+		{"digest of versions", sampleDigest()},
+		{"heartbeat with digest", []member.Message{sampleHeartbeat()}},
+		{"summary of a zone", sampleSummary(1)},
 		{"all members of a zone", []member.Message{full}},
 	}
 	for _, s := range samples {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// measureApply fills in the cost of bringing full configurations into force.
+// measureApply measures the cost of applying full configurations.
 func measureApply(_ context.Context, c Config, r *Result) error {
 	rows := []struct {
 		kind    config.Kind
@@ -79,13 +79,13 @@
 		{config.KindTeams, c.Teams, teamSet(c.Teams)},
 		{config.KindServices, c.Services, serviceSet(c.Services)},
 	}
-	holder := configsync.NewSnapshotApplier(nil)
+	applier := configsync.NewSnapshotApplier(nil)
 	for _, row := range rows {
 		value, err := envelope(row.set)
 		if err != nil {
 			return err
 		}
-		a, err := applyRow(holder, row.kind, value)
+		a, err := applyRow(applier, row.kind, value)
 		if err != nil {
 			return err
 		}
@@ -95,14 +95,14 @@
 	return nil
 }
 
-// applyRounds is the number of versions over which processor time is averaged.
+// applyRounds is the number of versions over which CPU time is averaged.
 const applyRounds = 20
 
-func applyRow(holder *configsync.SnapshotApplier, kind config.Kind, value []byte) (ApplyCost, error) {
+func applyRow(applier *configsync.SnapshotApplier, kind config.Kind, value []byte) (ApplyCost, error) {
 	a := ApplyCost{Kind: string(kind), ValueBytes: len(value)}
 	start := processorTime()
 	for version := range uint64(applyRounds) {
-		if err := holder.Apply(kind, version+1, value); err != nil {
+		if err := applier.Apply(kind, version+1, value); err != nil {
 			return a, err
 		}
 	}
--- a/lab/slopes/slopes_test.go
+++ b/lab/slopes/slopes_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func small() Config {
+func smallConfig() Config {
 	c := Default()
 	c.Nodes = []int{4}
 	c.ZoneSize = 4
@@ -24,12 +24,12 @@
 	return c
 }
 
-// TestSlopes measures a small fleet. All but the wire runs in virtual time.
-func TestSlopes(t *testing.T) {
+// All steps but wire, which uses real sockets, run in virtual time.
+func TestStepsMeasureSmallFleet(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var r Result
 	for _, s := range steps() {
-		run := func(t *testing.T) { assert.NilError(t, s.run(t.Context(), small(), &r)) }
+		run := func(t *testing.T) { assert.NilError(t, s.run(t.Context(), smallConfig(), &r)) }
 		if s.name == "wire" {
 			t.Run(s.name, run)
 			continue
--- a/lab/slopes/wire.go
+++ b/lab/slopes/wire.go
@@ -16,20 +16,20 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// packetHeaders are the headers of IPv4 and UDP. Unit: bytes.
+// packetHeaders is the size of the IPv4 and UDP headers in bytes.
 const packetHeaders = 28
 
-// wireGap is the time between two calls, as between two heartbeats.
-const wireGap = 100 * time.Millisecond
+// wireInterval is the interval between heartbeats and between reports.
+const wireInterval = 100 * time.Millisecond
 
-// benchHost is the host in the certificates of both ends.
+// benchHost is the identity in the certificate of both ends.
 const benchHost id.Host = "entry-001"
 
-// echo answers orders with the reply of the measured kind.
-type echo struct{}
+// responder replies to peer orders with their payload and streams sample reports.
+type responder struct{}
 
 // Order implements link.Handler.
-func (*echo) Order(s *link.Session, o *msg.Order) {
+func (*responder) Order(s *link.Session, o *msg.Order) {
 	switch {
 	case o.Peer != nil:
 		s.Reply(&msg.Reply{ID: o.ID, Peer: &msg.Peer{Payload: o.Peer.Payload}})
@@ -48,18 +48,18 @@
 		case <-s.Done():
 			return
 		}
-		r := report(0)
+		r := sampleReport(0)
 		s.Reply(&msg.Reply{ID: order, Report: &r})
 	}
 }
 
 // Closed implements link.Handler.
-func (*echo) Closed(*link.Session) {}
+func (*responder) Closed(*link.Session) {}
 
 // Incarnation implements link.Handler.
-func (*echo) Incarnation() id.Incarnation { return "inc_0123456789abcdef0123456789abcdef" }
+func (*responder) Incarnation() id.Incarnation { return "inc_0123456789abcdef0123456789abcdef" }
 
-// wireBench is a connection whose packets are counted on the way.
+// wireBench is a connection through a proxy that counts its packets.
 type wireBench struct {
 	server *link.Server
 	proxy  *faultproxy.UDP
@@ -76,12 +76,12 @@
 	if err != nil {
 		return nil, err
 	}
-	ring, err := keys.New(issued)
+	credentials, err := keys.New(issued)
 	if err != nil {
 		return nil, err
 	}
 	b := &wireBench{}
-	b.server, err = link.Listen("127.0.0.1:0", ring.ServerConfig(keys.RoleEntry), l, &echo{})
+	b.server, err = link.Listen("127.0.0.1:0", credentials.ServerConfig(keys.RoleEntry), l, &responder{})
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		b.server.Close()
 		return nil, err
 	}
-	b.pool = link.NewPool(l, func() *tls.Config { return ring.ClientConfig(keys.RoleEntry) })
+	b.pool = link.NewPool(l, func() *tls.Config { return credentials.ClientConfig(keys.RoleEntry) })
 	b.conn, err = b.pool.Conn(ctx, b.proxy.Addr())
 	if err != nil {
 		b.close()
@@ -105,10 +105,10 @@
 	b.proxy.Close()
 }
 
-// wireLoad sends messages over a connection for a time and returns how many.
+// wireLoad uses a connection for a duration and returns the number of operations.
 type wireLoad func(context.Context, *wireBench, time.Duration) (int, error)
 
-// measureWire fills in the packets of calls, reports and idle connections.
+// measureWire measures calls, reports, and idle and new connections.
 func measureWire(ctx context.Context, c Config, r *Result) error {
 	quiet := link.DefaultConfig()
 	quiet.ProbeInterval = time.Hour
@@ -159,19 +159,19 @@
 	return w, nil
 }
 
-// warmUp waits until the packets of the handshake are over.
+// warmUp waits until the handshake's packets have been exchanged.
 func (b *wireBench) warmUp(ctx context.Context) error {
 	if _, err := b.conn.Call(ctx, &msg.Order{Peer: &msg.Peer{}}); err != nil {
 		return err
 	}
-	return timer.Sleep(ctx, warmUpSpan)
+	return timer.Sleep(ctx, handshakeTime)
 }
 
-// warmUpSpan is the time after which the packets of a handshake are over.
-const warmUpSpan = 300 * time.Millisecond
+// handshakeTime covers the trailing packets of a handshake.
+const handshakeTime = 300 * time.Millisecond
 
 func wireHeartbeats(ctx context.Context, b *wireBench, window time.Duration) (int, error) {
-	payload, err := codec.Marshal([]member.Message{heartbeat()})
+	payload, err := codec.Marshal([]member.Message{sampleHeartbeat()})
 	if err != nil {
 		return 0, err
 	}
@@ -180,25 +180,25 @@
 		if _, err := b.conn.Call(ctx, &msg.Order{Peer: &msg.Peer{Payload: payload}}); err != nil {
 			return 0, err
 		}
-		if err := timer.Sleep(ctx, wireGap); err != nil {
+		if err := timer.Sleep(ctx, wireInterval); err != nil {
 			return 0, err
 		}
 	}
 	return n, nil
 }
 
-// counter counts the replies to an order.
-type counter struct{ replies atomic.Int64 }
+// replyCounter counts the replies to an order.
+type replyCounter struct{ replies atomic.Int64 }
 
 // Reply implements link.ReplyHandler.
-func (c *counter) Reply(*msg.Reply) { c.replies.Add(1) }
+func (c *replyCounter) Reply(*msg.Reply) { c.replies.Add(1) }
 
 // Lost implements link.ReplyHandler.
-func (*counter) Lost(bool, error) {}
+func (*replyCounter) Lost(bool, error) {}
 
 func wireReports(ctx context.Context, b *wireBench, window time.Duration) (int, error) {
-	var received counter
-	call, err := b.conn.Send(&msg.Order{Reports: &msg.ReportsOrder{IntervalMicros: wireGap.Microseconds()}}, &received)
+	var received replyCounter
+	call, err := b.conn.Send(&msg.Order{Reports: &msg.ReportsOrder{IntervalMicros: wireInterval.Microseconds()}}, &received)
 	if err != nil {
 		return 0, err
 	}
@@ -207,7 +207,7 @@
 	return max(1, int(received.replies.Load())), err
 }
 
-// wireDials is the number of connections that are opened one after another.
+// wireDials is the number of connections that wireDial opens in sequence.
 const wireDials = 20
 
 func wireDial(ctx context.Context, b *wireBench, _ time.Duration) (int, error) {
