--- a/operate/logs/explain.go
+++ b/operate/logs/explain.go
@@ -10,44 +10,44 @@
 	"time"
 )
 
-// Ending tells how a request ended, as far as the logs say.
-type Ending string
+// Outcome is the outcome of a request as far as it was logged.
+type Outcome string
 
 const (
-	// Answered means that the client got a whole answer.
-	Answered Ending = "answered"
+	// Answered means that the client received a complete response.
+	Answered Outcome = "answered"
 	// NotRun means that the request was refused and has not run.
-	NotRun Ending = "refused"
-	// Unknown means that the request may have run.
-	Unknown Ending = "outcome unknown"
-	// Broken means that a stream ended before its last event.
-	Broken Ending = "stream broken off"
+	NotRun Outcome = "refused"
+	// OutcomeUnknown means that the request may have run.
+	OutcomeUnknown Outcome = "outcome unknown"
+	// StreamBroken means that a stream ended before its last event.
+	StreamBroken Outcome = "stream broken off"
 	// Abandoned means that the client went away.
-	Abandoned Ending = "abandoned by the client"
-	// Missing means that the logs do not tell the end.
-	Missing Ending = "the end is not in the logs"
+	Abandoned Outcome = "abandoned by the client"
+	// NotLogged means that the logs do not contain the outcome.
+	NotLogged Outcome = "the end is not in the logs"
 )
 
 // Report explains one request.
 type Report struct {
 	Request string
-	Ending  Ending
-	// Cause tells in a sentence why it ended so.
+	Outcome Outcome
+	// Cause explains the outcome in one sentence.
 	Cause string
-	// Lines are those of the request.
+	// Lines are the log lines of the request.
 	Lines []Line
-	// Beliefs are the changes of what the entry believed and of what happened to
-	// the service's groups shortly before and during the request.
-	Beliefs []Line
+	// RelatedLines are lines of the same host or service that belong to no request,
+	// such as state changes of members and groups, shortly before and during this one.
+	RelatedLines []Line
 }
 
-// before is the time before a request whose events may explain it. Silence of a
-// host or a group is noticed within about a second.
-const before = 2 * time.Second
+// lookback is how long before a request an event may explain it. A silent host or
+// group is detected within about a second.
+const lookback = 2 * time.Second
 
-// Explain looks up a request in sorted lines. It returns false if none names it.
+// Explain explains a request from lines in time order. It returns false if none is about it.
 func Explain(lines []Line, request string) (Report, bool) {
-	r := Report{Request: request, Ending: Missing}
+	r := Report{Request: request, Outcome: NotLogged}
 	for _, l := range lines {
 		if l.Request == request {
 			r.Lines = append(r.Lines, l)
@@ -56,13 +56,13 @@
 	if len(r.Lines) == 0 {
 		return r, false
 	}
-	r.Ending, r.Cause = conclude(r.Lines)
-	r.Beliefs = r.beliefs(lines)
+	r.Outcome, r.Cause = determineOutcome(r.Lines)
+	r.RelatedLines = r.relatedLines(lines)
 	return r, true
 }
 
-// beliefs returns the lines that may explain the request.
-func (r *Report) beliefs(lines []Line) []Line {
+// relatedLines selects Report.RelatedLines.
+func (r *Report) relatedLines(lines []Line) []Line {
 	first, last := r.Lines[0], r.Lines[len(r.Lines)-1]
 	began := last.Time.Add(-last.duration("after"))
 	if first.Time.Before(began) {
@@ -70,18 +70,18 @@
 	}
 	var out []Line
 	for _, l := range lines {
-		if l.Request != "" || l.Time.Before(began.Add(-before)) || l.Time.After(last.Time) {
+		if l.Request != "" || l.Time.Before(began.Add(-lookback)) || l.Time.After(last.Time) {
 			continue
 		}
-		aboutService := l.Service != "" && l.Service == last.Service
-		if l.Host == last.Host || aboutService {
+		sameService := l.Service != "" && l.Service == last.Service
+		if l.Host == last.Host || sameService {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-func conclude(lines []Line) (Ending, string) {
+func determineOutcome(lines []Line) (Outcome, string) {
 	last := lines[len(lines)-1]
 	switch last.Event {
 	case "request.answered":
@@ -90,24 +90,24 @@
 		return NotRun, fmt.Sprintf("answered %.0f before any service was chosen: %s (configuration %.0f)", last.number("status"), last.Message, last.number("config"))
 	case "request.refused":
 		if last.number("status") == badGateway {
-			return Unknown, "an earlier try may have run; then: " + refusal(lines)
+			return OutcomeUnknown, "an earlier try may have run; then: " + refusalCause(lines)
 		}
-		return NotRun, refusal(lines)
+		return NotRun, refusalCause(lines)
 	case "request.failed":
-		return Unknown, fmt.Sprintf("sent to %s; then: %s", strings.Join(tried(lines), ", "), last.text("error"))
+		return OutcomeUnknown, fmt.Sprintf("sent to %s; then: %s", strings.Join(triedEndpoints(lines), ", "), last.text("error"))
 	case "stream.broken":
-		return Broken, fmt.Sprintf("%.0f events were passed on, the last from %s; then: %s; it was not continued: %s",
-			last.number("events"), strings.Join(tried(lines), ", "), last.text("error"), orElse(last.Message, "no try was left"))
+		return StreamBroken, fmt.Sprintf("%.0f events were passed on, the last from %s; then: %s; it was not continued: %s",
+			last.number("events"), strings.Join(triedEndpoints(lines), ", "), last.text("error"), orElse(last.Message, "no try was left"))
 	case "request.abandoned":
 		return Abandoned, fmt.Sprintf("the client closed the connection after %v; tries: %.0f", last.duration("after"), last.number("sent"))
 	}
-	return Missing, fmt.Sprintf("the last line is %s at %s", last.Event, last.Host)
+	return NotLogged, fmt.Sprintf("the last line is %s at %s", last.Event, last.Host)
 }
 
 // badGateway is the status of a refusal after a try that may have run.
 const badGateway = 502
 
-func refusal(lines []Line) string {
+func refusalCause(lines []Line) string {
 	l := lines[len(lines)-1]
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s; ", l.Message)
@@ -125,8 +125,8 @@
 	return b.String()
 }
 
-// tried returns the endpoints that a request was sent to.
-func tried(lines []Line) []string {
+// triedEndpoints returns the endpoints that a request was sent to.
+func triedEndpoints(lines []Line) []string {
 	var out []string
 	for _, l := range lines {
 		if l.Event == "request.chosen" && !slices.Contains(out, l.text("endpoint")) {
@@ -146,20 +146,20 @@
 // Write prints the report.
 func (r *Report) Write(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "request %s: %s\n  %s\n", r.Request, r.Ending, r.Cause)
+	fmt.Fprintf(&b, "request %s: %s\n  %s\n", r.Request, r.Outcome, r.Cause)
 	fmt.Fprintln(&b, "lines of the request:")
 	writeLines(&b, r.Lines)
 	fmt.Fprintln(&b, "what its entry and its service went through:")
-	if len(r.Beliefs) == 0 {
+	if len(r.RelatedLines) == 0 {
 		fmt.Fprintln(&b, "  nothing changed")
 	}
-	writeLines(&b, r.Beliefs)
+	writeLines(&b, r.RelatedLines)
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// writeLines prints lines. Of lines in a row with the same event of one host only
-// the first is printed.
+// writeLines prints lines. Consecutive lines with the same host and event are
+// collapsed into the first one and a count.
 func writeLines(b *strings.Builder, lines []Line) {
 	for i := 0; i < len(lines); {
 		l, n := lines[i], 1
@@ -168,16 +168,16 @@
 		}
 		l.write(b)
 		if n > 1 {
-			fmt.Fprintf(b, "    and %d more until %s\n", n-1, lines[i+n-1].Time.UTC().Format(timeOfDay))
+			fmt.Fprintf(b, "    and %d more until %s\n", n-1, lines[i+n-1].Time.UTC().Format(timeOfDayFormat))
 		}
 		i += n
 	}
 }
 
-const timeOfDay = "15:04:05.000"
+const timeOfDayFormat = "15:04:05.000"
 
 func (l Line) write(b *strings.Builder) {
-	fmt.Fprintf(b, "  %s %s %s", l.Time.UTC().Format(timeOfDay), l.Host, l.Event)
+	fmt.Fprintf(b, "  %s %s %s", l.Time.UTC().Format(timeOfDayFormat), l.Host, l.Event)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		v := l.Fields[name]
 		if n, ok := v.(float64); ok {
