--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -64,8 +64,8 @@
 	closers   []func()
 }
 
-// Start starts the fleet and waits until every entry is ready, which includes a load
-// report from each endpoint it uses.
+// Start starts the fleet and waits until every entry is ready, that is, has a complete
+// configuration and has contacted each endpoint it uses.
 func Start(ctx context.Context, c Config) (*Fleet, error) {
 	f := &Fleet{Config: c}
 	if err := f.start(ctx); err != nil {
