--- a/lab/faults/faults.go
+++ b/lab/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults names what goes wrong with stand-ins of back ends and of the
-// platform, for tests that drive the real programs.
+// Package faults defines the faults that test stand-ins for back ends and for
+// the platform inject.
 package faults
 
 import (
@@ -9,55 +9,55 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// Behavior is how a back end treats a request.
+// Behavior is how a back end handles a request.
 type Behavior int
 
 const (
-	// Proper runs the request and answers it.
-	Proper Behavior = iota
-	// Shed refuses the request without running it.
-	Shed
-	// LoseAnswer runs the request and resets the connection.
+	// Normal runs the request and answers it.
+	Normal Behavior = iota
+	// Refuse rejects the request without running it.
+	Refuse
+	// LoseAnswer runs the request and closes the connection without an answer.
 	LoseAnswer
-	// Fail runs the request and answers that it failed.
+	// Fail runs the request and answers with an error.
 	Fail
 	// Hang runs the request and does not answer.
 	Hang
-	// Tear breaks the answer off in its middle.
-	Tear
-	// Append sends a second answer after the first one.
-	Append
-	// Confuse answers with the ID of another request.
-	Confuse
+	// Truncate closes the connection in the middle of the answer.
+	Truncate
+	// DuplicateAnswer sends a second answer after the first one.
+	DuplicateAnswer
+	// WrongRequestID answers with the ID of another request.
+	WrongRequestID
 	// Unsigned leaves the signature out.
 	Unsigned
-	// Unframed sends an answer without a length, which ends with its connection; a
-	// stream ends so within an event.
-	Unframed
+	// CloseDelimited sends an answer without a length, which ends where its
+	// connection closes. A stream is closed in the middle of an event.
+	CloseDelimited
 )
 
-// Trouble is what goes wrong with the platform's calls of one caller.
-type Trouble struct {
-	// Silent leaves calls without an answer, Busy refuses them, and Reset closes
-	// their connections.
+// PlatformFaults are the faults of the platform's API towards one caller.
+type PlatformFaults struct {
+	// Silent leaves calls unanswered, Busy rejects them, and Reset closes their
+	// connections.
 	Silent, Busy, Reset bool
 	// Delay is added to each answer.
 	Delay time.Duration
-	// Lost is the share of writes that are not answered. They are carried out
-	// after LostFor, if their condition still holds then.
-	Lost    float64
-	LostFor time.Duration
+	// LateWrites is the share of writes that get no answer. They are applied after
+	// LateWriteDelay, if their precondition still holds then.
+	LateWrites     float64
+	LateWriteDelay time.Duration
 }
 
-// Arrival is a request at a back end.
+// Arrival is a request as received by a back end.
 type Arrival struct {
 	Request  id.Request
 	Endpoint id.Endpoint
 	Service  id.Service
 	Path     string
-	// From is the address of the host that sent it.
+	// From is the address of the host that sent the request.
 	From netip.Addr
-	// Team is the one that the entry named.
+	// Team is the team that the entry named.
 	Team id.Team
 	At   time.Time
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -29,13 +29,13 @@
 	"a rank is lost":                                            loseRank,
 	"orders are carried out late":                               lateOrders,
 	"other experts are in demand":                               shiftDemand,
-	"the platform is silent":                                    platform(faults.Trouble{Silent: true}),
-	"the platform is busy":                                      platform(faults.Trouble{Busy: true}),
-	"the platform resets connections":                           platform(faults.Trouble{Reset: true}),
-	"the platform is slow":                                      platform(faults.Trouble{Delay: 250 * time.Millisecond}),
-	"the platform loses answers":                                platform(faults.Trouble{Lost: 0.4, LostFor: 1500 * time.Millisecond}),
-	"the platform turns some entries away":                      turnAway(faults.Trouble{Silent: true}),
-	"the platform refuses some entries":                         turnAway(faults.Trouble{Busy: true}),
+	"the platform is silent":                                    platform(faults.PlatformFaults{Silent: true}),
+	"the platform is busy":                                      platform(faults.PlatformFaults{Busy: true}),
+	"the platform resets connections":                           platform(faults.PlatformFaults{Reset: true}),
+	"the platform is slow":                                      platform(faults.PlatformFaults{Delay: 250 * time.Millisecond}),
+	"the platform loses answers":                                platform(faults.PlatformFaults{LateWrites: 0.4, LateWriteDelay: 1500 * time.Millisecond}),
+	"the platform turns some entries away":                      turnAway(faults.PlatformFaults{Silent: true}),
+	"the platform refuses some entries":                         turnAway(faults.PlatformFaults{Busy: true}),
 	"the platform forgets its history":                          compact,
 	"a zone is cut off":                                         cutZone(faultproxy.Faults{CutToTarget: true, CutToClient: true}),
 	"a zone is cut off one way":                                 cutZone(faultproxy.Faults{CutToTarget: true}),
@@ -51,14 +51,14 @@
 	"plain endpoints lose answers":                              behave(Plain, faults.LoseAnswer),
 	"plain endpoints fail":                                      behave(Plain, faults.Fail),
 	"plain endpoints hang":                                      behave(Plain, faults.Hang),
-	"plain endpoints tear answers":                              behave(Plain, faults.Tear),
-	"plain endpoints answer twice":                              behave(Plain, faults.Append),
-	"plain endpoints confuse answers":                           behave(Plain, faults.Confuse),
+	"plain endpoints tear answers":                              behave(Plain, faults.Truncate),
+	"plain endpoints answer twice":                              behave(Plain, faults.DuplicateAnswer),
+	"plain endpoints confuse answers":                           behave(Plain, faults.WrongRequestID),
 	"plain endpoints leave out signatures":                      behave(Plain, faults.Unsigned),
-	"plain endpoints refuse":                                    behave(Plain, faults.Shed),
-	"streams are torn":                                          behave(Model, faults.Tear),
-	"streams have no length and are torn":                       behave(Model, faults.Unframed),
-	"plain endpoints answer without a length":                   behave(Plain, faults.Unframed),
+	"plain endpoints refuse":                                    behave(Plain, faults.Refuse),
+	"streams are torn":                                          behave(Model, faults.Truncate),
+	"streams have no length and are torn":                       behave(Model, faults.CloseDelimited),
+	"plain endpoints answer without a length":                   behave(Plain, faults.CloseDelimited),
 	"streams hang":                                              behave(Model, faults.Hang),
 	"a plain endpoint is replaced":                              replacePlain,
 	"a plain endpoint is replaced unseen":                       replaceUnseen,
@@ -213,10 +213,10 @@
 
 func shiftDemand(r *run, _ Fault) func() { r.site.Group().Shift(); return nil }
 
-func platform(t faults.Trouble) strike {
+func platform(t faults.PlatformFaults) strike {
 	return func(r *run, _ Fault) func() {
 		calm := r.record.trouble(Host{Kind: Platform})
-		end := r.troubles.add(func(int) faults.Trouble { return t })
+		end := r.troubles.add(func(int) faults.PlatformFaults { return t })
 		return func() { end(); calm() }
 	}
 }
@@ -226,14 +226,14 @@
 const turnedFor = configBound + configOuter + 2*time.Second
 
 // turnAway makes the platform turn every other entry away while it serves the rest.
-func turnAway(t faults.Trouble) strike {
+func turnAway(t faults.PlatformFaults) strike {
 	return func(r *run, f Fault) func() {
 		calm := r.record.trouble(Host{Kind: Turned})
-		end := r.troubles.add(func(entry int) faults.Trouble {
+		end := r.troubles.add(func(entry int) faults.PlatformFaults {
 			if (entry+f.Host)%2 == 0 {
 				return t
 			}
-			return faults.Trouble{}
+			return faults.PlatformFaults{}
 		})
 		r.background.Go(func() {
 			r.sleep(turnedFor / 4)
@@ -370,7 +370,7 @@
 		calm := r.record.trouble(hosts...)
 		end := r.behaviors.add(func(h Host) faults.Behavior {
 			if !slices.Contains(hosts, h) || r.chance() > f.X {
-				return faults.Proper
+				return faults.Normal
 			}
 			return b
 		})
@@ -421,7 +421,7 @@
 		return nil
 	}
 	calm := r.record.trouble(h, Host{Kind: Platform})
-	end := r.troubles.add(func(int) faults.Trouble { return faults.Trouble{Silent: true} })
+	end := r.troubles.add(func(int) faults.PlatformFaults { return faults.PlatformFaults{Silent: true} })
 	r.background.Go(func() {
 		defer r.free(h)
 		r.site.ResetLinks(func(_, to Host) bool { return to == h })
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -35,7 +35,7 @@
 	began  time.Time
 
 	links     *overlay[func(from, to Host) faultproxy.Faults]
-	troubles  *overlay[func(entry int) faults.Trouble]
+	troubles  *overlay[func(entry int) faults.PlatformFaults]
 	behaviors *overlay[func(Host) faults.Behavior]
 
 	ctx        context.Context
@@ -62,17 +62,17 @@
 	r.links = newOverlay(func(parts []func(from, to Host) faultproxy.Faults) {
 		s.SetLinks(func(from, to Host) faultproxy.Faults { return joinFaults(parts, from, to) })
 	})
-	r.troubles = newOverlay(func(parts []func(entry int) faults.Trouble) {
-		s.SetPlatform(func(entry int) faults.Trouble { return joinTroubles(parts, entry) })
+	r.troubles = newOverlay(func(parts []func(entry int) faults.PlatformFaults) {
+		s.SetPlatform(func(entry int) faults.PlatformFaults { return joinTroubles(parts, entry) })
 	})
 	r.behaviors = newOverlay(func(parts []func(Host) faults.Behavior) {
 		s.SetBehavior(func(h Host) faults.Behavior {
 			for _, of := range parts {
-				if b := of(h); b != faults.Proper {
+				if b := of(h); b != faults.Normal {
 					return b
 				}
 			}
-			return faults.Proper
+			return faults.Normal
 		})
 	})
 	s.OnArrival(r.record.arrive)
@@ -94,16 +94,16 @@
 	return sum
 }
 
-func joinTroubles(parts []func(entry int) faults.Trouble, entry int) faults.Trouble {
-	var sum faults.Trouble
+func joinTroubles(parts []func(entry int) faults.PlatformFaults, entry int) faults.PlatformFaults {
+	var sum faults.PlatformFaults
 	for _, of := range parts {
 		t := of(entry)
 		sum.Silent = sum.Silent || t.Silent
 		sum.Busy = sum.Busy || t.Busy
 		sum.Reset = sum.Reset || t.Reset
 		sum.Delay += t.Delay
-		sum.Lost = max(sum.Lost, t.Lost)
-		sum.LostFor = max(sum.LostFor, t.LostFor)
+		sum.LateWrites = max(sum.LateWrites, t.LateWrites)
+		sum.LateWriteDelay = max(sum.LateWriteDelay, t.LateWriteDelay)
 	}
 	return sum
 }
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -133,7 +133,7 @@
 	ResetLinks(func(from, to Host) bool)
 	SilenceLinks(func(from, to Host) bool)
 	// SetPlatform replaces the troubles of entries with the platform.
-	SetPlatform(func(entry int) faults.Trouble)
+	SetPlatform(func(entry int) faults.PlatformFaults)
 	CompactPlatform()
 	// Configure writes a generation of the configuration.
 	Configure(generation int) error
