--- a/itest/histories/histories_test.go
+++ b/itest/histories/histories_test.go
@@ -189,7 +189,7 @@
 		e := w.endpoints[c.below(len(w.endpoints))]
 		switch c.below(14) {
 		case 0, 1:
-			e.proxy.SilenceExisting()
+			e.proxy.BlackholeExisting()
 		case 2:
 			e.proxy.Set(faultproxy.Faults{CutToClient: true})
 		case 3:
--- a/itest/keys_test.go
+++ b/itest/keys_test.go
@@ -55,7 +55,7 @@
 	if a, lost := <-failed; lost {
 		t.Fatalf("a request failed: %v %s", a.Err, a.Body)
 	}
-	c.Endpoints[0].Proxy.SilenceExisting()
+	c.Endpoints[0].Proxy.BlackholeExisting()
 	await(ctx, t, "new connections use the new keys", func() bool {
 		a := caller.chat(ctx, c.Entries[1], "m", 3, false)
 		return a.Outcome == outcome.Ran
--- a/itest/once_test.go
+++ b/itest/once_test.go
@@ -62,7 +62,7 @@
 		},
 		{
 			name:   "connections to the agent go silent",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) { plainEndpoint(c).Proxy.SilenceExisting() },
+			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) { plainEndpoint(c).Proxy.BlackholeExisting() },
 			want:   outcome.Ran,
 		},
 		{
@@ -111,7 +111,7 @@
 			name: "entry is killed and the connections of the other go silent",
 			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
 				c.Entries[0].Process.Kill()
-				plainEndpoint(c).Proxy.SilenceExisting()
+				plainEndpoint(c).Proxy.BlackholeExisting()
 			},
 			want: outcome.Ran,
 		},
--- a/itest/ranks_test.go
+++ b/itest/ranks_test.go
@@ -214,7 +214,7 @@
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 2, ranks.Faults{}))
 		}},
 		{"agent's link silent", nil, func(w *groupWorld) {
-			w.Endpoints[2].Proxy.SilenceExisting()
+			w.Endpoints[2].Proxy.BlackholeExisting()
 		}},
 		{"platform down, then an agent restarted", nil, func(w *groupWorld) {
 			assert.NilError(w.t, w.SetPlatformFaults(w.ctx, labplatform.Faults{Outage: labplatform.OutageHang}))
--- a/itest/stream_test.go
+++ b/itest/stream_test.go
@@ -188,7 +188,7 @@
 	}{
 		{"connections go silent", func() {
 			for _, e := range c.Endpoints {
-				e.Proxy.SilenceExisting()
+				e.Proxy.BlackholeExisting()
 			}
 		}},
 		{"packets are lost, doubled and reordered", func() { set(faultproxy.Faults{Loss: 0.05, Duplicate: 0.2, Reorder: 0.2}) }},
--- a/lab/faultproxy/tcp.go
+++ b/lab/faultproxy/tcp.go
@@ -61,11 +61,11 @@
 // Set replaces the faults.
 func (p *TCP) Set(f Faults) { p.state.set(f) }
 
-// SetFor replaces the faults by those of each client's address.
-func (p *TCP) SetFor(f func(source netip.Addr) Faults) { p.state.setFor(f) }
+// SetBySource replaces the faults by those of each client's address.
+func (p *TCP) SetBySource(f func(source netip.Addr) Faults) { p.state.setFor(f) }
 
-// ResetExisting resets the present connections of some clients.
-func (p *TCP) ResetExisting(of func(source netip.Addr) bool) {
+// ResetMatching resets the present connections of some clients.
+func (p *TCP) ResetMatching(of func(source netip.Addr) bool) {
 	for _, f := range p.present() {
 		if of(f.source) {
 			f.reset()
@@ -73,12 +73,12 @@
 	}
 }
 
-// SilenceExisting makes the present connections silent for good: they stay
+// BlackholeExisting makes the present connections silent for good: they stay
 // open, and what is sent on them is lost. New connections work.
-func (p *TCP) SilenceExisting() { p.SilenceSome(func(netip.Addr) bool { return true }) }
+func (p *TCP) BlackholeExisting() { p.BlackholeMatching(func(netip.Addr) bool { return true }) }
 
-// SilenceSome is SilenceExisting for the connections of some clients.
-func (p *TCP) SilenceSome(of func(source netip.Addr) bool) {
+// BlackholeMatching is BlackholeExisting for the connections of some clients.
+func (p *TCP) BlackholeMatching(of func(source netip.Addr) bool) {
 	for _, f := range p.present() {
 		if of(f.source) {
 			f.silence.Do(func() { close(f.silent) })
@@ -86,8 +86,8 @@
 	}
 }
 
-// CutExisting closes the present connections on both sides.
-func (p *TCP) CutExisting() {
+// CloseExisting closes the present connections on both sides.
+func (p *TCP) CloseExisting() {
 	for _, f := range p.present() {
 		f.close()
 	}
@@ -97,7 +97,7 @@
 func (p *TCP) Close() {
 	close(p.done)
 	_ = p.listener.Close()
-	p.CutExisting()
+	p.CloseExisting()
 	p.wg.Wait()
 }
 
--- a/lab/faultproxy/udp.go
+++ b/lab/faultproxy/udp.go
@@ -79,19 +79,19 @@
 // Set replaces the faults.
 func (p *UDP) Set(f Faults) { p.state.set(f) }
 
-// SetFor replaces the faults by those of each client's address.
-func (p *UDP) SetFor(f func(source netip.Addr) Faults) { p.state.setFor(f) }
+// SetBySource replaces the faults by those of each client's address.
+func (p *UDP) SetBySource(f func(source netip.Addr) Faults) { p.state.setFor(f) }
 
 // Traffic returns the packets and payload bytes delivered so far, both
 // directions together.
 func (p *UDP) Traffic() (packets, bytes uint64) { return p.packets.Load(), p.bytes.Load() }
 
-// SilenceExisting drops the packets of the present flows for good. A client
+// BlackholeExisting drops the packets of the present flows for good. A client
 // gets through again from another port.
-func (p *UDP) SilenceExisting() { p.SilenceSome(func(netip.Addr) bool { return true }) }
+func (p *UDP) BlackholeExisting() { p.BlackholeMatching(func(netip.Addr) bool { return true }) }
 
-// SilenceSome is SilenceExisting for the flows of some clients.
-func (p *UDP) SilenceSome(of func(source netip.Addr) bool) {
+// BlackholeMatching is BlackholeExisting for the flows of some clients.
+func (p *UDP) BlackholeMatching(of func(source netip.Addr) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, f := range p.flows {
--- a/lab/platform/silent_test.go
+++ b/lab/platform/silent_test.go
@@ -48,7 +48,7 @@
 	for name, call := range calls {
 		_, err = c.Get(ctx, kind, "a") // leaves an idle connection
 		assert.NilError(t, err)
-		proxy.SilenceExisting()
+		proxy.BlackholeExisting()
 		assert.NilError(t, call(), name)
 	}
 	assert.Equal(t, written.Version, uint64(2))
@@ -77,7 +77,7 @@
 		_, _, err = c.List(ctx, kind) // passes time by work
 		assert.NilError(t, err)
 	}
-	proxy.SilenceExisting()
+	proxy.BlackholeExisting()
 	_, err = p.Store().Put(ctx, object("a", "1"))
 	assert.NilError(t, err)
 	var unavailable *objectapi.UnavailableError
