--- a/itest/action_test.go
+++ b/itest/action_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestKeyMadeByCallerRunsOnce(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 1, Plains: 2})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 1, PlainEndpoints: 2})
 	caller := newClient()
 	key := newKey(t)
 	first := caller.plain(ctx, c.Entries[0], http.MethodPost, "/reservations", key, `{"id":"chest-7"}`)
@@ -31,7 +31,7 @@
 	assert.Equal(t, other.problem(t).Code, problem.PayloadMismatch)
 	assert.Equal(t, runs(ctx, t, c)[key], 1)
 
-	c.Entries[0].Platform.Set(cutBoth)
+	c.Entries[0].PlatformProxy.Set(cutBoth)
 	refused := caller.plain(ctx, c.Entries[0], http.MethodPost, "/reservations", newKey(t), `{"id":"chest-9"}`)
 	assert.Equal(t, refused.Outcome, outcome.NotRun)
 	assert.Equal(t, refused.problem(t).Code, problem.PlatformUnavailable)
--- a/itest/config_test.go
+++ b/itest/config_test.go
@@ -57,14 +57,14 @@
 // answer to a write, restarts an entry during an outage and lets the platform
 // show older versions.
 func TestAcceptedConfigurationIsInForceAndStays(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 3, Models: 1, Zones: []id.Zone{"lima-a", "lima-a", "lima-b"}})
+	ctx, c := cluster(t, procs.Options{Entries: 3, ModelEndpoints: 1, Zones: []id.Zone{"lima-a", "lima-a", "lima-b"}})
 
 	seen := teamsVersion(ctx, t, c)
 	const operators = 4
 	results := make([]error, operators)
 	var wg sync.WaitGroup
 	for i := range operators {
-		wg.Go(func() { results[i] = c.Accept(ctx, config.KindTeams, teams(fmt.Sprintf("race-%d", i)), seen) })
+		wg.Go(func() { results[i] = c.WriteConfig(ctx, config.KindTeams, teams(fmt.Sprintf("race-%d", i)), seen) })
 	}
 	wg.Wait()
 	winner := -1
@@ -87,21 +87,21 @@
 	}
 
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{LoseAnswers: 1}))
-	assert.NilError(t, c.Accept(ctx, config.KindTeams, teams("answer-lost"), teamsVersion(ctx, t, c)))
+	assert.NilError(t, c.WriteConfig(ctx, config.KindTeams, teams("answer-lost"), teamsVersion(ctx, t, c)))
 	inForce(ctx, t, c, "answer-lost", last)
 
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{Outage: platform.OutageRefuse}))
-	err := c.Accept(ctx, config.KindTeams, teams("in-outage"), teamsVersionIgnored)
+	err := c.WriteConfig(ctx, config.KindTeams, teams("in-outage"), teamsVersionIgnored)
 	assert.Assert(t, err != nil, "a change was accepted without the platform")
 	c.Entries[0].Process.Kill()
 	assert.NilError(t, c.RestartEntry(ctx, c.Entries[0]))
-	assert.NilError(t, procs.AwaitReady(ctx, c.Entries[0].Operators))
+	assert.NilError(t, procs.AwaitReady(ctx, c.Entries[0].OperatorURL))
 	inForce(ctx, t, c, "answer-lost", "in-outage")
 
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{StaleVersions: 2}))
 	c.Entries[1].Process.Kill()
 	assert.NilError(t, c.RestartEntry(ctx, c.Entries[1]))
-	assert.NilError(t, procs.AwaitReady(ctx, c.Entries[1].Operators))
+	assert.NilError(t, procs.AwaitReady(ctx, c.Entries[1].OperatorURL))
 	inForce(ctx, t, c, "answer-lost", last)
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{}))
 	inForce(ctx, t, c, "answer-lost", last)
--- a/itest/keys_test.go
+++ b/itest/keys_test.go
@@ -18,7 +18,7 @@
 // TestKeysRotateUnderLoad replaces the authority of a running fleet in three
 // steps while requests are sent, then lets all connections be made anew.
 func TestKeysRotateUnderLoad(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 1, KeyDir: t.TempDir(), EngineArgs: []string{"--step-time=1ms"}})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 1, KeyDir: t.TempDir(), EngineArgs: []string{"--step-time=1ms"}})
 	caller := newClient()
 	stop, failed := make(chan struct{}), make(chan answer, 1)
 	go func() {
@@ -43,12 +43,12 @@
 		func() error { return c.WriteKeys(next, next) },
 	} {
 		assert.NilError(t, write())
-		assert.NilError(t, c.Reload(ctx, "keys.reloaded", step+1))
+		assert.NilError(t, c.ReloadKeys(ctx, "keys.reloaded", step+1))
 	}
 	// A broken file changes nothing.
 	file := filepath.Join(c.KeyDir(), "entry-entry-0.key")
 	assert.NilError(t, os.WriteFile(file, []byte("-----BEGIN broken"), 0o600))
-	c.Entries[0].Reload()
+	c.Entries[0].ReloadKeys()
 	assert.NilError(t, c.Entries[0].Process.AwaitEvents(ctx, "keys.reload_failed", 1))
 
 	close(stop)
@@ -67,20 +67,20 @@
 // TestFormerKeysAreRefused starts an entry with keys of an authority that the
 // rest of the fleet does not trust any more.
 func TestFormerKeysAreRefused(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 1, KeyDir: t.TempDir(), NoProxy: true})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 1, KeyDir: t.TempDir(), NoProxy: true})
 	caller := newClient()
 	next, err := keys.NewAuthority(time.Hour)
 	assert.NilError(t, err)
 	former := c.Entries[0]
 	former.Process.Kill()
 	assert.NilError(t, c.WriteKeys(next, next))
-	c.Entries[1].Reload()
+	c.Entries[1].ReloadKeys()
 	assert.NilError(t, c.Entries[1].Process.AwaitEvents(ctx, "keys.reloaded", 1))
-	c.Endpoints[0].Reload()
+	c.Endpoints[0].ReloadKeys()
 	assert.NilError(t, c.Endpoints[0].Agent.AwaitEvents(ctx, "keys.reloaded", 1))
 	assert.NilError(t, c.WriteKeys(c.Authority(), c.Authority(), next))
 	assert.NilError(t, c.RestartEntry(ctx, former))
-	assert.NilError(t, procs.AwaitReady(ctx, former.Operators))
+	assert.NilError(t, procs.AwaitReady(ctx, former.OperatorURL))
 	assert.Equal(t, caller.chat(ctx, former, "m", 3, false).Outcome, outcome.NotRun)
 	assert.Equal(t, caller.chat(ctx, c.Entries[1], "m", 3, false).Outcome, outcome.Ran)
 }
--- a/itest/leaving_test.go
+++ b/itest/leaving_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	var waiting errgroup.Group
 	for _, e := range l.cluster.Entries {
-		waiting.Go(func() error { return e.Process.AwaitEventOf(ctx, event, field, value) })
+		waiting.Go(func() error { return e.Process.AwaitEventField(ctx, event, field, value) })
 	}
 	done := make(chan error, 1)
 	go func() { done <- waiting.Wait() }()
@@ -108,7 +108,7 @@
 // configuration, by the host list, frozen, and by a signal while the platform
 // is down. The back ends' counters are the witness.
 func TestLeavingEndpointsGetNoNewWork(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Plains: 5})
+	ctx, c := cluster(t, procs.Options{Entries: 2, PlainEndpoints: 5})
 	l := &leaving{cluster: c, caller: newClient(), told: map[string]outcome.Outcome{}}
 
 	var endpoints config.EndpointSet
@@ -118,7 +118,7 @@
 	endpoints.Endpoints[0].Drain = true
 	seen, err := c.Store.Get(ctx, config.ObjectKind, string(config.KindEndpoints))
 	assert.NilError(t, err)
-	assert.NilError(t, c.Accept(ctx, config.KindEndpoints, endpoints, seen.Version))
+	assert.NilError(t, c.WriteConfig(ctx, config.KindEndpoints, endpoints, seen.Version))
 	_, err = c.Endpoints[0].Agent.AwaitEvent(ctx, "agent.draining")
 	assert.NilError(t, err)
 	drained := l.runsAt(ctx, t, c.Endpoints[0])
@@ -131,7 +131,7 @@
 	l.known(ctx, t, "host.leaving", "message", string(c.Endpoints[1].Config.Host))
 	l.quiet(ctx, t, c.Endpoints[1], "endpoint on a leaving host")
 
-	c.Endpoints[2].Agent.Freeze()
+	c.Endpoints[2].Agent.Suspend()
 	l.known(ctx, t, "endpoint.disconnected", "endpoint", string(c.Endpoints[2].Config.Name))
 	l.quiet(ctx, t, c.Endpoints[2], "frozen endpoint")
 
--- a/itest/limits_test.go
+++ b/itest/limits_test.go
@@ -33,11 +33,11 @@
 	)
 	work := float64(prefixhash.Words("user: "+prompt("m")) + limitedAnswer)
 	ctx, c := cluster(t, procs.Options{
-		Entries: 2, Models: 2, EngineArgs: []string{"--step-time=1ms"},
+		Entries: 2, ModelEndpoints: 2, EngineArgs: []string{"--step-time=1ms"},
 		EntryArgs: []string{"--limit-zones=1", "--limit-entries-per-zone=2"},
 	})
 	team := config.Team{Name: procs.Team, KeyHashes: []string{config.HashKey(procs.TeamKey)}, TokensPerSecond: limit}
-	assert.NilError(t, c.Accept(ctx, config.KindTeams, config.TeamSet{Teams: []config.Team{team}}, 1))
+	assert.NilError(t, c.WriteConfig(ctx, config.KindTeams, config.TeamSet{Teams: []config.Team{team}}, 1))
 	for _, e := range c.Entries {
 		assert.NilError(t, send(ctx, e, func(u usage) bool { return u.refused > 0 }, &usage{}))
 	}
@@ -90,7 +90,7 @@
 
 func metricsOf(ctx context.Context, t *testing.T, e *procs.Entry) string {
 	t.Helper()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.Operators+"/metrics", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.OperatorURL+"/metrics", nil)
 	assert.NilError(t, err)
 	response, err := http.DefaultClient.Do(request)
 	assert.NilError(t, err)
--- a/itest/once_test.go
+++ b/itest/once_test.go
@@ -57,7 +57,7 @@
 		},
 		{
 			name:   "entry is frozen",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) { c.Entries[0].Process.Freeze() },
+			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) { c.Entries[0].Process.Suspend() },
 			want:   outcome.Ran,
 		},
 		{
@@ -85,9 +85,9 @@
 		{
 			name: "agent is frozen, then thawed",
 			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
-				plainEndpoint(c).Agent.Freeze()
+				plainEndpoint(c).Agent.Suspend()
 			},
-			heal: func(_ context.Context, _ *testing.T, c *procs.Cluster) { plainEndpoint(c).Agent.Thaw() },
+			heal: func(_ context.Context, _ *testing.T, c *procs.Cluster) { plainEndpoint(c).Agent.Resume() },
 			want: outcome.Ran,
 		},
 		{
@@ -102,7 +102,7 @@
 			name: "platform is cut off",
 			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
 				for _, e := range c.Entries {
-					e.Platform.Set(cutBoth)
+					e.PlatformProxy.Set(cutBoth)
 				}
 			},
 			want: outcome.Ran,
@@ -134,7 +134,7 @@
 func TestActionRunsAtMostOnce(t *testing.T) {
 	for _, tc := range actionFaults() {
 		t.Run(tc.name, func(t *testing.T) {
-			ctx, c := cluster(t, procs.Options{Entries: 2, Models: 1, Plains: 1, PlainArgs: []string{"--delay=500ms"}})
+			ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 1, PlainEndpoints: 1, PlainArgs: []string{"--delay=500ms"}})
 			caller := newClient()
 			key := caller.ticket(ctx, t, c.Entries[0])
 			body := `{"id":"chest-7"}`
@@ -149,7 +149,7 @@
 			if tc.want == outcome.Ran {
 				assert.Equal(t, last.Status, http.StatusCreated, "%s", last.Body)
 			}
-			c.Entries[0].Process.Thaw()
+			c.Entries[0].Process.Resume()
 			if a := <-first; a.Err == nil {
 				assert.Assert(t, a.Outcome != outcome.NotRun, "it ran: %s", a.Body)
 			}
--- a/itest/operate_test.go
+++ b/itest/operate_test.go
@@ -19,7 +19,7 @@
 // operate runs the operators' program and checks its exit code.
 func operate(ctx context.Context, t *testing.T, c *procs.Cluster, e *procs.Entry, want int, args ...string) string {
 	t.Helper()
-	r, err := c.Operate(ctx, e, "", args...)
+	r, err := c.RunOperator(ctx, e, "", args...)
 	assert.NilError(t, err)
 	assert.Equal(t, r.Code, want, "%v\n%s%s", args, r.Stdout, r.Stderr)
 	return r.Stdout + r.Stderr
@@ -38,7 +38,7 @@
 }
 
 func TestOperatorAsksAndChanges(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 1})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 2, PlainEndpoints: 1})
 	first, second := c.Entries[0], c.Entries[1]
 	await(ctx, t, "both entries answer", func() bool {
 		out := operate(ctx, t, c, first, process.ExitOK, "query", "configurations show kind")
@@ -65,19 +65,19 @@
 		out := operate(ctx, t, c, first, process.ExitOK, "query", kind)
 		assert.Assert(t, strings.Contains(out, "from entry-0"), out)
 	}
-	second.Process.Freeze()
+	second.Process.Suspend()
 	out := operate(ctx, t, c, first, process.ExitIncomplete, "query", "--all", "hosts")
 	assert.Assert(t, strings.Contains(out, "no answer from entry-1"), out)
 }
 
 func TestFileOfCommandsIsAcceptedWholeOrNot(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 1, Models: 2, Plains: 1})
-	r, err := c.Operate(ctx, c.Entries[0], "drain endpoint asistente-0\nset endpoint asistente-1 weight 200\ndrain endpoint nobody\n", "query")
+	ctx, c := cluster(t, procs.Options{Entries: 1, ModelEndpoints: 2, PlainEndpoints: 1})
+	r, err := c.RunOperator(ctx, c.Entries[0], "drain endpoint asistente-0\nset endpoint asistente-1 weight 200\ndrain endpoint nobody\n", "query")
 	assert.NilError(t, err)
 	assert.Equal(t, r.Code, process.ExitUsage)
 	assert.Assert(t, strings.Contains(r.Stderr, "line 2, column 26: weight: 200 is outside 0 to 100"), r.Stderr)
 	assert.Assert(t, strings.Contains(r.Stderr, `line 3, column 16: endpoint "nobody" does not exist`), r.Stderr)
-	r, err = c.Operate(ctx, c.Entries[0], "drain endpoint asistente-0\ndelete service mostrador\n", "query", "--file=-")
+	r, err = c.RunOperator(ctx, c.Entries[0], "drain endpoint asistente-0\ndelete service mostrador\n", "query", "--file=-")
 	assert.NilError(t, err)
 	assert.Equal(t, r.Code, process.ExitUsage, r.Stderr)
 	deleted := operate(ctx, t, c, c.Entries[0], process.ExitUsage, "query", "delete service mostrador")
@@ -85,15 +85,15 @@
 	o, err := c.Store.Get(ctx, config.ObjectKind, string(config.KindEndpoints))
 	assert.NilError(t, err)
 	assert.Equal(t, o.Version, uint64(1))
-	c.Entries[0].Platform.Set(cutBoth)
+	c.Entries[0].PlatformProxy.Set(cutBoth)
 	out := operate(ctx, t, c, c.Entries[0], process.ExitFailure, "query", "drain endpoint asistente-0")
 	assert.Assert(t, strings.Contains(out, "nothing was changed"), out)
 }
 
 func TestOperatorsNeedTheirKey(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 1, Models: 1})
+	ctx, c := cluster(t, procs.Options{Entries: 1, ModelEndpoints: 1})
 	for _, key := range []string{"", "Bearer ", "Bearer " + procs.TeamKey, "Basic " + procs.OperatorKey} {
-		request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.Entries[0].Operators+"/v1/query", bytes.NewReader([]byte(`{"script":"teams"}`)))
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.Entries[0].OperatorURL+"/v1/query", bytes.NewReader([]byte(`{"script":"teams"}`)))
 		assert.NilError(t, err)
 		request.Header.Set("Authorization", key)
 		response, err := http.DefaultClient.Do(request)
--- a/itest/pages_test.go
+++ b/itest/pages_test.go
@@ -96,7 +96,7 @@
 
 // TestOperationsPage runs the commands of the operators' page.
 func TestOperationsPage(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 2, EngineArgs: []string{"--step-time=1ms"}})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 2, PlainEndpoints: 2, EngineArgs: []string{"--step-time=1ms"}})
 	ctx, cancel := context.WithTimeout(ctx, testTimeout/2)
 	defer cancel()
 	for _, e := range c.Endpoints {
--- a/itest/path_test.go
+++ b/itest/path_test.go
@@ -73,7 +73,7 @@
 }
 
 func TestWholePath(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 1, EngineArgs: []string{"--step-time=1ms"}})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 2, PlainEndpoints: 1, EngineArgs: []string{"--step-time=1ms"}})
 	caller := newClient()
 	for i, e := range c.Entries {
 		mark := fmt.Sprintf("m%d", i)
@@ -117,7 +117,7 @@
 }
 
 func TestBadInputIsNamed(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 1, Models: 1, Plains: 1})
+	ctx, c := cluster(t, procs.Options{Entries: 1, ModelEndpoints: 1, PlainEndpoints: 1})
 	caller := newClient()
 	e := c.Entries[0]
 	big := make([]byte, 2<<20)
--- a/itest/ranks_measure_test.go
+++ b/itest/ranks_measure_test.go
@@ -23,7 +23,7 @@
 func (w *groupWorld) traffic(name string) float64 {
 	var sum float64
 	for _, e := range w.Entries {
-		response, err := http.Get(e.Operators + "/metrics")
+		response, err := http.Get(e.OperatorURL + "/metrics")
 		assert.NilError(w.t, err)
 		text, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
--- a/itest/ranks_test.go
+++ b/itest/ranks_test.go
@@ -41,7 +41,7 @@
 func startGroupWorld(t *testing.T, engineArgs []string, entryArgs ...string) *groupWorld {
 	t.Helper()
 	ctx, c := cluster(t, procs.Options{
-		Entries: 2, Models: 3,
+		Entries: 2, ModelEndpoints: 3,
 		Ranks: &procs.RankOptions{
 			Experts: config.Experts{Ranks: 6, Layers: 2, PerLayer: 12, SlotsPerRank: 3},
 			Args:    append([]string{"--step-time=3ms"}, engineArgs...),
@@ -92,7 +92,7 @@
 func (w *groupWorld) gauge(e *procs.Entry, name string) string {
 	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.Operators+"/metrics", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.OperatorURL+"/metrics", nil)
 	assert.NilError(w.t, err)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -165,27 +165,27 @@
 		{"coordinator paused past its lease, engines ignore fencing", nil, func(w *groupWorld) {
 			e := w.inChange()
 			before := w.summary().MapVersion
-			e.Process.Freeze()
+			e.Process.Suspend()
 			w.awaitTakeover(before)
-			e.Process.Thaw()
+			e.Process.Resume()
 			w.awaitChange()
 			assert.Assert(w.t, w.coordinator() != e)
 		}},
 		{"coordinator paused past its lease, engines check fencing", []string{"--fencing"}, func(w *groupWorld) {
 			e := w.inChange()
 			before := w.summary().MapVersion
-			e.Process.Freeze()
+			e.Process.Suspend()
 			w.awaitTakeover(before)
-			e.Process.Thaw()
+			e.Process.Resume()
 		}},
 		{"agent frozen", nil, func(w *groupWorld) {
 			agent := w.Endpoints[1].Agent
-			agent.Freeze()
+			agent.Suspend()
 			w.until("two silent ranks", func() bool {
 				e := w.coordinator()
 				return w.gauge(e, "siskinford_group_silent_ranks") == "2"
 			})
-			agent.Thaw()
+			agent.Resume()
 		}},
 		{"agent restarted in a change", nil, func(w *groupWorld) {
 			formation := w.summary().Formation
@@ -253,7 +253,7 @@
 	w := newGroupWorld(t)
 	e := w.coordinator()
 	before := w.summary().MapVersion
-	e.Platform.Set(cutBoth)
+	e.PlatformProxy.Set(cutBoth)
 	w.awaitTakeover(before)
 	assert.Assert(t, w.coordinator() != e)
 }
--- a/itest/shutdown_test.go
+++ b/itest/shutdown_test.go
@@ -31,7 +31,7 @@
 // action run at both.
 func TestShutdownCutsOffNothing(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{
-		Entries: 2, Models: 2, Plains: 1, EngineArgs: []string{"--step-time=10ms"}, PlainArgs: []string{"--delay=1s"},
+		Entries: 2, ModelEndpoints: 2, PlainEndpoints: 1, EngineArgs: []string{"--step-time=10ms"}, PlainArgs: []string{"--delay=1s"},
 	})
 	caller := newClient()
 	key := caller.ticket(ctx, t, c.Entries[0])
@@ -70,7 +70,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ctx, c := cluster(t, procs.Options{
-				Entries: 1, Models: 1, Plains: 1, EngineArgs: []string{"--step-time=30ms"}, PlainArgs: []string{"--delay=30s"},
+				Entries: 1, ModelEndpoints: 1, PlainEndpoints: 1, EngineArgs: []string{"--step-time=30ms"}, PlainArgs: []string{"--delay=30s"},
 			})
 			key, reserved := runningAction(ctx, t, c)
 			running := streams(ctx, c, "cut", 4)
--- a/itest/stream_test.go
+++ b/itest/stream_test.go
@@ -176,7 +176,7 @@
 // connection is replaced and the rest of the answer taken from the running
 // attempt; an engine or entry that dies breaks its streams visibly.
 func TestStreamsAreWholeOrVisiblyBroken(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 1, EngineArgs: []string{"--step-time=10ms"}})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 2, PlainEndpoints: 1, EngineArgs: []string{"--step-time=10ms"}})
 	set := func(f faultproxy.Faults) {
 		for _, e := range c.Endpoints {
 			e.Proxy.Set(f)
--- a/itest/timeline_test.go
+++ b/itest/timeline_test.go
@@ -18,7 +18,7 @@
 
 func TestTimelineOfOneRequestOverZones(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{
-		Zones: []id.Zone{"lima-a", "lima-b"}, Entries: 2, Models: 1, Plains: 2,
+		Zones: []id.Zone{"lima-a", "lima-b"}, Entries: 2, ModelEndpoints: 1, PlainEndpoints: 2,
 		EngineArgs: []string{"--step-time=1ms"}, EntryArgs: []string{"--debug"}, AgentArgs: []string{"--debug"},
 	})
 	caller := newClient()
@@ -61,7 +61,7 @@
 
 func TestSecretsAreNotShown(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{
-		Entries: 1, Models: 1, Plains: 1, EntryArgs: []string{"--debug"}, AgentArgs: []string{"--debug"},
+		Entries: 1, ModelEndpoints: 1, PlainEndpoints: 1, EntryArgs: []string{"--debug"}, AgentArgs: []string{"--debug"},
 	})
 	caller := newClient()
 	e := c.Entries[0]
@@ -84,7 +84,7 @@
 		printed += p.Output()
 	}
 	for _, path := range []string{"/metrics", "/readyz"} {
-		printed += string(caller.do(ctx, http.MethodGet, e.Operators+path, "", "").Body)
+		printed += string(caller.do(ctx, http.MethodGet, e.OperatorURL+path, "", "").Body)
 	}
 	assert.Assert(t, strings.Contains(printed, "attempt.started"), "the debug log was read")
 	for _, secret := range secrets {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -35,7 +35,7 @@
 // runVariant starts a fleet, sends the schedule and summarizes.
 func runVariant(ctx context.Context, b procs.Binaries, s Scenario, v Variant, seed uint64) (Result, error) {
 	c, err := procs.NewCluster(ctx, procs.Options{
-		Binaries: b, Zones: zones, Entries: entries, Models: s.Models, NoProxy: true, Teams: s.Shape.Teams,
+		Binaries: b, Zones: zones, Entries: entries, ModelEndpoints: s.Models, NoProxy: true, Teams: s.Shape.Teams,
 		Services: []config.Service{{
 			Name: procs.ModelService, Type: config.ServiceTypeModel, Model: procs.Model,
 			DeadlineMS: int(deadline.Milliseconds()), Idempotent: true,
--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -91,7 +91,7 @@
 		return r, err
 	}
 	cluster, err := procs.NewCluster(ctx, procs.Options{
-		Binaries: binaries, Entries: c.entries, Models: c.endpoints, NoProxy: true,
+		Binaries: binaries, Entries: c.entries, ModelEndpoints: c.endpoints, NoProxy: true,
 	})
 	if err != nil {
 		return r, err
@@ -148,7 +148,7 @@
 	if r.agt, err = cluster.Endpoints[0].Agent.CPU(); err != nil {
 		return r, err
 	}
-	r.metrics, err = scrape(ctx, cluster.Entries[0].Operators+"/metrics")
+	r.metrics, err = scrape(ctx, cluster.Entries[0].OperatorURL+"/metrics")
 	return r, err
 }
 
--- a/lab/measure/path.go
+++ b/lab/measure/path.go
@@ -152,7 +152,7 @@
 
 func (c *Path) open(ctx context.Context, b procs.Binaries, step time.Duration) (*ways, error) {
 	cluster, err := procs.NewCluster(ctx, procs.Options{
-		Binaries: b, Entries: 1, Models: 1, NoProxy: true,
+		Binaries: b, Entries: 1, ModelEndpoints: 1, NoProxy: true,
 		EngineArgs: []string{"--step-time=" + step.String(), fmt.Sprintf("--slots=%d", c.concurrency)},
 		AgentArgs:  []string{fmt.Sprintf("--slots=%d", c.concurrency)},
 	})
--- a/lab/measure/profile.go
+++ b/lab/measure/profile.go
@@ -20,8 +20,8 @@
 	}
 	seconds := max(int(c.duration.Seconds())-1, 1)
 	for name, operators := range map[string]string{
-		"entry": cluster.Entries[0].Operators,
-		"agent": cluster.Endpoints[0].Operators,
+		"entry": cluster.Entries[0].OperatorURL,
+		"agent": cluster.Endpoints[0].OperatorURL,
 	} {
 		url := fmt.Sprintf("%s/debug/pprof/profile?seconds=%d", operators, seconds)
 		wg.Go(func() {
--- a/lab/procs/build.go
+++ b/lab/procs/build.go
@@ -7,15 +7,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// modulePath is the path of the module with the programs.
+// modulePath is the import path of the module that holds the programs.
 const modulePath = "github.com/siskinford/siskinford/cmd/"
 
 // Binaries are the paths of the built programs.
 type Binaries struct {
 	Entry, Agent, Operator, Lab string
-	// Direct is the entry whose endpoints are reached directly, and Relay runs
+	// Platform is the entry whose endpoints are reached directly, and Relay runs
 	// beside such endpoints.
-	Direct, Relay string
+	Platform, Relay string
 }
 
 // Build builds the programs into dir. It must be called below the workspace.
@@ -34,7 +34,7 @@
 		Agent:    filepath.Join(dir, "siskinford-agent"),
 		Operator: filepath.Join(dir, "siskinford"),
 		Lab:      filepath.Join(dir, "siskinford-lab"),
-		Direct:   filepath.Join(dir, "siskinford-platform"),
+		Platform: filepath.Join(dir, "siskinford-platform"),
 		Relay:    filepath.Join(dir, "siskinford-relay"),
 	}, nil
 }
--- a/lab/procs/cluster.go
+++ b/lab/procs/cluster.go
@@ -35,8 +35,8 @@
 	Entries int
 	// Teams is the number of teams. Default: 1.
 	Teams int
-	// Models and Plains are the numbers of endpoints of each service.
-	Models, Plains int
+	// ModelEndpoints and PlainEndpoints are the numbers of endpoints of each service.
+	ModelEndpoints, PlainEndpoints int
 	// NoProxy lets entries reach agents directly.
 	NoProxy bool
 	// Services overrides the settings of the two services. Default: see defaultServices.
@@ -56,21 +56,21 @@
 	Backend    *Process
 	BackendURL string
 	Proxy      *faultproxy.UDP
-	// Operators is the base URL of the agent's operator address.
-	Operators string
+	// OperatorURL is the base URL of the agent's operator address.
+	OperatorURL string
 
 	args, env []string
 }
 
 // Entry is an entry process. It reaches the platform through Platform.
 type Entry struct {
-	Host      id.Host
-	Zone      id.Zone
-	Process   *Process
-	Platform  *faultproxy.TCP
-	URL       string
-	Operators string
-	Peers     string
+	Host          id.Host
+	Zone          id.Zone
+	Process       *Process
+	PlatformProxy *faultproxy.TCP
+	URL           string
+	OperatorURL   string
+	PeerAddress   string
 
 	args, env []string
 }
@@ -128,12 +128,12 @@
 	if err := c.startRanks(ctx); err != nil {
 		return err
 	}
-	for i := range c.options.Models {
+	for i := range c.options.ModelEndpoints {
 		if err := c.addEndpoint(ctx, ModelService, i); err != nil {
 			return err
 		}
 	}
-	for i := range c.options.Plains {
+	for i := range c.options.PlainEndpoints {
 		if err := c.addEndpoint(ctx, PlainService, i); err != nil {
 			return err
 		}
@@ -150,7 +150,7 @@
 		return err
 	}
 	for _, e := range c.Entries {
-		if err := AwaitReady(ctx, e.Operators); err != nil {
+		if err := AwaitReady(ctx, e.OperatorURL); err != nil {
 			return err
 		}
 	}
@@ -218,8 +218,8 @@
 		return "", err
 	}
 	operators, err := p.AwaitEvent(ctx, "agent.operators")
-	e.Operators = "http://" + operators.Text("message")
-	return event.Text("message"), err
+	e.OperatorURL = "http://" + operators.Field("message")
+	return event.Field("message"), err
 }
 
 // RestartAgent starts the agent of an endpoint again at the same address. The
@@ -238,13 +238,13 @@
 	for i := range max(c.options.Teams, 1) {
 		teams.Teams = append(teams.Teams, config.Team{Name: teamName(i), KeyHashes: []string{config.HashKey(c.TeamKey(i))}})
 	}
-	if err := c.Accept(ctx, config.KindServices, config.ServiceSet{Services: c.options.Services}, 0); err != nil {
+	if err := c.WriteConfig(ctx, config.KindServices, config.ServiceSet{Services: c.options.Services}, 0); err != nil {
 		return err
 	}
-	if err := c.Accept(ctx, config.KindTeams, teams, 0); err != nil {
+	if err := c.WriteConfig(ctx, config.KindTeams, teams, 0); err != nil {
 		return err
 	}
-	return c.Accept(ctx, config.KindEndpoints, endpoints, 0)
+	return c.WriteConfig(ctx, config.KindEndpoints, endpoints, 0)
 }
 
 func teamName(i int) id.Team {
@@ -262,8 +262,8 @@
 	return fmt.Sprintf("%s-%d", TeamKey, i)
 }
 
-// Accept writes a configuration against the version that was seen.
-func (c *Cluster) Accept(ctx context.Context, kind config.Kind, value any, seen uint64) error {
+// WriteConfig writes a configuration against the version that was seen.
+func (c *Cluster) WriteConfig(ctx context.Context, kind config.Kind, value any, seen uint64) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return errors.Wrapf(err, "encode configuration %q", kind)
@@ -277,7 +277,7 @@
 func (c *Cluster) addEntry(ctx context.Context, i int) error {
 	e := &Entry{Host: id.Host(fmt.Sprintf("entry-%d", i)), Zone: c.options.Zones[i%len(c.options.Zones)]}
 	var err error
-	if e.Platform, err = faultproxy.NewTCP(c.PlatformURL[len("http://"):], uint64(i)+1); err != nil {
+	if e.PlatformProxy, err = faultproxy.NewTCP(c.PlatformURL[len("http://"):], uint64(i)+1); err != nil {
 		return err
 	}
 	c.Entries = append(c.Entries, e)
@@ -285,7 +285,7 @@
 		return err
 	}
 	e.args = append([]string{
-		"--host=" + string(e.Host), "--zone=" + string(e.Zone), "--platform-url=http://" + e.Platform.Addr(),
+		"--host=" + string(e.Host), "--zone=" + string(e.Zone), "--platform-url=http://" + e.PlatformProxy.Addr(),
 		"--peer-listen=127.0.0.1:0", operatorArg(),
 	}, c.options.EntryArgs...)
 	if err := c.startEntry(ctx, e, "127.0.0.1:0", "127.0.0.1:0"); err != nil {
@@ -306,7 +306,7 @@
 		list.Hosts = append(list.Hosts, h)
 	}
 	for _, e := range c.Entries {
-		add(objectapi.Host{Name: e.Host, Zone: e.Zone, Address: e.Peers, Role: string(keys.RoleEntry)})
+		add(objectapi.Host{Name: e.Host, Zone: e.Zone, Address: e.PeerAddress, Role: string(keys.RoleEntry)})
 	}
 	for _, e := range c.Endpoints {
 		add(objectapi.Host{Name: e.Config.Host, Zone: e.Config.Zone, Role: string(keys.RoleAgent)})
@@ -341,8 +341,8 @@
 
 func (c *Cluster) startEntry(ctx context.Context, e *Entry, callers, operators string) error {
 	args := append([]string{"--caller-listen=" + callers, "--operator-listen=" + operators}, e.args...)
-	if e.Peers != "" {
-		args = append(args, "--peer-listen="+e.Peers)
+	if e.PeerAddress != "" {
+		args = append(args, "--peer-listen="+e.PeerAddress)
 	}
 	p, err := Start(string(e.Host), c.options.Binaries.Entry, args, e.env)
 	if err != nil {
@@ -353,16 +353,16 @@
 	if err != nil {
 		return err
 	}
-	e.URL = "http://" + event.Text("callers")
-	e.Operators = "http://" + event.Text("operators")
-	e.Peers = event.Text("peers")
+	e.URL = "http://" + event.Field("callers")
+	e.OperatorURL = "http://" + event.Field("operators")
+	e.PeerAddress = event.Field("peers")
 	return nil
 }
 
 // RestartEntry starts an entry again at the same addresses. The former process
 // must have ended.
 func (c *Cluster) RestartEntry(ctx context.Context, e *Entry) error {
-	return c.startEntry(ctx, e, e.URL[len("http://"):], e.Operators[len("http://"):])
+	return c.startEntry(ctx, e, e.URL[len("http://"):], e.OperatorURL[len("http://"):])
 }
 
 // readyInterval is the time between questions for readiness.
@@ -394,7 +394,7 @@
 func (c *Cluster) Close() {
 	for _, e := range c.Entries {
 		kill(e.Process)
-		e.Platform.Close()
+		e.PlatformProxy.Close()
 	}
 	for _, e := range c.Endpoints {
 		kill(e.Agent)
@@ -414,7 +414,7 @@
 
 func kill(p *Process) {
 	if p != nil {
-		p.Thaw()
+		p.Resume()
 		p.Kill()
 	}
 }
--- a/lab/procs/keys.go
+++ b/lab/procs/keys.go
@@ -81,9 +81,9 @@
 // Authority returns the authority that issued the first keys.
 func (c *Cluster) Authority() *keys.Authority { return c.authority }
 
-// Reload tells all processes to read their keys again and waits until each has
+// ReloadKeys tells all processes to read their keys again and waits until each has
 // logged the given event count times.
-func (c *Cluster) Reload(ctx context.Context, event string, count int) error {
+func (c *Cluster) ReloadKeys(ctx context.Context, event string, count int) error {
 	var all []*Process
 	for _, e := range c.Entries {
 		all = append(all, e.Process)
@@ -105,8 +105,8 @@
 // KeyDir returns the directory with the key material.
 func (c *Cluster) KeyDir() string { return c.options.KeyDir }
 
-// Reload tells the entry to read its keys again.
-func (e *Entry) Reload() { e.Process.Signal(syscall.SIGHUP) }
+// ReloadKeys tells the entry to read its keys again.
+func (e *Entry) ReloadKeys() { e.Process.Signal(syscall.SIGHUP) }
 
-// Reload tells the agent to read its keys again.
-func (e *Endpoint) Reload() { e.Agent.Signal(syscall.SIGHUP) }
+// ReloadKeys tells the agent to read its keys again.
+func (e *Endpoint) ReloadKeys() { e.Agent.Signal(syscall.SIGHUP) }
--- a/lab/procs/operator.go
+++ b/lab/procs/operator.go
@@ -33,13 +33,13 @@
 // OperatorEnv is the environment in which the operators' program reaches an entry.
 func (c *Cluster) OperatorEnv(e *Entry) []string {
 	return []string{
-		settings.EnvName("entry") + "=" + e.Operators,
+		settings.EnvName("entry") + "=" + e.OperatorURL,
 		settings.EnvName("operator-key") + "=" + OperatorKey,
 	}
 }
 
-// Operate runs the operators' program against an entry and waits for its end.
-func (c *Cluster) Operate(ctx context.Context, e *Entry, stdin string, args ...string) (Result, error) {
+// RunOperator runs the operators' program against an entry and waits for its end.
+func (c *Cluster) RunOperator(ctx context.Context, e *Entry, stdin string, args ...string) (Result, error) {
 	cmd := exec.CommandContext(ctx, c.options.Binaries.Operator, args...)
 	cmd.Env = append(os.Environ(), c.OperatorEnv(e)...)
 	return RunCommand(cmd, stdin)
--- a/lab/procs/process.go
+++ b/lab/procs/process.go
@@ -89,8 +89,8 @@
 // Event is a line of a JSON log.
 type Event map[string]any
 
-// Text returns a field as text.
-func (e Event) Text(field string) string {
+// Field returns a field as text.
+func (e Event) Field(field string) string {
 	text, _ := e[field].(string)
 	return text
 }
@@ -100,7 +100,7 @@
 	var found Event
 	err := p.awaitLine(ctx, func(line string) bool {
 		var e Event
-		if json.Unmarshal([]byte(line), &e) != nil || e.Text("event") != name {
+		if json.Unmarshal([]byte(line), &e) != nil || e.Field("event") != name {
 			return false
 		}
 		found = e
@@ -113,7 +113,7 @@
 func (p *Process) AwaitEvents(ctx context.Context, name string, count int) error {
 	err := p.awaitLine(ctx, func(line string) bool {
 		var e Event
-		if json.Unmarshal([]byte(line), &e) == nil && e.Text("event") == name {
+		if json.Unmarshal([]byte(line), &e) == nil && e.Field("event") == name {
 			count--
 		}
 		return count == 0
@@ -121,12 +121,12 @@
 	return errors.Wrapf(err, "events %q", name)
 }
 
-// AwaitEventOf waits for a log line with the given event name that carries a
+// AwaitEventField waits for a log line with the given event name that carries a
 // value in a field.
-func (p *Process) AwaitEventOf(ctx context.Context, name, field, value string) error {
+func (p *Process) AwaitEventField(ctx context.Context, name, field, value string) error {
 	err := p.awaitLine(ctx, func(line string) bool {
 		var e Event
-		return json.Unmarshal([]byte(line), &e) == nil && e.Text("event") == name && e.Text(field) == value
+		return json.Unmarshal([]byte(line), &e) == nil && e.Field("event") == name && e.Field(field) == value
 	})
 	return errors.Wrapf(err, "event %q of %q", name, value)
 }
@@ -167,11 +167,11 @@
 // Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Freeze stops the process until Thaw.
-func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
+// Suspend stops the process until Thaw.
+func (p *Process) Suspend() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
-func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
+// Resume lets a frozen process go on.
+func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
 // Kill ends the process at once and waits for its end.
 func (p *Process) Kill() {
--- a/lab/procs/ranks.go
+++ b/lab/procs/ranks.go
@@ -60,7 +60,7 @@
 	if c.Ranks == nil || e.Config.Service != ModelService {
 		return
 	}
-	n := c.options.Ranks.Experts.Ranks / c.options.Models
+	n := c.options.Ranks.Experts.Ranks / c.options.ModelEndpoints
 	var indices, urls []string
 	for rank := i * n; rank < (i+1)*n; rank++ {
 		e.Config.Ranks = append(e.Config.Ranks, rank)
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -117,8 +117,8 @@
 func (r *run) freeze(h Host) func() {
 	calm := r.record.trouble(h)
 	p := r.site.Process(h)
-	p.Freeze()
-	return func() { p.Thaw(); calm() }
+	p.Suspend()
+	return func() { p.Resume(); calm() }
 }
 
 func killRelay(r *run, f Fault) func()   { return r.kill(r.rank(f.Host)) }
