--- a/cmd/internal/sitelab/soak.go
+++ b/cmd/internal/sitelab/soak.go
@@ -51,7 +51,7 @@
 	f.Float64Var(&c.minutes, "minutes", 0, "run seeds until this time is over, instead of a number of them")
 	f.IntVar(&c.parallel, "parallel", 1, "number of seeds that run at the same time")
 	f.IntVar(&c.processes, "processes", defaultProcesses, "number of processes of a site, a third of them entries")
-	f.DurationVar(&c.length, "length", soak.DefaultLength, "time of the load of a seed")
+	f.DurationVar(&c.length, "length", soak.DefaultLoadDuration, "time of the load of a seed")
 	f.StringVar(&c.only, "only", "", "kinds of faults to choose from, separated by commas; empty for all")
 	f.StringVar(&c.dir, "dir", "soak-reports", "directory of the reports")
 	f.StringVar(&c.network, "network", "127.88", "first two parts of the addresses")
@@ -97,7 +97,7 @@
 	if err != nil {
 		return 0, err
 	}
-	o := soak.Options{Parallel: c.parallel, Length: c.length, Dir: c.dir, Out: out, Shape: c.shape(), Open: c.opener(dir, programs)}
+	o := soak.Options{Parallel: c.parallel, LoadDuration: c.length, Dir: c.dir, Out: out, Shape: c.shape(), Open: c.opener(dir, programs)}
 	if c.only != "" {
 		o.Only = strings.Split(c.only, ",")
 	}
--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -25,10 +25,10 @@
 	lateBound = 500 * time.Millisecond
 	// readSlack is the time after which a request counts as read by its entry.
 	readSlack = 200 * time.Millisecond
-	// RetryShare and RetryExtra are the budget of further tries in retryWindow.
-	RetryShare  = 0.05
-	RetryExtra  = 10
-	retryWindow = 10 * time.Second
+	// RetryBudgetRatio and RetryBudgetExtra are the budget of further tries in retryWindow.
+	RetryBudgetRatio = 0.05
+	RetryBudgetExtra = 10
+	retryWindow      = 10 * time.Second
 	// noticeBound is the time in which the platform notices that an entry is not
 	// ready: it asks each second and counts two misses.
 	noticeBound = 2 * time.Second
@@ -72,13 +72,13 @@
 	switch {
 	case saysNotRun(x.Reply.Status) && runs > 0:
 		fail(promiseTrue, "it ran %d times", runs)
-	case x.Reply.Status >= 300 && x.Reply.Status < 500 && !saysNotRun(x.Reply.Status) && x.Key == r.site.Always():
+	case x.Reply.Status >= 300 && x.Reply.Status < 500 && !saysNotRun(x.Reply.Status) && x.Key == r.site.StableKey():
 		fail(promiseAllowed, "%s", x.Reply.Body)
 	case x.Reply.Status == http.StatusOK && !x.Reply.Signed:
 		fail(promiseOwn, "the answer is not signed: %q", x.Reply.Body)
 	}
 	if x.Kind == Chat && x.Reply.Status == http.StatusOK {
-		all, err := r.site.Events(x.Request, x.Reply.Events)
+		all, err := r.site.CheckEvents(x.Request, x.Reply.Events)
 		if err != nil {
 			fail(promiseOrder, "%v", err)
 		}
@@ -87,7 +87,7 @@
 		}
 	}
 	if x.Kind != Chat && x.Reply.Complete() {
-		if _, err := r.site.Answer(x.Request, x.Reply.Body); err != nil {
+		if _, err := r.site.CheckAnswer(x.Request, x.Reply.Body); err != nil {
 			fail(promiseOwn, "%v", err)
 		}
 	}
@@ -136,8 +136,8 @@
 		end = time.Now()
 	}
 	took := end.Sub(x.At)
-	if x.Left.IsZero() && took > x.Patience+lateBound && r.record.calm(x.At, x.At.Add(x.Patience+lateBound), Host{Entry, x.Entry}, Host{Kind: Clients}) {
-		r.record.report(Violation{Promise: promiseTime, At: x.At, Request: x.ID, Detail: fmt.Sprintf("entry-%d took %v of %v", x.Entry, took, x.Patience)})
+	if x.Left.IsZero() && took > x.Timeout+lateBound && r.record.calm(x.At, x.At.Add(x.Timeout+lateBound), Host{Entry, x.Entry}, Host{Kind: Clients}) {
+		r.record.report(Violation{Promise: promiseTime, At: x.At, Request: x.ID, Detail: fmt.Sprintf("entry-%d took %v of %v", x.Entry, took, x.Timeout)})
 	}
 }
 
@@ -217,7 +217,7 @@
 	required := 0
 	for _, a := range r.record.acks {
 		bound := configBound
-		if !r.record.unstruck(a.sent, x.At, Host{Kind: Turned}) {
+		if !r.record.unstruck(a.sent, x.At, Host{Kind: RejectedEntries}) {
 			bound += configOuter
 		}
 		if a.at.Add(bound).Before(x.At) && r.record.calm(a.sent, x.At, Host{Entry, entry}, Host{Kind: Platform}) {
@@ -263,7 +263,7 @@
 			for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
 				owed = max(owed, within(requests[service], from.Add(-back), retryWindow))
 			}
-			if float64(n) > RetryShare*float64(owed)+RetryExtra {
+			if float64(n) > RetryBudgetRatio*float64(owed)+RetryBudgetExtra {
 				r.record.report(Violation{Promise: promiseBudget, At: from, Detail: fmt.Sprintf("service %s got %d further tries of %d requests within %v", service, n, owed, retryWindow)})
 				return
 			}
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -78,7 +78,7 @@
 
 // writer returns the entry that last wrote to the platform, or the fault's own.
 func (r *run) writer(f Fault) int {
-	if w := r.site.Writer(); w >= 0 {
+	if w := r.site.LastWriter(); w >= 0 {
 		return w
 	}
 	return f.Host
@@ -207,7 +207,7 @@
 }
 
 func lateOrders(r *run, f Fault) func() {
-	r.site.Group().ApplyLate(0.1+0.5*f.X, time.Duration(float64(2*time.Second)*f.X))
+	r.site.Group().ApplyLate(0.1+0.5*f.Intensity, time.Duration(float64(2*time.Second)*f.Intensity))
 	return func() { r.site.Group().ApplyLate(0, 0) }
 }
 
@@ -228,7 +228,7 @@
 // turnAway makes the platform turn every other entry away while it serves the rest.
 func turnAway(t faults.PlatformFaults) strike {
 	return func(r *run, f Fault) func() {
-		calm := r.record.trouble(Host{Kind: Turned})
+		calm := r.record.trouble(Host{Kind: RejectedEntries})
 		end := r.troubles.add(func(entry int) faults.PlatformFaults {
 			if (entry+f.Host)%2 == 0 {
 				return t
@@ -297,7 +297,7 @@
 	h := r.entry(f.Host)
 	return r.strikeLinks(r.entries(), func(from, to Host) faultproxy.Faults {
 		cut := from.Kind == Entry && to.Kind == Entry && (from == h || to == h)
-		return faultproxy.Faults{CutToTarget: cut, CutToClient: cut && f.X < 0.5}
+		return faultproxy.Faults{CutToTarget: cut, CutToClient: cut && f.Intensity < 0.5}
 	})
 }
 
@@ -307,7 +307,7 @@
 		if to != h || from.Kind != Entry {
 			return faultproxy.Faults{}
 		}
-		return faultproxy.Faults{Loss: f.X / 2, Duplicate: f.X / 4, Reorder: f.X / 4}
+		return faultproxy.Faults{Loss: f.Intensity / 2, Duplicate: f.Intensity / 4, Reorder: f.Intensity / 4}
 	})
 }
 
@@ -336,13 +336,13 @@
 func silenceEndpoint(r *run, f Fault) func() {
 	h := r.endpoint(f)
 	calm := r.record.trouble(h)
-	r.site.SilenceLinks(func(_, to Host) bool { return to == h })
+	r.site.BlackholeLinks(func(_, to Host) bool { return to == h })
 	return calm
 }
 
 func silenceAll(r *run, _ Fault) func() {
 	calm := r.record.trouble(r.allHosts()...)
-	r.site.SilenceLinks(func(from, _ Host) bool { return from.Kind == Entry })
+	r.site.BlackholeLinks(func(from, _ Host) bool { return from.Kind == Entry })
 	return calm
 }
 
@@ -354,7 +354,7 @@
 }
 
 func slowLinks(r *run, f Fault) func() {
-	delay := time.Duration(f.X * float64(60*time.Millisecond))
+	delay := time.Duration(f.Intensity * float64(60*time.Millisecond))
 	return r.strikeLinks(r.allHosts(), func(from, _ Host) faultproxy.Faults { return faultproxy.Faults{Delay: delay} })
 }
 
@@ -369,7 +369,7 @@
 		}
 		calm := r.record.trouble(hosts...)
 		end := r.behaviors.add(func(h Host) faults.Behavior {
-			if !slices.Contains(hosts, h) || r.chance() > f.X {
+			if !slices.Contains(hosts, h) || r.chance() > f.Intensity {
 				return faults.Normal
 			}
 			return b
@@ -390,7 +390,7 @@
 	}
 	r.background.Go(func() {
 		defer r.free(h)
-		name, err := r.site.Leave(h.Index)
+		name, err := r.site.MarkLeaving(h.Index)
 		if err != nil {
 			r.fail(err)
 			return
@@ -398,7 +398,7 @@
 		r.record.leave(name)
 		r.sleep(drainBound + lingering)
 		r.site.Remove(h.Index)
-		for _, other := range []bool{f.X < 0.5, false} {
+		for _, other := range []bool{f.Intensity < 0.5, false} {
 			r.sleep(lingering)
 			if err := r.site.Replace(h.Index, other); err != nil {
 				r.fail(err)
@@ -429,7 +429,7 @@
 		if err := r.site.Replace(h.Index, true); err != nil {
 			r.fail(err)
 		}
-		r.sleep(f.For)
+		r.sleep(f.Duration)
 		end()
 		r.site.Remove(h.Index)
 		if err := r.site.Replace(h.Index, false); err != nil {
@@ -446,13 +446,13 @@
 	r.background.Go(func() {
 		for range 3 + f.Host%5 {
 			r.configure()
-			r.sleep(time.Duration(f.X * float64(300*time.Millisecond)))
+			r.sleep(time.Duration(f.Intensity * float64(300*time.Millisecond)))
 		}
 	})
 	return nil
 }
 
 func burst(r *run, f Fault) func() {
-	r.load.crowd(1 + int(2*f.X))
+	r.load.crowd(1 + int(2*f.Intensity))
 	return func() { r.load.crowd(0) }
 }
--- a/lab/soak/load.go
+++ b/lab/soak/load.go
@@ -93,7 +93,7 @@
 func (l *load) exchange(c Client, entry int, m mix, rng *rand.Rand) *exchange {
 	r := l.run
 	x := &exchange{Request: Request{
-		ID: id.Request(fmt.Sprintf("%s-%d", m.kind, l.ids.Add(1))), Kind: m.kind, Key: r.site.Always(), Patience: m.patience,
+		ID: id.Request(fmt.Sprintf("%s-%d", m.kind, l.ids.Add(1))), Kind: m.kind, Key: r.site.StableKey(), Timeout: m.patience,
 	}, Entry: entry, At: time.Now()}
 	if rng.Float64() < oldKeyShare {
 		x.Key = r.site.Key(r.generation())
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -10,16 +10,16 @@
 // Fault is one thing that goes wrong, or one planned piece of work.
 type Fault struct {
 	Name string
-	// At is counted from the begin of the load, and For is how long it lasts.
-	At, For time.Duration
+	// At is counted from the begin of the load, and Duration is how long it lasts.
+	At, Duration time.Duration
 	// Host and Other are what it strikes, as far as the kind needs them.
 	Host, Other int
-	// X is its strength, between zero and one.
-	X float64
+	// Intensity is its strength, between zero and one.
+	Intensity float64
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%5.2fs %s for %v (%d, %d, %.2f)", f.At.Seconds(), f.Name, f.For.Round(10*time.Millisecond), f.Host, f.Other, f.X)
+	return fmt.Sprintf("%5.2fs %s for %v (%d, %d, %.2f)", f.At.Seconds(), f.Name, f.Duration.Round(10*time.Millisecond), f.Host, f.Other, f.Intensity)
 }
 
 // Plan is what happens in one run.
@@ -27,8 +27,8 @@
 	Seed   uint64
 	Shape  Shape
 	Faults []Fault
-	// Length is the time of the load without the recovery at its end.
-	Length time.Duration
+	// LoadDuration is the time of the load without the recovery at its end.
+	LoadDuration time.Duration
 }
 
 const (
@@ -55,20 +55,20 @@
 // the same plan.
 func newPlan(seed uint64, shape Shape, length time.Duration, names []string) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x50a4))
-	p := Plan{Seed: seed, Shape: shape, Length: length}
+	p := Plan{Seed: seed, Shape: shape, LoadDuration: length}
 	if len(names) == 0 {
 		names = faultNames()
 	}
 	for wave := warmUp; wave+waveLength+waveCalm <= length; wave += waveLength + waveCalm {
 		work := wave + waveLength + plannedAfter - longest/2
 		p.Faults = append(p.Faults, Fault{
-			Name: planned[rng.IntN(len(planned))], At: work + draw(rng, 0, plannedLength), For: shortest,
-			Host: rng.IntN(1 << 16), Other: rng.IntN(1 << 16), X: rng.Float64(),
+			Name: planned[rng.IntN(len(planned))], At: work + draw(rng, 0, plannedLength), Duration: shortest,
+			Host: rng.IntN(1 << 16), Other: rng.IntN(1 << 16), Intensity: rng.Float64(),
 		})
 		for range fewest + rng.IntN(most-fewest+1) {
 			f := Fault{
-				Name: names[rng.IntN(len(names))], At: wave + draw(rng, 0, waveLength), For: draw(rng, shortest, longest),
-				Host: rng.IntN(1 << 16), Other: rng.IntN(1 << 16), X: rng.Float64(),
+				Name: names[rng.IntN(len(names))], At: wave + draw(rng, 0, waveLength), Duration: draw(rng, shortest, longest),
+				Host: rng.IntN(1 << 16), Other: rng.IntN(1 << 16), Intensity: rng.Float64(),
 			}
 			p.Faults = append(p.Faults, f)
 			if rng.Float64() >= seriesShare {
@@ -76,7 +76,7 @@
 			}
 			for range 1 + rng.IntN(3) {
 				f.At += draw(rng, 50*time.Millisecond, time.Second)
-				f.For = draw(rng, shortest, longest/2)
+				f.Duration = draw(rng, shortest, longest/2)
 				p.Faults = append(p.Faults, f)
 			}
 		}
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -24,8 +24,8 @@
 	Requests   int
 	Complete   int
 	Refused    int
-	Unknown    int
-	Changes    int
+	Other      int
+	MapChanges int
 	Violations []Violation
 	Took       time.Duration
 }
@@ -36,13 +36,13 @@
 		verdict = fmt.Sprintf("%d PROMISES BROKEN", len(r.Violations))
 	}
 	return fmt.Sprintf("seed %d: %s; %d faults, %d requests: %d complete, %d refused, %d other; %d map changes, %.0f s",
-		r.Seed, verdict, r.Faults, r.Requests, r.Complete, r.Refused, r.Unknown, r.Changes, r.Took.Seconds())
+		r.Seed, verdict, r.Faults, r.Requests, r.Complete, r.Refused, r.Other, r.MapChanges, r.Took.Seconds())
 }
 
 func (r *run) result() Result {
 	out := Result{
 		Seed: r.plan.Seed, Faults: len(r.plan.Faults), Violations: r.record.violations(), Took: time.Since(r.began),
-		Changes: r.site.Group().Status().Switches,
+		MapChanges: r.site.Group().Status().Switches,
 	}
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
@@ -54,7 +54,7 @@
 		case saysNotRun(x.Reply.Status):
 			out.Refused++
 		default:
-			out.Unknown++
+			out.Other++
 		}
 	}
 	return out
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -63,7 +63,7 @@
 		s.SetLinks(func(from, to Host) faultproxy.Faults { return joinFaults(parts, from, to) })
 	})
 	r.troubles = newOverlay(func(parts []func(entry int) faults.PlatformFaults) {
-		s.SetPlatform(func(entry int) faults.PlatformFaults { return joinTroubles(parts, entry) })
+		s.SetPlatformFaults(func(entry int) faults.PlatformFaults { return joinTroubles(parts, entry) })
 	})
 	r.behaviors = newOverlay(func(parts []func(Host) faults.Behavior) {
 		s.SetBehavior(func(h Host) faults.Behavior {
@@ -154,12 +154,12 @@
 				return
 			}
 			if end := kinds[f.Name](r, f); end != nil {
-				sleep(ctx, f.For)
+				sleep(ctx, f.Duration)
 				end()
 			}
 		})
 	}
-	end := time.After(r.plan.Length)
+	end := time.After(r.plan.LoadDuration)
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	var held time.Time
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -26,8 +26,8 @@
 	Plain    HostKind = "plain"
 	Clients  HostKind = "clients"
 	Platform HostKind = "platform"
-	// Turned stands for the platform's link to the entries that it turns away.
-	Turned HostKind = "turned-away"
+	// RejectedEntries stands for the platform's link to the entries that it turns away.
+	RejectedEntries HostKind = "turned-away"
 )
 
 // Host is one host of the site.
@@ -37,7 +37,7 @@
 }
 
 func (h Host) String() string {
-	if h.Kind == Clients || h.Kind == Platform || h.Kind == Turned {
+	if h.Kind == Clients || h.Kind == Platform || h.Kind == RejectedEntries {
 		return string(h.Kind)
 	}
 	return fmt.Sprintf("%s-%d", h.Kind, h.Index)
@@ -64,8 +64,8 @@
 	Kind Kind
 	// Key identifies the team.
 	Key string
-	// Patience is the time for which the client waits.
-	Patience time.Duration
+	// Timeout is the time for which the client waits.
+	Timeout time.Duration
 }
 
 // Reply is what a client got.
@@ -90,13 +90,13 @@
 	Close()
 }
 
-// Expect tells what the whole answers of a site look like.
-type Expect interface {
-	// Answer checks the body of an answer and returns the generation of the
+// Oracle tells what the whole answers of a site look like.
+type Oracle interface {
+	// CheckAnswer checks the body of an answer and returns the generation of the
 	// configuration by which it was handled.
-	Answer(r Request, body string) (generation int, err error)
-	// Events checks the events of a stream and reports whether all are there.
-	Events(r Request, events []string) (all bool, err error)
+	CheckAnswer(r Request, body string) (generation int, err error)
+	// CheckEvents checks the events of a stream and reports whether all are there.
+	CheckEvents(r Request, events []string) (all bool, err error)
 	// Generation returns the generation of the configuration that names a team.
 	Generation(team id.Team) (int, bool)
 	// Path returns the path of a request.
@@ -105,13 +105,13 @@
 	Service(path string) id.Service
 	// Key returns the key that a generation adds and the next but one lacks.
 	Key(generation int) string
-	// Always returns the key that all generations hold.
-	Always() string
+	// StableKey returns the key that all generations hold.
+	StableKey() string
 }
 
 // Site is an installation with real processes and stand-ins around them.
 type Site interface {
-	Expect
+	Oracle
 	Shape() Shape
 	// Zone returns the number of a host's zone.
 	Zone(Host) int
@@ -131,25 +131,25 @@
 	// ResetLinks resets the present connections between hosts, and SilenceLinks
 	// drops what is sent on them for good.
 	ResetLinks(func(from, to Host) bool)
-	SilenceLinks(func(from, to Host) bool)
-	// SetPlatform replaces the troubles of entries with the platform.
-	SetPlatform(func(entry int) faults.PlatformFaults)
+	BlackholeLinks(func(from, to Host) bool)
+	// SetPlatformFaults replaces the troubles of entries with the platform.
+	SetPlatformFaults(func(entry int) faults.PlatformFaults)
 	CompactPlatform()
 	// Configure writes a generation of the configuration.
 	Configure(generation int) error
 	// SetBehavior tells how back ends treat requests.
 	SetBehavior(func(Host) faults.Behavior)
-	// Leave says that a plain back end leaves, Remove that it has left, and Replace
+	// MarkLeaving says that a plain back end leaves, Remove that it has left, and Replace
 	// starts another one at its address, maybe of another service.
-	Leave(plain int) (id.Endpoint, error)
+	MarkLeaving(plain int) (id.Endpoint, error)
 	Remove(plain int)
 	Replace(plain int, other bool) error
 	Group() *replicas.Group
 	Ledger() *replicas.Ledger
 	// OnArrival is told of each request at a back end, with the entry that sent it.
 	OnArrival(func(a faults.Arrival, entry int))
-	// Writer returns the entry that last wrote to the platform, or -1.
-	Writer() int
+	// LastWriter returns the entry that last wrote to the platform, or -1.
+	LastWriter() int
 	Close()
 }
 
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -15,9 +15,9 @@
 	// Seeds are run one after the other, Parallel of them at a time.
 	Seeds    []uint64
 	Parallel int
-	// Length is the time of the load of each seed.
-	Length time.Duration
-	Shape  Shape
+	// LoadDuration is the time of the load of each seed.
+	LoadDuration time.Duration
+	Shape        Shape
 	// Only restricts the faults to some kinds. Empty means all.
 	Only []string
 	// Dir is where reports of broken promises are written. Empty means nowhere.
@@ -27,8 +27,8 @@
 	Out  io.Writer
 }
 
-// DefaultLength has room for two waves of faults.
-const DefaultLength = warmUp + 2*(waveLength+waveCalm)
+// DefaultLoadDuration has room for two waves of faults.
+const DefaultLoadDuration = warmUp + 2*(waveLength+waveCalm)
 
 // Run plays all seeds and returns what each showed. The error is of the soak
 // itself.
@@ -56,7 +56,7 @@
 		return Result{}, err
 	}
 	defer s.Close()
-	r := newRun(newPlan(seed, o.Shape, o.Length, o.Only), s)
+	r := newRun(newPlan(seed, o.Shape, o.LoadDuration, o.Only), s)
 	if err := r.execute(ctx); err != nil {
 		return Result{}, fmt.Errorf("seed %d: %w", seed, err)
 	}
