--- a/lab/faultproxy/faultproxy_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -21,10 +21,10 @@
 
 const (
 	seed = 7
-	// quiet is how long a test waits to see that nothing arrives.
-	quiet = 50 * time.Millisecond
-	// bound ends a read that should succeed.
-	bound = 10 * time.Second
+	// quietPeriod is how long a test checks that no data arrives.
+	quietPeriod = 50 * time.Millisecond
+	// readTimeout bounds a read that should succeed.
+	readTimeout = 10 * time.Second
 )
 
 func tcpEcho(t *testing.T) string {
@@ -77,18 +77,18 @@
 	assert.NilError(t, err)
 }
 
-func receives(t *testing.T, c net.Conn, want string) {
+func expectData(t *testing.T, c net.Conn, want string) {
 	t.Helper()
-	assert.NilError(t, c.SetReadDeadline(time.Now().Add(bound)))
+	assert.NilError(t, c.SetReadDeadline(time.Now().Add(readTimeout)))
 	buf := make([]byte, len(want))
 	_, err := io.ReadFull(c, buf)
 	assert.NilError(t, err)
 	assert.Equal(t, string(buf), want)
 }
 
-func receivesNothing(t *testing.T, c net.Conn) {
+func expectNoData(t *testing.T, c net.Conn) {
 	t.Helper()
-	assert.NilError(t, c.SetReadDeadline(time.Now().Add(quiet)))
+	assert.NilError(t, c.SetReadDeadline(time.Now().Add(quietPeriod)))
 	n, err := c.Read(make([]byte, 1))
 	assert.Equal(t, n, 0)
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
@@ -100,22 +100,22 @@
 	t.Cleanup(p.Close)
 	c := dial(t, "tcp", p.Addr())
 	send(t, c, "plain")
-	receives(t, c, "plain")
+	expectData(t, c, "plain")
 	for _, f := range []faultproxy.Faults{{CutToTarget: true}, {CutToClient: true}, {Freeze: true}} {
 		p.Set(f)
 		send(t, c, "held")
-		receivesNothing(t, c)
+		expectNoData(t, c)
 		p.Set(faultproxy.Faults{Delay: time.Millisecond})
-		receives(t, c, "held")
+		expectData(t, c, "held")
 	}
 	p.BlackholeExisting()
 	send(t, c, "lost")
-	receivesNothing(t, c)
+	expectNoData(t, c)
 	fresh := dial(t, "tcp", p.Addr())
 	send(t, fresh, "new")
-	receives(t, fresh, "new")
+	expectData(t, fresh, "new")
 	p.CloseExisting()
-	assert.NilError(t, fresh.SetReadDeadline(time.Now().Add(bound)))
+	assert.NilError(t, fresh.SetReadDeadline(time.Now().Add(readTimeout)))
 	_, err = fresh.Read(make([]byte, 1))
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 }
@@ -127,7 +127,7 @@
 	c := dial(t, "tcp", p.Addr())
 	send(t, c, "all")
 	assert.NilError(t, c.(*net.TCPConn).CloseWrite())
-	assert.NilError(t, c.SetReadDeadline(time.Now().Add(bound)))
+	assert.NilError(t, c.SetReadDeadline(time.Now().Add(readTimeout)))
 	b, err := io.ReadAll(c)
 	assert.NilError(t, err)
 	assert.Equal(t, string(b), "all")
@@ -139,23 +139,23 @@
 	t.Cleanup(p.Close)
 	c := dial(t, "udp", p.Addr())
 	send(t, c, "plain")
-	receives(t, c, "plain")
+	expectData(t, c, "plain")
 	for _, f := range []faultproxy.Faults{{CutToTarget: true}, {CutToClient: true}, {Loss: 1}} {
 		p.Set(f)
 		send(t, c, "lost")
-		receivesNothing(t, c)
+		expectNoData(t, c)
 	}
 	p.Set(faultproxy.Faults{Freeze: true})
 	send(t, c, "held")
-	receivesNothing(t, c)
+	expectNoData(t, c)
 	p.Set(faultproxy.Faults{})
-	receives(t, c, "held")
+	expectData(t, c, "held")
 	p.BlackholeExisting()
 	send(t, c, "lost")
-	receivesNothing(t, c)
+	expectNoData(t, c)
 	fresh := dial(t, "udp", p.Addr())
 	send(t, fresh, "new")
-	receives(t, fresh, "new")
+	expectData(t, fresh, "new")
 }
 
 func TestUDPDuplicateAndReorder(t *testing.T) {
@@ -165,8 +165,8 @@
 	c := dial(t, "udp", p.Addr())
 	p.Set(faultproxy.Faults{Duplicate: 1, Delay: time.Millisecond})
 	send(t, c, "twice")
-	for range 4 { // once more in each direction
-		receives(t, c, "twice")
+	for range 4 { // duplicated in both directions
+		expectData(t, c, "twice")
 	}
 	const packets = 50
 	p.Set(faultproxy.Faults{Reorder: 0.3})
@@ -177,7 +177,7 @@
 	}
 	last := ""
 	for range packets {
-		assert.NilError(t, c.SetReadDeadline(time.Now().Add(bound)))
+		assert.NilError(t, c.SetReadDeadline(time.Now().Add(readTimeout)))
 		buf := make([]byte, 2)
 		_, err := c.Read(buf)
 		assert.NilError(t, err)
@@ -204,24 +204,24 @@
 	a, b := from("127.0.0.7"), from("127.0.0.6")
 	p.SetBySource(func(source netip.Addr) faultproxy.Faults { return faultproxy.Faults{CutToTarget: source == struck} })
 	send(t, a, "held")
-	receivesNothing(t, a)
+	expectNoData(t, a)
 	send(t, b, "plain")
-	receives(t, b, "plain")
+	expectData(t, b, "plain")
 	p.ResetMatching(func(source netip.Addr) bool { return source == struck })
-	assert.NilError(t, a.SetReadDeadline(time.Now().Add(bound)))
+	assert.NilError(t, a.SetReadDeadline(time.Now().Add(readTimeout)))
 	_, err = a.Read(make([]byte, 1))
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 	send(t, b, "still")
-	receives(t, b, "still")
+	expectData(t, b, "still")
 	p.Set(faultproxy.Faults{Refuse: true})
 	c := from("127.0.0.6")
-	assert.NilError(t, c.SetReadDeadline(time.Now().Add(bound)))
+	assert.NilError(t, c.SetReadDeadline(time.Now().Add(readTimeout)))
 	_, err = c.Read(make([]byte, 1))
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 }
 
-// TestBrokenConnectionsStayBroken: what one side sees reset, the other does too.
-func TestBrokenConnectionsStayBroken(t *testing.T) {
+// TestTCPPropagatesReset guards against a reset by the target that reaches the client as a clean close.
+func TestTCPPropagatesReset(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -233,12 +233,12 @@
 	assert.NilError(t, err)
 	assert.NilError(t, behind.(*net.TCPConn).SetLinger(0))
 	assert.NilError(t, behind.Close())
-	assert.NilError(t, c.SetReadDeadline(time.Now().Add(bound)))
+	assert.NilError(t, c.SetReadDeadline(time.Now().Add(readTimeout)))
 	_, err = c.Read(make([]byte, 1))
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 }
 
-func TestUDPKeepsTheSource(t *testing.T) {
+func TestUDPKeepsSourceAddress(t *testing.T) {
 	target, err := net.ListenPacket("udp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = target.Close() })
--- a/lab/faultproxy/faults.go
+++ b/lab/faultproxy/faults.go
@@ -1,4 +1,4 @@
-// Package faultproxy forwards TCP and UDP on loopback with switchable faults, for tests.
+// Package faultproxy provides TCP and UDP proxies that inject network faults in tests.
 package faultproxy
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Options describe a proxy.
+// Options configure a proxy.
 type Options struct {
 	// Listen is the "ip:port" to listen at. Default: a free port of 127.0.0.1.
 	Listen string
@@ -17,8 +17,8 @@
 	Target string
 	// Seed seeds the random faults.
 	Seed uint64
-	// KeepSource forwards from the client's own IP address, so that the target
-	// sees who calls.
+	// KeepSource forwards from the client's IP address, so that the target can
+	// tell clients apart.
 	KeepSource bool
 }
 
@@ -29,7 +29,7 @@
 	return o.Listen
 }
 
-// sourceOf returns the IP address of a connection's or packet's sender.
+// sourceOf returns the IP address of a, or the zero Addr if a has none.
 func sourceOf(a net.Addr) netip.Addr {
 	p, err := netip.ParseAddrPort(a.String())
 	if err != nil {
@@ -38,15 +38,15 @@
 	return p.Addr().Unmap()
 }
 
-// Faults are the faults of a proxy. The zero value has none.
+// Faults are the faults that a proxy injects. The zero value injects none.
 type Faults struct {
 	// Delay is added to each packet or chunk in each direction.
 	Delay time.Duration
-	// CutToTarget and CutToClient stop one direction each. TCP holds the bytes
-	// until the cut ends, as a sender would repeat them; UDP drops the packets.
+	// CutToTarget and CutToClient block one direction each. TCP holds the data until
+	// the cut ends, as a sender would retransmit it; UDP drops the packets.
 	CutToTarget, CutToClient bool
-	// Freeze holds everything in both directions until it ends. UDP keeps up to
-	// queueLen packets of each flow and direction.
+	// Freeze holds all data in both directions until it is switched off. UDP queues
+	// up to queueLen packets for each flow and direction.
 	Freeze bool
 	// Refuse resets new TCP connections.
 	Refuse bool
@@ -54,13 +54,13 @@
 	Loss, Duplicate, Reorder float64
 }
 
-// reorderDelay is by how much a reordered packet is late.
+// reorderDelay is the extra delay of a reordered packet, so that later ones overtake it.
 const reorderDelay = 10 * time.Millisecond
 
-// queueLen bounds the packets that wait in one direction of a UDP flow.
+// queueLen is the queue capacity, in packets, of one direction of a UDP flow.
 const queueLen = 4096
 
-// direction tells which way data flows.
+// direction is the direction of data within a flow.
 type direction int
 
 const (
@@ -75,11 +75,11 @@
 	return f.CutToClient
 }
 
-// state holds the faults in force and the seeded random numbers.
+// state holds the current faults and the seeded random generator of a proxy.
 type state struct {
 	mu      sync.Mutex // leaf lock
 	faults  func(source netip.Addr) Faults
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when faults change
 	random  *rand.Rand
 }
 
@@ -90,7 +90,7 @@
 
 func (s *state) set(f Faults) { s.setFor(func(netip.Addr) Faults { return f }) }
 
-// setFor replaces the faults by those of each client's address.
+// setFor replaces the faults, which may differ between client addresses.
 func (s *state) setFor(f func(source netip.Addr) Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	return s.faults(source), s.changed
 }
 
-func (s *state) hits(probability float64) bool {
+func (s *state) roll(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -114,8 +114,8 @@
 	return s.random.Float64() < probability
 }
 
-// await blocks while held reports true. It returns false once done is closed.
-func (s *state) await(done <-chan struct{}, source netip.Addr, held func(Faults) bool) bool {
+// waitWhile blocks while held reports true. It returns false if done is closed first.
+func (s *state) waitWhile(done <-chan struct{}, source netip.Addr, held func(Faults) bool) bool {
 	for {
 		faults, changed := s.get(source)
 		if !held(faults) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// pause blocks for d. It returns false once done is closed.
-func pause(done <-chan struct{}, d time.Duration) bool {
+// sleep blocks for d. It returns false if done is closed first.
+func sleep(done <-chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
--- a/lab/faultproxy/tcp.go
+++ b/lab/faultproxy/tcp.go
@@ -11,10 +11,10 @@
 	"github.com/siskinford/siskinford/core/dial"
 )
 
-// chunkLen is the size of the reads from a TCP connection. Unit: bytes.
+// chunkLen is the size of the read buffer of a TCP connection, in bytes.
 const chunkLen = 32 * 1024
 
-// TCP forwards TCP connections to a target. It is safe for concurrent use.
+// TCP is a proxy that forwards TCP connections to a target. It is safe for concurrent use.
 type TCP struct {
 	opt      Options
 	listener net.Listener
@@ -30,22 +30,22 @@
 type tcpFlow struct {
 	source         netip.Addr
 	client, target net.Conn
-	silent         chan struct{}
-	silence        sync.Once
+	blackholed     chan struct{}
+	blackholeOnce  sync.Once
 	closed         chan struct{}
-	closing        sync.Once
+	closeOnce      sync.Once
 }
 
-// NewTCP listens on a free loopback port and forwards to target.
+// NewTCP starts a proxy to target on a free loopback port.
 func NewTCP(target string, seed uint64) (*TCP, error) {
 	return StartTCP(Options{Target: target, Seed: seed})
 }
 
-// StartTCP starts a proxy.
+// StartTCP starts a proxy. Close stops it.
 func StartTCP(o Options) (*TCP, error) {
 	l, err := net.Listen("tcp", o.listen())
 	if err != nil {
-		return nil, errors.Wrap(err, "proxy cannot listen")
+		return nil, errors.Wrap(err, "listen for TCP proxy")
 	}
 	p := &TCP{
 		opt: o, listener: l, state: newState(o.Seed),
@@ -58,42 +58,42 @@
 // Addr returns the address to connect to.
 func (p *TCP) Addr() string { return p.listener.Addr().String() }
 
-// Set replaces the faults.
+// Set replaces the faults for all clients.
 func (p *TCP) Set(f Faults) { p.state.set(f) }
 
-// SetBySource replaces the faults by those of each client's address.
+// SetBySource replaces the faults, which may differ between client addresses.
 func (p *TCP) SetBySource(f func(source netip.Addr) Faults) { p.state.setFor(f) }
 
-// ResetMatching resets the present connections of some clients.
+// ResetMatching resets the open connections of the clients that match.
 func (p *TCP) ResetMatching(of func(source netip.Addr) bool) {
-	for _, f := range p.present() {
+	for _, f := range p.openFlows() {
 		if of(f.source) {
 			f.reset()
 		}
 	}
 }
 
-// BlackholeExisting makes the present connections silent for good: they stay
-// open, and what is sent on them is lost. New connections work.
+// BlackholeExisting drops all further data of the open connections, which stay
+// open. New connections work.
 func (p *TCP) BlackholeExisting() { p.BlackholeMatching(func(netip.Addr) bool { return true }) }
 
-// BlackholeMatching is BlackholeExisting for the connections of some clients.
+// BlackholeMatching is BlackholeExisting for the clients that match.
 func (p *TCP) BlackholeMatching(of func(source netip.Addr) bool) {
-	for _, f := range p.present() {
+	for _, f := range p.openFlows() {
 		if of(f.source) {
-			f.silence.Do(func() { close(f.silent) })
+			f.blackholeOnce.Do(func() { close(f.blackholed) })
 		}
 	}
 }
 
-// CloseExisting closes the present connections on both sides.
+// CloseExisting closes the open connections on both sides.
 func (p *TCP) CloseExisting() {
-	for _, f := range p.present() {
+	for _, f := range p.openFlows() {
 		f.close()
 	}
 }
 
-// Close ends the proxy and its connections and waits for its goroutines.
+// Close stops the proxy, closes its connections and waits for its goroutines.
 func (p *TCP) Close() {
 	close(p.done)
 	_ = p.listener.Close()
@@ -101,7 +101,7 @@
 	p.wg.Wait()
 }
 
-func (p *TCP) present() []*tcpFlow {
+func (p *TCP) openFlows() []*tcpFlow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	flows := make([]*tcpFlow, 0, len(p.flows))
@@ -136,7 +136,7 @@
 		reset(client)
 		return
 	}
-	f := &tcpFlow{source: source, client: client, target: target, silent: make(chan struct{}), closed: make(chan struct{})}
+	f := &tcpFlow{source: source, client: client, target: target, blackholed: make(chan struct{}), closed: make(chan struct{})}
 	p.mu.Lock()
 	p.flows[f] = struct{}{}
 	p.mu.Unlock()
@@ -146,8 +146,8 @@
 	default:
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pump(f, client, target, toTarget) })
-	wg.Go(func() { p.pump(f, target, client, toClient) })
+	wg.Go(func() { p.copyDirection(f, client, target, toTarget) })
+	wg.Go(func() { p.copyDirection(f, target, client, toClient) })
 	wg.Wait()
 	f.close()
 	p.mu.Lock()
@@ -155,8 +155,8 @@
 	p.mu.Unlock()
 }
 
-// pump copies one direction until it ends, and passes the end on.
-func (p *TCP) pump(f *tcpFlow, from, to net.Conn, d direction) {
+// copyDirection copies one direction until EOF or an error, which it propagates.
+func (p *TCP) copyDirection(f *tcpFlow, from, to net.Conn, d direction) {
 	buf := make([]byte, chunkLen)
 	for {
 		n, err := from.Read(buf)
@@ -165,24 +165,24 @@
 		}
 		if err != nil {
 			if err != io.EOF {
-				f.reset() // As the connection on this side was.
+				f.reset() // propagates the error to the other side
 			}
 			return
 		}
 	}
 }
 
-// forward writes one chunk, and the end of the direction if it is the last.
+// forward writes one chunk, and EOF after the last. It returns false once the flow is closed.
 func (p *TCP) forward(f *tcpFlow, to net.Conn, chunk []byte, d direction, last bool) bool {
 	faults, _ := p.state.get(f.source)
-	if !pause(f.closed, faults.Delay) {
+	if !sleep(f.closed, faults.Delay) {
 		return false
 	}
-	if !p.state.await(f.closed, f.source, func(faults Faults) bool { return faults.Freeze || faults.cut(d) }) {
+	if !p.state.waitWhile(f.closed, f.source, func(faults Faults) bool { return faults.Freeze || faults.cut(d) }) {
 		return false
 	}
 	select {
-	case <-f.silent:
+	case <-f.blackholed:
 		if last {
 			<-f.closed
 		}
@@ -205,7 +205,7 @@
 	}
 }
 
-// reset ends a connection so that its peer sees it broken.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -214,7 +214,7 @@
 }
 
 func (f *tcpFlow) reset() {
-	f.closing.Do(func() {
+	f.closeOnce.Do(func() {
 		close(f.closed)
 		reset(f.client)
 		reset(f.target)
@@ -222,7 +222,7 @@
 }
 
 func (f *tcpFlow) close() {
-	f.closing.Do(func() {
+	f.closeOnce.Do(func() {
 		close(f.closed)
 		_ = f.client.Close()
 		_ = f.target.Close()
--- a/lab/faultproxy/udp.go
+++ b/lab/faultproxy/udp.go
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxPacketLen is the largest UDP payload. Unit: bytes.
+// maxPacketLen bounds the UDP payload, in bytes.
 const maxPacketLen = 64 * 1024
 
-// UDP forwards UDP packets to a target. A flow is a client's address and port,
-// with a port of the proxy's own towards the target. It is safe for concurrent use.
+// UDP is a proxy that forwards UDP packets to a target. Each client address and
+// port is a flow with its own socket towards the target. UDP is safe for concurrent use.
 type UDP struct {
 	opt    Options
 	target *net.UDPAddr
@@ -29,41 +29,41 @@
 	flows map[netip.AddrPort]*udpFlow
 }
 
-// udpFlow is one client's exchange with the target.
+// udpFlow forwards packets between one client and the target.
 type udpFlow struct {
-	client   netip.AddrPort
-	upstream *net.UDPConn
-	queues   [2]chan packet
-	silent   chan struct{}
-	silence  sync.Once
+	client        netip.AddrPort
+	upstream      *net.UDPConn
+	queues        [2]chan packet
+	blackholed    chan struct{}
+	blackholeOnce sync.Once
 }
 
 func (f *udpFlow) source() netip.Addr { return f.client.Addr().Unmap() }
 
-// packet is one payload and the time at which it is due.
+// packet is one payload with the time at which it is sent.
 type packet struct {
 	payload []byte
 	due     time.Time
 }
 
-// NewUDP listens on a free loopback port and forwards to target.
+// NewUDP starts a proxy to target on a free loopback port.
 func NewUDP(target string, seed uint64) (*UDP, error) {
 	return StartUDP(Options{Target: target, Seed: seed})
 }
 
-// StartUDP starts a proxy.
+// StartUDP starts a proxy. Close stops it.
 func StartUDP(o Options) (*UDP, error) {
 	target, err := net.ResolveUDPAddr("udp", o.Target)
 	if err != nil {
-		return nil, errors.Wrapf(err, "target %q of the proxy", o.Target)
+		return nil, errors.Wrapf(err, "resolve target address %q", o.Target)
 	}
 	listen, err := net.ResolveUDPAddr("udp", o.listen())
 	if err != nil {
-		return nil, errors.Wrapf(err, "address %q of the proxy", o.Listen)
+		return nil, errors.Wrapf(err, "resolve listen address %q", o.Listen)
 	}
 	conn, err := net.ListenUDP("udp", listen)
 	if err != nil {
-		return nil, errors.Wrap(err, "proxy cannot listen")
+		return nil, errors.Wrap(err, "listen for UDP proxy")
 	}
 	p := &UDP{
 		opt: o, target: target, conn: conn, state: newState(o.Seed),
@@ -76,32 +76,31 @@
 // Addr returns the address to send to.
 func (p *UDP) Addr() string { return p.conn.LocalAddr().String() }
 
-// Set replaces the faults.
+// Set replaces the faults for all clients.
 func (p *UDP) Set(f Faults) { p.state.set(f) }
 
-// SetBySource replaces the faults by those of each client's address.
+// SetBySource replaces the faults, which may differ between client addresses.
 func (p *UDP) SetBySource(f func(source netip.Addr) Faults) { p.state.setFor(f) }
 
-// Traffic returns the packets and payload bytes delivered so far, both
-// directions together.
+// Traffic returns the packets and payload bytes delivered so far in both directions.
 func (p *UDP) Traffic() (packets, bytes uint64) { return p.packets.Load(), p.bytes.Load() }
 
-// BlackholeExisting drops the packets of the present flows for good. A client
-// gets through again from another port.
+// BlackholeExisting drops all further packets of the existing flows. A client can
+// open a new flow from another port.
 func (p *UDP) BlackholeExisting() { p.BlackholeMatching(func(netip.Addr) bool { return true }) }
 
-// BlackholeMatching is BlackholeExisting for the flows of some clients.
+// BlackholeMatching is BlackholeExisting for the clients that match.
 func (p *UDP) BlackholeMatching(of func(source netip.Addr) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, f := range p.flows {
 		if of(f.source()) {
-			f.silence.Do(func() { close(f.silent) })
+			f.blackholeOnce.Do(func() { close(f.blackholed) })
 		}
 	}
 }
 
-// Close ends the proxy and waits for its goroutines.
+// Close stops the proxy and waits for its goroutines.
 func (p *UDP) Close() {
 	close(p.done)
 	_ = p.conn.Close()
@@ -118,7 +117,7 @@
 	for {
 		n, client, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			if p.ended() {
+			if p.isClosed() {
 				return
 			}
 			continue
@@ -129,7 +128,7 @@
 	}
 }
 
-func (p *UDP) ended() bool {
+func (p *UDP) isClosed() bool {
 	select {
 	case <-p.done:
 		return true
@@ -138,11 +137,11 @@
 	}
 }
 
-// flow returns the flow of a client and opens it if needed.
+// flow returns the flow of a client, opened if needed, or nil if it cannot be opened.
 func (p *UDP) flow(client netip.AddrPort) *udpFlow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if f := p.flows[client]; f != nil || p.ended() {
+	if f := p.flows[client]; f != nil || p.isClosed() {
 		return f
 	}
 	var from *net.UDPAddr
@@ -153,7 +152,7 @@
 	if err != nil {
 		return nil
 	}
-	f := &udpFlow{client: client, upstream: upstream, silent: make(chan struct{})}
+	f := &udpFlow{client: client, upstream: upstream, blackholed: make(chan struct{})}
 	f.queues = [2]chan packet{make(chan packet, queueLen), make(chan packet, queueLen)}
 	p.flows[client] = f
 	p.wg.Go(func() { p.receiveUpstream(f) })
@@ -170,56 +169,56 @@
 			p.enqueue(f, toClient, buf[:n])
 			continue
 		}
-		// An ICMP refusal is reported here and does not end the flow.
-		if p.ended() || errors.Is(err, net.ErrClosed) {
+		// An ICMP "port unreachable" surfaces as a read error and does not end the flow.
+		if p.isClosed() || errors.Is(err, net.ErrClosed) {
 			return
 		}
 	}
 }
 
-// enqueue applies the faults that drop, repeat or delay a packet.
+// enqueue applies loss, duplication, reordering and delay to a packet.
 func (p *UDP) enqueue(f *udpFlow, d direction, payload []byte) {
 	faults, _ := p.state.get(f.source())
 	select {
-	case <-f.silent:
+	case <-f.blackholed:
 		return
 	default:
 	}
-	if faults.cut(d) || p.state.hits(faults.Loss) {
+	if faults.cut(d) || p.state.roll(faults.Loss) {
 		return
 	}
 	copies := 1
-	if p.state.hits(faults.Duplicate) {
+	if p.state.roll(faults.Duplicate) {
 		copies = 2
 	}
 	pkt := packet{payload: append([]byte{}, payload...), due: time.Now().Add(faults.Delay)}
 	for range copies {
-		if p.state.hits(faults.Reorder) {
-			p.sendLate(f, d, pkt)
+		if p.state.roll(faults.Reorder) {
+			p.sendReordered(f, d, pkt)
 			continue
 		}
 		select {
 		case f.queues[d] <- pkt:
-		default: // the queue is full, as a router's would be
+		default: // drop the packet when the queue is full, as a router does
 		}
 	}
 }
 
-// sendLate lets later packets overtake this one.
-func (p *UDP) sendLate(f *udpFlow, d direction, pkt packet) {
+// sendReordered sends a packet late, so that later packets overtake it.
+func (p *UDP) sendReordered(f *udpFlow, d direction, pkt packet) {
 	p.wg.Go(func() {
-		if pause(p.done, time.Until(pkt.due)+reorderDelay) {
+		if sleep(p.done, time.Until(pkt.due)+reorderDelay) {
 			p.deliver(f, d, pkt)
 		}
 	})
 }
 
-// send delivers the packets of one direction in order, each when it is due.
+// send delivers the queued packets of one direction in order, each when it is due.
 func (p *UDP) send(f *udpFlow, d direction) {
 	for {
 		select {
 		case pkt := <-f.queues[d]:
-			if !pause(p.done, time.Until(pkt.due)) {
+			if !sleep(p.done, time.Until(pkt.due)) {
 				return
 			}
 			p.deliver(f, d, pkt)
@@ -230,11 +229,11 @@
 }
 
 func (p *UDP) deliver(f *udpFlow, d direction, pkt packet) {
-	if !p.state.await(p.done, f.source(), func(faults Faults) bool { return faults.Freeze }) {
+	if !p.state.waitWhile(p.done, f.source(), func(faults Faults) bool { return faults.Freeze }) {
 		return
 	}
 	select {
-	case <-f.silent:
+	case <-f.blackholed:
 		return
 	default:
 	}
