--- a/lab/procs/build.go
+++ b/lab/procs/build.go
@@ -10,15 +10,15 @@
 // modulePath is the import path of the module that holds the programs.
 const modulePath = "github.com/siskinford/siskinford/cmd/"
 
-// Binaries are the paths of the built programs.
+// Binaries are the paths of the programs.
 type Binaries struct {
 	Entry, Agent, Operator, Lab string
-	// Platform is the entry whose endpoints are reached directly, and Relay runs
+	// Platform is the entry that calls endpoints without agents, and Relay runs
 	// beside such endpoints.
 	Platform, Relay string
 }
 
-// Build builds the programs into dir. It must be called below the workspace.
+// Build compiles the programs into dir. The working directory must be in the workspace.
 func Build(dir string, race bool) (Binaries, error) {
 	args := []string{"build", "-o", dir + string(filepath.Separator)}
 	if race {
--- a/lab/procs/cluster.go
+++ b/lab/procs/cluster.go
@@ -27,42 +27,43 @@
 	TeamKey      = "cluster-key-puno"
 )
 
-// Options describe a Cluster.
+// Options configure a Cluster.
 type Options struct {
 	Binaries Binaries
-	// Zones are used in turn for entries and agents. Default: lima-a.
+	// Zones are assigned to entries and agents round-robin. Default: lima-a.
 	Zones   []id.Zone
 	Entries int
 	// Teams is the number of teams. Default: 1.
 	Teams int
 	// ModelEndpoints and PlainEndpoints are the numbers of endpoints of each service.
 	ModelEndpoints, PlainEndpoints int
-	// NoProxy lets entries reach agents directly.
+	// NoProxy connects entries to agents directly instead of through fault proxies.
 	NoProxy bool
-	// Services overrides the settings of the two services. Default: see defaultServices.
+	// Services overrides the two services. Default: see defaultServices.
 	Services []config.Service
-	// KeyDir is a directory for key material. Empty passes it in the environment.
+	// KeyDir is the directory for TLS keys. If empty, keys are passed in the environment.
 	KeyDir string
-	// EngineArgs, PlainArgs, AgentArgs and EntryArgs are added to the command lines.
+	// EngineArgs, PlainArgs, AgentArgs and EntryArgs are appended to the command lines.
 	EngineArgs, PlainArgs, AgentArgs, EntryArgs []string
-	// Ranks describes the group of ranks, nil for none.
+	// Ranks configures the group of ranks. Nil means none.
 	Ranks *RankOptions
 }
 
-// Endpoint is an agent with its back end. Entries reach the agent through Proxy.
+// Endpoint is an agent with its back end. Entries connect to the agent through Proxy,
+// which is nil with Options.NoProxy.
 type Endpoint struct {
 	Config     config.Endpoint
 	Agent      *Process
 	Backend    *Process
 	BackendURL string
 	Proxy      *faultproxy.UDP
-	// OperatorURL is the base URL of the agent's operator address.
+	// OperatorURL is the base URL of the agent's operator API.
 	OperatorURL string
 
 	args, env []string
 }
 
-// Entry is an entry process. It reaches the platform through Platform.
+// Entry is an entry process. It connects to the platform through PlatformProxy.
 type Entry struct {
 	Host          id.Host
 	Zone          id.Zone
@@ -75,7 +76,7 @@
 	args, env []string
 }
 
-// Cluster is a fleet of real processes.
+// Cluster is a fleet that runs as separate processes.
 type Cluster struct {
 	options     Options
 	authority   *keys.Authority
@@ -91,7 +92,7 @@
 // certValidity is how long the certificates of a cluster are valid.
 const certValidity = 24 * time.Hour
 
-// NewCluster starts all processes and waits until every entry is ready.
+// NewCluster starts all processes and waits until all entries are ready.
 func NewCluster(ctx context.Context, o Options) (*Cluster, error) {
 	if len(o.Zones) == 0 {
 		o.Zones = []id.Zone{"lima-a"}
@@ -119,7 +120,7 @@
 	if c.authority, err = keys.NewAuthority(certValidity); err != nil {
 		return err
 	}
-	if c.Platform, c.PlatformURL, err = c.startLab(ctx, "platform", "platform"); err != nil {
+	if c.Platform, c.PlatformURL, err = c.startStandin(ctx, "platform", "platform"); err != nil {
 		return err
 	}
 	if c.Store, err = objectapi.NewClient(objectapi.ClientConfig{BaseURL: c.PlatformURL, Caller: "lab"}); err != nil {
@@ -138,7 +139,7 @@
 			return err
 		}
 	}
-	if err := c.configure(ctx); err != nil {
+	if err := c.writeConfigs(ctx); err != nil {
 		return err
 	}
 	for i := range c.options.Entries {
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// startLab starts a stand-in and returns its URL.
-func (c *Cluster) startLab(ctx context.Context, name string, args ...string) (*Process, string, error) {
+// startStandin starts a stand-in and returns its base URL.
+func (c *Cluster) startStandin(ctx context.Context, name string, args ...string) (*Process, string, error) {
 	p, err := Start(name, c.options.Binaries.Lab, args, nil)
 	if err != nil {
 		return nil, "", err
@@ -181,7 +182,7 @@
 		command, extra, flag = "plain", c.options.PlainArgs, "--plain-url="
 	}
 	var err error
-	e.Backend, e.BackendURL, err = c.startLab(ctx, "backend-"+string(name), append([]string{command}, extra...)...)
+	e.Backend, e.BackendURL, err = c.startStandin(ctx, "backend-"+string(name), append([]string{command}, extra...)...)
 	if err != nil {
 		return err
 	}
@@ -190,7 +191,7 @@
 		return err
 	}
 	e.args = append([]string{"--endpoint=" + string(name), "--host=" + string(e.Config.Host), flag + e.BackendURL}, c.options.AgentArgs...)
-	c.addRanks(e, i)
+	c.assignRanks(e, i)
 	address, err := c.startAgent(ctx, e)
 	if err != nil {
 		return err
@@ -223,13 +224,13 @@
 }
 
 // RestartAgent starts the agent of an endpoint again at the same address. The
-// former process must have ended.
+// previous process must have exited.
 func (c *Cluster) RestartAgent(ctx context.Context, e *Endpoint) error {
 	_, err := c.startAgent(ctx, e)
 	return err
 }
 
-func (c *Cluster) configure(ctx context.Context) error {
+func (c *Cluster) writeConfigs(ctx context.Context) error {
 	endpoints := config.EndpointSet{}
 	for _, e := range c.Endpoints {
 		endpoints.Endpoints = append(endpoints.Endpoints, e.Config)
@@ -254,7 +255,7 @@
 	return id.Team(fmt.Sprintf("%s-%d", Team, i))
 }
 
-// TeamKey returns the API key of a team by its index.
+// TeamKey returns the API key of the i-th team.
 func (*Cluster) TeamKey(i int) string {
 	if i == 0 {
 		return TeamKey
@@ -262,7 +263,7 @@
 	return fmt.Sprintf("%s-%d", TeamKey, i)
 }
 
-// WriteConfig writes a configuration against the version that was seen.
+// WriteConfig writes a configuration on condition that its version is still seen.
 func (c *Cluster) WriteConfig(ctx context.Context, kind config.Kind, value any, seen uint64) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -286,7 +287,7 @@
 	}
 	e.args = append([]string{
 		"--host=" + string(e.Host), "--zone=" + string(e.Zone), "--platform-url=http://" + e.PlatformProxy.Addr(),
-		"--peer-listen=127.0.0.1:0", operatorArg(),
+		"--peer-listen=127.0.0.1:0", operatorKeyFlag(),
 	}, c.options.EntryArgs...)
 	if err := c.startEntry(ctx, e, "127.0.0.1:0", "127.0.0.1:0"); err != nil {
 		return err
@@ -311,15 +312,15 @@
 	for _, e := range c.Endpoints {
 		add(objectapi.Host{Name: e.Config.Host, Zone: e.Config.Zone, Role: string(keys.RoleAgent)})
 	}
-	return c.putLab(ctx, "/lab/hosts", list)
+	return c.putStandin(ctx, "/lab/hosts", list)
 }
 
 // SetPlatformFaults sets the faults of the platform stand-in.
 func (c *Cluster) SetPlatformFaults(ctx context.Context, f labplatform.Faults) error {
-	return c.putLab(ctx, "/lab/faults", f)
+	return c.putStandin(ctx, "/lab/faults", f)
 }
 
-func (c *Cluster) putLab(ctx context.Context, path string, body any) error {
+func (c *Cluster) putStandin(ctx context.Context, path string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrapf(err, "encode %s", path)
@@ -359,16 +360,16 @@
 	return nil
 }
 
-// RestartEntry starts an entry again at the same addresses. The former process
-// must have ended.
+// RestartEntry starts an entry again at the same addresses. The previous process
+// must have exited.
 func (c *Cluster) RestartEntry(ctx context.Context, e *Entry) error {
 	return c.startEntry(ctx, e, e.URL[len("http://"):], e.OperatorURL[len("http://"):])
 }
 
-// readyInterval is the time between questions for readiness.
-const readyInterval = 20 * time.Millisecond
+// readyPollInterval is the time between readiness probes.
+const readyPollInterval = 20 * time.Millisecond
 
-// AwaitReady waits until an entry reports that it is ready.
+// AwaitReady polls an entry's readiness endpoint until it succeeds.
 func AwaitReady(ctx context.Context, operators string) error {
 	for {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, operators+"/readyz", nil)
@@ -385,7 +386,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "entry at %s is not ready", operators)
-		case <-time.After(readyInterval):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
--- a/lab/procs/keys.go
+++ b/lab/procs/keys.go
@@ -13,8 +13,8 @@
 	"github.com/siskinford/siskinford/wire/keys"
 )
 
-// keyMode is the permission of files with keys.
-const keyMode = 0o600
+// keyFileMode is the permission of files with private keys.
+const keyFileMode = 0o600
 
 // identity is the role and host of one process.
 type identity struct {
@@ -27,8 +27,8 @@
 	return filepath.Join(c.options.KeyDir, string(i.role)+"-"+string(i.host)+"."+name)
 }
 
-// keyEnv issues key material and returns the settings that name it: as text, or
-// as files if Options.KeyDir is set.
+// keyEnv issues a TLS certificate and returns the environment variables that hold it
+// as PEM or, if Options.KeyDir is set, name its files.
 func (c *Cluster) keyEnv(role keys.Role, host id.Host) ([]string, error) {
 	material, err := c.authority.Issue(role, host, certValidity)
 	if err != nil {
@@ -51,15 +51,15 @@
 
 func (c *Cluster) writeKeys(i identity, m keys.Config) error {
 	for name, text := range map[string]string{"crt": m.Certificate, "key": m.Key, "authority": m.Authority} {
-		if err := os.WriteFile(c.keyFile(i, name), []byte(text), keyMode); err != nil {
+		if err := os.WriteFile(c.keyFile(i, name), []byte(text), keyFileMode); err != nil {
 			return errors.Wrapf(err, "write keys of %q", i.host)
 		}
 	}
 	return nil
 }
 
-// WriteKeys writes key material for all processes that is issued by one
-// authority and trusts others, as one step of a rotation.
+// WriteKeys writes new certificates for all processes, signed by issuer and with the
+// trusted authorities as trust bundle. It is one step of a rotation.
 func (c *Cluster) WriteKeys(issuer *keys.Authority, trusted ...*keys.Authority) error {
 	bundle := ""
 	for _, a := range trusted {
@@ -78,11 +78,11 @@
 	return nil
 }
 
-// Authority returns the authority that issued the first keys.
+// Authority returns the authority that signed the initial certificates.
 func (c *Cluster) Authority() *keys.Authority { return c.authority }
 
-// ReloadKeys tells all processes to read their keys again and waits until each has
-// logged the given event count times.
+// ReloadKeys makes all processes reload their keys by SIGHUP and waits until each has
+// logged the given event count times since its start.
 func (c *Cluster) ReloadKeys(ctx context.Context, event string, count int) error {
 	var all []*Process
 	for _, e := range c.Entries {
@@ -102,11 +102,10 @@
 	return nil
 }
 
-// KeyDir returns the directory with the key material.
 func (c *Cluster) KeyDir() string { return c.options.KeyDir }
 
-// ReloadKeys tells the entry to read its keys again.
+// ReloadKeys makes the entry reload its keys by SIGHUP.
 func (e *Entry) ReloadKeys() { e.Process.Signal(syscall.SIGHUP) }
 
-// ReloadKeys tells the agent to read its keys again.
+// ReloadKeys makes the agent reload its keys by SIGHUP.
 func (e *Endpoint) ReloadKeys() { e.Agent.Signal(syscall.SIGHUP) }
--- a/lab/procs/operator.go
+++ b/lab/procs/operator.go
@@ -19,18 +19,18 @@
 	OperatorKey = "cluster-operator-key"
 )
 
-// operatorArg is the setting of entries that lets the cluster's operator in.
-func operatorArg() string {
+// operatorKeyFlag is the flag by which entries accept the operator's key.
+func operatorKeyFlag() string {
 	return "--operator-key-hash=" + Operator + "=" + config.HashKey(OperatorKey)
 }
 
-// Result is the output of a program that has ended.
+// Result is the output and exit code of a program.
 type Result struct {
 	Stdout, Stderr string
 	Code           int
 }
 
-// OperatorEnv is the environment in which the operators' program reaches an entry.
+// OperatorEnv returns the environment variables that connect the operator CLI to an entry.
 func (c *Cluster) OperatorEnv(e *Entry) []string {
 	return []string{
 		settings.EnvName("entry") + "=" + e.OperatorURL,
@@ -38,14 +38,14 @@
 	}
 }
 
-// RunOperator runs the operators' program against an entry and waits for its end.
+// RunOperator runs the operator CLI against an entry and waits for it to exit.
 func (c *Cluster) RunOperator(ctx context.Context, e *Entry, stdin string, args ...string) (Result, error) {
 	cmd := exec.CommandContext(ctx, c.options.Binaries.Operator, args...)
 	cmd.Env = append(os.Environ(), c.OperatorEnv(e)...)
 	return RunCommand(cmd, stdin)
 }
 
-// RunCommand runs a command to its end.
+// RunCommand runs a command until it exits. A nonzero exit code is not an error.
 func RunCommand(cmd *exec.Cmd, stdin string) (Result, error) {
 	var stdout, stderr bytes.Buffer
 	cmd.Stdin = strings.NewReader(stdin)
@@ -59,8 +59,8 @@
 	return r, nil
 }
 
-// Secrets returns texts that no process may print: the keys of the team and of
-// the operator, and lines of all private TLS keys.
+// Secrets returns strings that must not appear in any output: the keys of the team
+// and of the operator, and the lines of all private TLS keys passed in the environment.
 func (c *Cluster) Secrets() []string {
 	out := []string{TeamKey, OperatorKey}
 	var env []string
--- a/lab/procs/process.go
+++ b/lab/procs/process.go
@@ -1,5 +1,5 @@
-// Package procs runs the programs of the repository as real processes, for
-// integration tests and measurements.
+// Package procs runs the repository's programs as separate processes for integration
+// tests and measurements.
 package procs
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLogLines bounds the output that is kept of a process.
+// maxLogLines bounds the output kept per process. Later lines are dropped.
 const maxLogLines = 20_000
 
 // Process is a running program.
@@ -27,13 +27,12 @@
 	cmd  *exec.Cmd
 	done chan struct{}
 
-	// mu is a leaf lock.
-	mu      sync.Mutex
+	mu      sync.Mutex // leaf lock
 	lines   []string
 	changed chan struct{}
 }
 
-// Start runs a program. Env is added to the environment.
+// Start starts a program with env added to the environment.
 func Start(name, path string, args, env []string) (*Process, error) {
 	p := &Process{name: name, cmd: exec.Command(path, args...), done: make(chan struct{}), changed: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
@@ -49,8 +48,8 @@
 		return nil, errors.Wrapf(err, "start %s", name)
 	}
 	var readers sync.WaitGroup
-	readers.Go(func() { p.collect(stdout) })
-	readers.Go(func() { p.collect(stderr) })
+	readers.Go(func() { p.collectLines(stdout) })
+	readers.Go(func() { p.collectLines(stderr) })
 	go func() {
 		readers.Wait()
 		_ = p.cmd.Wait()
@@ -65,7 +64,7 @@
 // PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-func (p *Process) collect(r io.Reader) {
+func (p *Process) collectLines(r io.Reader) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
@@ -79,7 +78,7 @@
 	}
 }
 
-// Output returns what the process has printed.
+// Output returns the stdout and stderr lines so far, in order of arrival.
 func (p *Process) Output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +88,7 @@
 // Event is a line of a JSON log.
 type Event map[string]any
 
-// Field returns a field as text.
+// Field returns a string field, or "" if it is missing or not a string.
 func (e Event) Field(field string) string {
 	text, _ := e[field].(string)
 	return text
@@ -109,7 +108,7 @@
 	return found, errors.Wrapf(err, "event %q", name)
 }
 
-// AwaitEvents waits for the given number of log lines with an event name.
+// AwaitEvents waits until count log lines with an event name have been printed.
 func (p *Process) AwaitEvents(ctx context.Context, name string, count int) error {
 	err := p.awaitLine(ctx, func(line string) bool {
 		var e Event
@@ -121,8 +120,7 @@
 	return errors.Wrapf(err, "events %q", name)
 }
 
-// AwaitEventField waits for a log line with the given event name that carries a
-// value in a field.
+// AwaitEventField waits for a log line with the given event name and field value.
 func (p *Process) AwaitEventField(ctx context.Context, name, field, value string) error {
 	err := p.awaitLine(ctx, func(line string) bool {
 		var e Event
@@ -157,7 +155,7 @@
 		select {
 		case <-changed:
 		case <-p.done:
-			return errors.Newf("%s has ended: %s", p.name, p.Output())
+			return errors.Newf("%s exited: %s", p.name, p.Output())
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "%s printed: %s", p.name, p.Output())
 		}
@@ -167,57 +165,57 @@
 // Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Suspend stops the process until Thaw.
+// Suspend stops the process with SIGSTOP until Resume.
 func (p *Process) Suspend() { p.Signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Done is closed when the process has ended.
+// Done is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Stop asks the process to end, waits and returns its exit code.
+// Stop sends SIGTERM, waits for the process to exit and returns its exit code.
 func (p *Process) Stop(ctx context.Context) (int, error) {
 	p.Signal(syscall.SIGTERM)
 	return p.Wait(ctx)
 }
 
-// Wait waits for the end of the process and returns its exit code.
+// Wait waits for the process to exit and returns its exit code.
 func (p *Process) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode(), nil
 	case <-ctx.Done():
-		return 0, errors.Wrapf(ctx.Err(), "%s has not ended", p.name)
+		return 0, errors.Wrapf(ctx.Err(), "%s has not exited", p.name)
 	}
 }
 
-// clockTick is the unit of processor time in the process table.
+// clockTick is the unit of CPU time in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// CPU returns the processor time that the process has used.
+// CPU returns the user and system CPU time of the process.
 func (p *Process) CPU() (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
-		return 0, errors.Wrapf(err, "processor time of %s", p.name)
+		return 0, errors.Wrapf(err, "CPU time of %s", p.name)
 	}
 	_, fields, _ := strings.Cut(string(data), ") ")
 	var user, system int64
 	columns := strings.Fields(fields)
 	if len(columns) < 13 {
-		return 0, errors.Newf("process table entry of %s is malformed", p.name)
+		return 0, errors.Newf("/proc/PID/stat of %s is malformed", p.name)
 	}
 	if _, err := fmt.Sscan(columns[11], &user); err != nil {
-		return 0, errors.Wrapf(err, "processor time of %s", p.name)
+		return 0, errors.Wrapf(err, "CPU time of %s", p.name)
 	}
 	if _, err := fmt.Sscan(columns[12], &system); err != nil {
-		return 0, errors.Wrapf(err, "processor time of %s", p.name)
+		return 0, errors.Wrapf(err, "CPU time of %s", p.name)
 	}
 	return time.Duration(user+system) * clockTick, nil
 }
--- a/lab/procs/ranks.go
+++ b/lab/procs/ranks.go
@@ -19,22 +19,22 @@
 // Group is the name of the group of ranks of a Cluster.
 const Group id.Group = "asistente-ranks"
 
-// RankOptions describe the group of ranks of a Cluster, whose ranks are spread
-// over the endpoints of the model service.
+// RankOptions configure the group of ranks of a Cluster. Its ranks are divided evenly
+// among the endpoints of the model service.
 type RankOptions struct {
-	// Experts describes the group. Its number of ranks is a multiple of the endpoints.
+	// Experts configures the group. Its number of ranks is a multiple of the endpoints.
 	Experts config.Experts
-	// Args are added to the command line of the engines' stand-in.
+	// Args are appended to the command line of the engines' stand-in.
 	Args []string
 }
 
-// Ranks is the stand-in of the engines of all ranks.
+// Ranks is the stand-in process for the engines of all ranks.
 type Ranks struct {
 	Process *Process
 	URL     string
 }
 
-// startRanks starts the engines and puts the group into the configuration.
+// startRanks starts the engines and adds the group to the model service.
 func (c *Cluster) startRanks(ctx context.Context) error {
 	o := c.options.Ranks
 	if o == nil {
@@ -50,13 +50,13 @@
 		"ranks", "--size=" + strconv.Itoa(o.Experts.Ranks), "--layers=" + strconv.Itoa(o.Experts.Layers),
 		"--experts=" + strconv.Itoa(o.Experts.PerLayer),
 	}, o.Args...)
-	p, url, err := c.startLab(ctx, "ranks", args...)
+	p, url, err := c.startStandin(ctx, "ranks", args...)
 	c.Ranks = &Ranks{Process: p, URL: url}
 	return err
 }
 
-// addRanks gives the i-th endpoint of the model service its ranks.
-func (c *Cluster) addRanks(e *Endpoint, i int) {
+// assignRanks assigns the i-th endpoint of the model service its ranks.
+func (c *Cluster) assignRanks(e *Endpoint, i int) {
 	if c.Ranks == nil || e.Config.Service != ModelService {
 		return
 	}
@@ -70,14 +70,14 @@
 	e.args = append(e.args, "--group="+string(Group), "--ranks="+strings.Join(indices, ","), "--rank-urls="+strings.Join(urls, ","))
 }
 
-// Summary returns the state of the witness.
+// Summary returns the maps in use and the split steps that the stand-in recorded.
 func (r *Ranks) Summary(ctx context.Context) (ranks.Summary, error) {
 	var s ranks.Summary
 	err := r.call(ctx, http.MethodGet, "/lab/summary", nil, &s)
 	return s, err
 }
 
-// Steps returns the records of the last steps.
+// Steps returns the records of the latest steps.
 func (r *Ranks) Steps(ctx context.Context) ([]ranks.StepRecord, error) {
 	var s []ranks.StepRecord
 	err := r.call(ctx, http.MethodGet, "/lab/steps", nil, &s)
@@ -89,7 +89,7 @@
 	return r.call(ctx, http.MethodPut, fmt.Sprintf("/lab/ranks/%d/faults", rank), f, nil)
 }
 
-// Restart replaces the engine of a rank by one that holds nothing.
+// Restart replaces the engine of a rank by one without state.
 func (r *Ranks) Restart(ctx context.Context, rank int) error {
 	return r.call(ctx, http.MethodPost, fmt.Sprintf("/lab/ranks/%d/restart", rank), nil, nil)
 }
