--- a/lab/weightstore/weightstore.go
+++ b/lab/weightstore/weightstore.go
@@ -1,5 +1,5 @@
-// Package weightstore is a stand-in for a rate-limited store of expert weights.
-// The weights are zero bytes.
+// Package weightstore is a test stand-in for a rate-limited store of expert weights,
+// whose content is all zeros.
 package weightstore
 
 import (
@@ -19,19 +19,19 @@
 	maxExpertBytes     = 1 << 32
 )
 
-// HeaderCaller names the caller for whom bytes are counted.
+// HeaderCaller is the request header with the caller whose bytes are counted.
 const HeaderCaller = "X-Caller"
 
-// Config sets up a Store.
+// Config configures a Store.
 type Config struct {
-	// BytesPerSecond bounds all answers together. Zero means no bound.
+	// BytesPerSecond limits the rate of all responses together. Zero means no limit.
 	BytesPerSecond int
-	// Burst is the bound's bucket and the size of one write. Default 64 KiB.
+	// Burst is the size in bytes of the token bucket and of each write. Default 64 KiB.
 	Burst int
-	// ExpertBytes is the size of one expert in one layer. Default 1 MiB. A
-	// request may ask for another size by the query parameter bytes.
+	// ExpertBytes is the size of one expert in one layer. Default 1 MiB. The query
+	// parameter bytes overrides it for a request.
 	ExpertBytes int64
-	// Layers and Experts bound the indices. Zero means no bound.
+	// Layers and Experts are the exclusive upper bounds of the indices. Zero means none.
 	Layers, Experts int
 }
 
@@ -41,12 +41,10 @@
 	limiter *rate.Limiter
 	zeros   []byte
 
-	// mu is a leaf lock.
-	mu    sync.Mutex
-	bytes map[string]int64
+	mu            sync.Mutex // leaf lock
+	bytesByCaller map[string]int64
 }
 
-// New returns a store.
 func New(c Config) *Store {
 	if c.Burst <= 0 {
 		c.Burst = defaultBurst
@@ -59,35 +57,35 @@
 		limit = rate.Limit(c.BytesPerSecond)
 	}
 	return &Store{
-		config:  c,
-		limiter: rate.NewLimiter(limit, c.Burst),
-		zeros:   make([]byte, c.Burst),
-		bytes:   make(map[string]int64),
+		config:        c,
+		limiter:       rate.NewLimiter(limit, c.Burst),
+		zeros:         make([]byte, c.Burst),
+		bytesByCaller: make(map[string]int64),
 	}
 }
 
-// Handler returns the HTTP interface: GET /weights/{layer}/{expert} and the
-// count of bytes by caller at GET /lab/bytes.
+// Handler returns the HTTP API: GET /weights/{layer}/{expert} sends weights, and
+// GET /lab/bytes returns the bytes sent by caller.
 func (s *Store) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/weights/{layer}/{expert}", s.serve)
+	r.Get("/weights/{layer}/{expert}", s.serveWeights)
 	r.Get("/lab/bytes", s.serveBytes)
 	return r
 }
 
-// Bytes returns the bytes sent to each caller.
-func (s *Store) Bytes() map[string]int64 {
+// BytesByCaller returns the bytes sent to each caller.
+func (s *Store) BytesByCaller() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.bytes)
+	return maps.Clone(s.bytesByCaller)
 }
 
-func (s *Store) serve(w http.ResponseWriter, r *http.Request) {
-	if !index(r, "layer", s.config.Layers) || !index(r, "expert", s.config.Experts) {
+func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request) {
+	if !validIndex(r, "layer", s.config.Layers) || !validIndex(r, "expert", s.config.Experts) {
 		http.Error(w, "layer or expert does not exist", http.StatusNotFound)
 		return
 	}
-	size, ok := s.size(r)
+	size, ok := s.requestedSize(r)
 	if !ok {
 		http.Error(w, "bytes is not a size", http.StatusBadRequest)
 		return
@@ -97,13 +95,13 @@
 	s.stream(w, r, size)
 }
 
-// index reports whether a path parameter is an index below the bound.
-func index(r *http.Request, name string, bound int) bool {
+// validIndex reports whether a path parameter is a valid index. A bound of zero means none.
+func validIndex(r *http.Request, name string, bound int) bool {
 	n, err := strconv.Atoi(chi.URLParam(r, name))
 	return err == nil && n >= 0 && (bound <= 0 || n < bound)
 }
 
-func (s *Store) size(r *http.Request) (int64, bool) {
+func (s *Store) requestedSize(r *http.Request) (int64, bool) {
 	text := r.URL.Query().Get("bytes")
 	if text == "" {
 		return s.config.ExpertBytes, true
@@ -112,8 +110,8 @@
 	return size, err == nil && size >= 0 && size <= maxExpertBytes
 }
 
-// stream sends size bytes at the limited rate, without holding back in buffers
-// what the rate allows.
+// stream sends size bytes at the limited rate. It flushes each write, so that
+// buffering does not delay what the rate allows.
 func (s *Store) stream(w http.ResponseWriter, r *http.Request, size int64) {
 	caller := r.Header.Get(HeaderCaller)
 	flusher := http.NewResponseController(w)
@@ -136,10 +134,10 @@
 func (s *Store) count(caller string, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bytes[caller] += int64(n)
+	s.bytesByCaller[caller] += int64(n)
 }
 
 func (s *Store) serveBytes(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(s.Bytes()) // The client has gone if this fails.
+	_ = json.NewEncoder(w).Encode(s.BytesByCaller()) // fails only if the client has disconnected
 }
--- a/lab/weightstore/weightstore_test.go
+++ b/lab/weightstore/weightstore_test.go
@@ -12,7 +12,7 @@
 	"github.com/siskinford/siskinford/lab/weightstore"
 )
 
-func TestServesWeightsAndCountsThem(t *testing.T) {
+func TestServesWeightsAndCountsBytes(t *testing.T) {
 	store := weightstore.New(weightstore.Config{ExpertBytes: 100_000, Layers: 2, Experts: 4})
 	handler := store.Handler()
 	tests := []struct {
@@ -38,12 +38,12 @@
 		}
 		total += test.bytes
 	}
-	assert.DeepEqual(t, store.Bytes(), map[string]int64{"rank-1": int64(total)})
+	assert.DeepEqual(t, store.BytesByCaller(), map[string]int64{"rank-1": int64(total)})
 }
 
-func TestRateIsLimited(t *testing.T) {
-	// The bucket's second filling would take longer than the caller waits,
-	// which the store knows at once.
+func TestLimitsRate(t *testing.T) {
+	// The second burst would take longer than the request's deadline, so the
+	// limiter rejects it without waiting.
 	const burst = 8000
 	store := weightstore.New(weightstore.Config{BytesPerSecond: 1, Burst: burst, ExpertBytes: 2 * burst})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
@@ -51,5 +51,5 @@
 	recorder := httptest.NewRecorder()
 	store.Handler().ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, http.MethodGet, "/weights/0/0", nil))
 	assert.Equal(t, recorder.Body.Len(), burst)
-	assert.DeepEqual(t, store.Bytes(), map[string]int64{"": burst})
+	assert.DeepEqual(t, store.BytesByCaller(), map[string]int64{"": burst})
 }
