--- a/lab/serve/certs.go
+++ b/lab/serve/certs.go
@@ -14,10 +14,10 @@
 	"github.com/siskinford/siskinford/wire/keys"
 )
 
-// keyMode is the permission of files with private keys.
-const keyMode = 0o600
+// keyFileMode is the permission of files with private keys.
+const keyFileMode = 0o600
 
-// Certs is the subcommand that creates key material for development.
+// Certs is the subcommand that creates TLS certificates and keys for development.
 type Certs struct {
 	dir     string
 	entries int
@@ -41,7 +41,7 @@
 	f.StringVar(&c.dir, "dir", "", "directory for the files; required")
 	f.IntVar(&c.entries, "entries", 1, "number of entries")
 	f.IntVar(&c.agents, "agents", 1, "number of agents")
-	f.DurationVar(&c.valid, "valid", 24*time.Hour, "validity")
+	f.DurationVar(&c.valid, "valid", 24*time.Hour, "validity period")
 }
 
 // Execute implements subcommands.Command.
@@ -85,7 +85,7 @@
 		{name + ".key", material.Key},
 		{"authority.crt", material.Authority},
 	} {
-		if err := os.WriteFile(filepath.Join(c.dir, f.name), []byte(f.text), keyMode); err != nil {
+		if err := os.WriteFile(filepath.Join(c.dir, f.name), []byte(f.text), keyFileMode); err != nil {
 			return err
 		}
 	}
--- a/lab/serve/ranks.go
+++ b/lab/serve/ranks.go
@@ -12,7 +12,7 @@
 	"github.com/siskinford/siskinford/lab/ranks"
 )
 
-// Ranks is the subcommand of the stand-in for the engines of a group of ranks.
+// Ranks is the subcommand that runs the stand-in for the engines of a group of ranks.
 type Ranks struct {
 	listen string
 	config ranks.Config
@@ -38,7 +38,7 @@
 	f.IntVar(&c.config.Experts, "experts", 16, "experts of a layer")
 	f.DurationVar(&c.config.StepTime, "step-time", 5*time.Millisecond, "time of a step without tokens")
 	f.DurationVar(&c.config.TokenTime, "token-time", 0, "time added to a step for each token of a rank; 0 selects the default")
-	f.DurationVar(&c.config.Jitter, "jitter", 0, "longest random delay before a rank begins a step")
+	f.DurationVar(&c.config.Jitter, "jitter", 0, "maximum random delay before a rank begins a step")
 	f.DurationVar(&c.config.StageTime, "stage-time", 0, "time in which a rank loads the weights of a map; 0 selects the default")
 	f.Float64Var(&c.config.Tokens, "tokens", 0, "tokens of a layer in each step; 0 selects the default")
 	f.DurationVar(&c.config.Drift, "drift", 0, "time between changes of the experts' popularity; 0 means none")
--- a/lab/serve/reverseproxy.go
+++ b/lab/serve/reverseproxy.go
@@ -11,8 +11,8 @@
 	"github.com/google/subcommands"
 )
 
-// ReverseProxy is the subcommand of the baseline for the path: the standard
-// library's reverse proxy, which flushes each write at once.
+// ReverseProxy is the subcommand that runs the baseline of the latency measurements:
+// the standard library's reverse proxy, flushing after each write.
 type ReverseProxy struct {
 	listen string
 	target string
--- a/lab/serve/serve.go
+++ b/lab/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve holds the subcommands that run one stand-in as a process.
+// Package serve implements the subcommands that run a test stand-in as a server process.
 package serve
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/siskinford/siskinford/lab/platform"
 )
 
-// defaultListen is a free port of loopback.
+// defaultListen selects a free loopback port.
 const defaultListen = "127.0.0.1:0"
 
-// serve serves h until the process is told to stop. It prints the address as
-// "listening on URL".
+// serve serves h until SIGINT or SIGTERM. It prints "listening on URL", which tests
+// parse.
 func serve(listen string, h http.Handler) subcommands.ExitStatus {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return subcommands.ExitSuccess
 }
 
-// Platform is the subcommand of the platform stand-in.
+// Platform is the subcommand that runs the platform stand-in.
 type Platform struct {
 	listen string
 	config platform.Config
@@ -58,9 +58,9 @@
 // SetFlags implements subcommands.Command.
 func (c *Platform) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.listen, "listen", defaultListen, "TCP address")
-	f.Float64Var(&c.config.WritesPerSecond, "writes", 0, "limit of writes a second; 0 selects the default")
-	f.Float64Var(&c.config.ReadsPerSecond, "reads", 0, "limit of reads a second; 0 selects the default")
-	f.DurationVar(&c.config.HostLag, "host-lag", 0, "time after which a change of the host list shows")
+	f.Float64Var(&c.config.WritesPerSecond, "writes", 0, "limit of writes per second; 0 selects the default")
+	f.Float64Var(&c.config.ReadsPerSecond, "reads", 0, "limit of reads per second; 0 selects the default")
+	f.DurationVar(&c.config.HostLag, "host-lag", 0, "delay until a change of the host list becomes visible")
 }
 
 // Execute implements subcommands.Command.
@@ -68,7 +68,7 @@
 	return serve(c.listen, platform.New(c.config).Handler())
 }
 
-// Engine is the subcommand of the model engine stand-in.
+// Engine is the subcommand that runs the model engine stand-in.
 type Engine struct {
 	listen string
 	config engine.Config
@@ -91,7 +91,7 @@
 	f.DurationVar(&c.config.SequenceTime, "sequence-time", 0, "time added to a step for each running sequence")
 	f.DurationVar(&c.config.PrefillTime, "prefill-time", 0, "time added to a step for each prompt token that is not cached")
 	f.IntVar(&c.config.Slots, "slots", 16, "sequences that run at the same time")
-	f.DurationVar(&c.config.LoadLag, "load-lag", 0, "least age of load reports")
+	f.DurationVar(&c.config.LoadLag, "load-lag", 0, "minimum age of load reports")
 	f.BoolVar(&c.config.Fencing, "fencing", false, "refuse orders with an old epoch")
 }
 
@@ -103,7 +103,7 @@
 	return serve(c.listen, e.Handler())
 }
 
-// Plain is the subcommand of the plain service stand-in.
+// Plain is the subcommand that runs the plain service stand-in.
 type Plain struct {
 	listen string
 	config plainservice.Config
