--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the whole fleet inside one process: a request of each kind
-// with its route and outcome, then a clean stop.
+// Package demo implements the subcommand that runs a whole fleet in one process, sends
+// a request of each kind, prints its route and outcome, and shuts down gracefully.
 package demo
 
 import (
--- a/lab/demo/tour.go
+++ b/lab/demo/tour.go
@@ -16,15 +16,15 @@
 	"github.com/siskinford/siskinford/lab/fleet"
 )
 
-// stop is one request of the tour.
-type stop struct {
-	title  string
-	method string
-	path   string
-	body   string
-	key    string
-	// status is the HTTP status that the tour expects.
-	status int
+// tourRequest is one request of the tour.
+type tourRequest struct {
+	title          string
+	method         string
+	path           string
+	body           string
+	idempotencyKey string
+	// wantStatus is the expected HTTP status.
+	wantStatus int
 }
 
 const chatBody = `{"model":"asistente-1","stream":%t,"max_tokens":8,"messages":[{"role":"user","content":"mark=%s a chest for Candelaria"}]}`
@@ -36,7 +36,7 @@
 		return err
 	}
 	reservation := `{"id":"chest-7","holder":"school of Arequipa"}`
-	stops := []stop{
+	requests := []tourRequest{
 		{"chat completion, whole", http.MethodPost, "/v1/chat/completions", fmt.Sprintf(chatBody, false, "whole"), "", 200},
 		{"chat completion, streamed", http.MethodPost, "/v1/chat/completions", fmt.Sprintf(chatBody, true, "streamed"), "", 200},
 		{"list of models", http.MethodGet, "/v1/models", "", "", 200},
@@ -45,9 +45,9 @@
 		{"the same reservation again", http.MethodPost, "/v1/services/mostrador/reservations", reservation, ticket, 201},
 		{"unknown model", http.MethodPost, "/v1/chat/completions", `{"model":"none","messages":[{"role":"user","content":"x"}]}`, "", 404},
 	}
-	for i, s := range stops {
+	for i, request := range requests {
 		e := f.Entries[i%len(f.Entries)]
-		if err := visit(ctx, f, e, s, out); err != nil {
+		if err := sendAndPrint(ctx, f, e, request, out); err != nil {
 			return err
 		}
 	}
@@ -55,7 +55,7 @@
 }
 
 func issueTicket(ctx context.Context, e *fleet.Entry) (string, error) {
-	response, body, err := send(ctx, e, stop{method: http.MethodPost, path: "/v1/services/mostrador/tickets"})
+	response, body, err := send(ctx, e, tourRequest{method: http.MethodPost, path: "/v1/services/mostrador/tickets"})
 	if err != nil {
 		return "", err
 	}
@@ -69,14 +69,14 @@
 	return t.Ticket, errors.Wrap(err, "decode ticket")
 }
 
-func send(ctx context.Context, e *fleet.Entry, s stop) (*http.Response, []byte, error) {
+func send(ctx context.Context, e *fleet.Entry, s tourRequest) (*http.Response, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, s.method, e.URL()+s.path, strings.NewReader(s.body))
 	if err != nil {
 		return nil, nil, err
 	}
 	request.Header.Set("Authorization", "Bearer "+fleet.DemoKey)
-	if s.key != "" {
-		request.Header.Set("Idempotency-Key", s.key)
+	if s.idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", s.idempotencyKey)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -87,13 +87,13 @@
 	return response, body, errors.Wrap(err, "read answer")
 }
 
-func visit(ctx context.Context, f *fleet.Fleet, e *fleet.Entry, s stop, out io.Writer) error {
+func sendAndPrint(ctx context.Context, f *fleet.Fleet, e *fleet.Entry, s tourRequest, out io.Writer) error {
 	response, body, err := send(ctx, e, s)
 	if err != nil {
 		return err
 	}
-	if response.StatusCode != s.status {
-		return errors.Newf("%s: status %d instead of %d: %s", s.title, response.StatusCode, s.status, body)
+	if response.StatusCode != s.wantStatus {
+		return errors.Newf("%s: status %d instead of %d: %s", s.title, response.StatusCode, s.wantStatus, body)
 	}
 	result := response.Header.Get(outcome.Header)
 	if result == "" {
@@ -101,11 +101,11 @@
 	}
 	fmt.Fprintf(out, "%s\n  %s %s at %s: status %d, outcome %q\n", s.title, s.method, s.path, e.Host, response.StatusCode, result)
 	printRoute(f, e, response.Header.Get(problem.HeaderRequestID), out)
-	fmt.Fprintf(out, "  answer: %s\n\n", shorten(string(body)))
+	fmt.Fprintf(out, "  answer: %s\n\n", truncate(string(body)))
 	return nil
 }
 
-// printRoute prints the events of a request at the entry and at the agents.
+// printRoute prints the timeline events of a request from its entry and all agents.
 func printRoute(f *fleet.Fleet, e *fleet.Entry, request string, out io.Writer) {
 	match := func(ev timeline.Event) bool { return string(ev.Request) == request }
 	events := e.Ring.Events(match)
@@ -118,13 +118,13 @@
 	}
 }
 
-// shownBytes is the length up to which an answer is printed.
-const shownBytes = 160
+// maxAnswerBytes is the length at which printed answers are truncated.
+const maxAnswerBytes = 160
 
-func shorten(s string) string {
+func truncate(s string) string {
 	s = strings.TrimSpace(strings.ReplaceAll(s, "\n", " "))
-	if len(s) <= shownBytes {
+	if len(s) <= maxAnswerBytes {
 		return s
 	}
-	return s[:shownBytes] + "..."
+	return s[:maxAnswerBytes] + "..."
 }
