--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -7,72 +7,72 @@
 	"time"
 )
 
-// Bounds of the promises, as the site's settings give them.
+// Time bounds and budgets of the promises, which follow from the site's settings.
 const (
-	// settle is the time after a fault for which promises with a time bound wait.
-	settle = 3 * time.Second
-	// configBound is the time in which a configuration must be in force after its
-	// acknowledgement, and configOuter is added while the platform turned some away.
-	configBound = 2 * time.Second
-	configOuter = 5 * time.Second
-	// rollbackSlack is the time for which an older version may still be seen
-	// after a newer one, and slowSlack that of entries that were struck.
-	rollbackSlack = 250 * time.Millisecond
-	slowSlack     = 2 * time.Second
-	// drainBound is the time after which a leaving endpoint gets nothing new.
+	// settleTime is the time after a fault during which time-bound promises are not checked.
+	settleTime = 3 * time.Second
+	// configBound is the time from the acknowledgement of a configuration until it must be
+	// in force. configRejectedExtra is added while the platform rejects some entries.
+	configBound         = 2 * time.Second
+	configRejectedExtra = 5 * time.Second
+	// rollbackTolerance is the time for which an older version may still be seen after a
+	// newer one. faultyRollbackTolerance applies to entries with a recent fault.
+	rollbackTolerance       = 250 * time.Millisecond
+	faultyRollbackTolerance = 2 * time.Second
+	// drainBound is the time after which a leaving endpoint must get no new requests.
 	drainBound = 2 * time.Second
-	// lateBound is the time past a client's patience by which it must have a final answer.
-	lateBound = 500 * time.Millisecond
-	// readSlack is the time after which a request counts as read by its entry.
-	readSlack = 200 * time.Millisecond
-	// RetryBudgetRatio and RetryBudgetExtra are the budget of further tries in retryWindow.
+	// answerTolerance is the time past a request's timeout by which the client must have an answer.
+	answerTolerance = 500 * time.Millisecond
+	// readTolerance is the time after which an entry is assumed to have read a request.
+	readTolerance = 200 * time.Millisecond
+	// RetryBudgetRatio and RetryBudgetExtra define the budget of retries within retryWindow.
 	RetryBudgetRatio = 0.05
 	RetryBudgetExtra = 10
 	retryWindow      = 10 * time.Second
-	// noticeBound is the time in which the platform notices that an entry is not
-	// ready: it asks each second and counts two misses.
-	noticeBound = 2 * time.Second
-	// recoverBound is the time in which all is served again after the last fault.
+	// readinessLag is the time in which the platform detects that an entry is not ready:
+	// it probes each second and needs two failures.
+	readinessLag = 2 * time.Second
+	// recoverBound is the time after the last fault in which all requests must be served again.
 	recoverBound = 12 * time.Second
-	// graceBound is the time in which a process ends that is asked to, at the latest.
-	graceBound = 8 * time.Second
+	// stopBound is the time within which a process must exit after a stop signal.
+	stopBound = 8 * time.Second
 )
 
-// Promises, by the names that reports use.
+// The promises, by their names in reports.
 const (
-	promiseOnce     = "an action runs once at most"
-	promiseTrue     = "what is said not to have run has not"
-	promiseOwn      = "a caller gets the whole answer to its own request"
-	promiseOrder    = "the events of a stream come in order, without gap or repetition"
-	promiseService  = "a request is run by the service of its route"
-	promiseMap      = "no pass begins with two maps"
-	promiseDrain    = "an endpoint that leaves gets no new work"
-	promiseConfig   = "an accepted configuration is in force everywhere"
-	promiseNoReturn = "a configuration never goes back"
-	promiseAllowed  = "what every configuration allows is not turned away"
-	promiseStop     = "a graceful stop cuts off no request"
-	promiseListen   = "an entry that leaves accepts connections until that is noticed"
-	promiseEnd      = "a process that is asked to stop ends within its grace"
-	promiseTime     = "a caller has a final answer when its time is over"
-	promiseBudget   = "further tries stay within the budget"
-	promiseRecover  = "all is served again after the faults"
-	promiseAlive    = "no process ends by itself"
-	promiseHeld     = "a group is not held for longer than a change takes"
+	promiseOnce       = "an action runs once at most"
+	promiseTrue       = "what is said not to have run has not"
+	promiseOwn        = "a caller gets the whole answer to its own request"
+	promiseOrder      = "the events of a stream come in order, without gap or repetition"
+	promiseService    = "a request is run by the service of its route"
+	promiseMap        = "no pass begins with two maps"
+	promiseDrain      = "an endpoint that leaves gets no new work"
+	promiseConfig     = "an accepted configuration is in force everywhere"
+	promiseNoRollback = "a configuration never goes back"
+	promiseAllowed    = "what every configuration allows is not turned away"
+	promiseStop       = "a graceful stop cuts off no request"
+	promiseListen     = "an entry that leaves accepts connections until that is noticed"
+	promiseEnd        = "a process that is asked to stop ends within its grace"
+	promiseTime       = "a caller has a final answer when its time is over"
+	promiseBudget     = "further tries stay within the budget"
+	promiseRecover    = "all is served again after the faults"
+	promiseAlive      = "no process ends by itself"
+	promiseHeld       = "a group is not held for longer than a change takes"
 )
 
-// checkReply checks what can be told from one exchange.
+// checkReply checks a reply against the request's runs and the expected content.
 func (r *run) checkReply(x *exchange) {
 	runs := r.site.Ledger().Runs(x.ID)
 	fail := func(promise, format string, args ...any) {
-		r.record.violate(Violation{
-			Promise: promise, At: x.Done, Request: x.ID,
+		r.record.addViolation(Violation{
+			Promise: promise, At: x.End, Request: x.ID,
 			Detail: fmt.Sprintf("%s at entry-%d: status %d, %v: ", x.Kind, x.Entry, x.Reply.Status, x.Reply.Err) + fmt.Sprintf(format, args...),
 		})
 	}
 	switch {
-	case saysNotRun(x.Reply.Status) && runs > 0:
+	case impliesNotRun(x.Reply.Status) && runs > 0:
 		fail(promiseTrue, "it ran %d times", runs)
-	case x.Reply.Status >= 300 && x.Reply.Status < 500 && !saysNotRun(x.Reply.Status) && x.Key == r.site.StableKey():
+	case x.Reply.Status >= 300 && x.Reply.Status < 500 && !impliesNotRun(x.Reply.Status) && x.Key == r.site.StableKey():
 		fail(promiseAllowed, "%s", x.Reply.Body)
 	case x.Reply.Status == http.StatusOK && !x.Reply.Signed:
 		fail(promiseOwn, "the answer is not signed: %q", x.Reply.Body)
@@ -93,7 +93,7 @@
 	}
 }
 
-func saysNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -101,10 +101,10 @@
 	return false
 }
 
-// check looks at all that was recorded. It may be called at any time.
-func (r *run) check() {
+// checkAll checks all records so far. It may be called at any time.
+func (r *run) checkAll() {
 	for _, v := range r.site.Group().Status().Violations {
-		r.record.violate(Violation{Promise: promiseMap, Detail: v})
+		r.record.addViolation(Violation{Promise: promiseMap, Detail: v})
 	}
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
@@ -118,92 +118,92 @@
 	r.checkBudget()
 }
 
-// checkRuns checks how often a request ran, also after it was answered.
+// checkRuns checks how often a request ran, including runs after its answer.
 func (r *run) checkRuns(x *exchange) {
 	runs := r.site.Ledger().Runs(x.ID)
 	if x.Kind == Issue && runs > 1 {
-		r.record.report(Violation{Promise: promiseOnce, At: x.At, Request: x.ID, Detail: fmt.Sprintf("it ran %d times", runs)})
+		r.record.addViolationLocked(Violation{Promise: promiseOnce, At: x.Start, Request: x.ID, Detail: fmt.Sprintf("it ran %d times", runs)})
 	}
-	if !x.Done.IsZero() && saysNotRun(x.Reply.Status) && runs > 0 {
-		r.record.report(Violation{Promise: promiseTrue, At: x.Done, Request: x.ID, Detail: fmt.Sprintf("it was answered %d and ran %d times", x.Reply.Status, runs)})
+	if !x.End.IsZero() && impliesNotRun(x.Reply.Status) && runs > 0 {
+		r.record.addViolationLocked(Violation{Promise: promiseTrue, At: x.End, Request: x.ID, Detail: fmt.Sprintf("it was answered %d and ran %d times", x.Reply.Status, runs)})
 	}
 }
 
-// checkTime checks that a calm entry answers in time.
+// checkTime checks that an undisturbed entry answers within the request's timeout.
 func (r *run) checkTime(x *exchange) {
-	end := x.Done
+	end := x.End
 	if end.IsZero() {
 		end = time.Now()
 	}
-	took := end.Sub(x.At)
-	if x.Left.IsZero() && took > x.Timeout+lateBound && r.record.calm(x.At, x.At.Add(x.Timeout+lateBound), Host{Entry, x.Entry}, Host{Kind: Clients}) {
-		r.record.report(Violation{Promise: promiseTime, At: x.At, Request: x.ID, Detail: fmt.Sprintf("entry-%d took %v of %v", x.Entry, took, x.Timeout)})
+	took := end.Sub(x.Start)
+	if x.AbortedAt.IsZero() && took > x.Timeout+answerTolerance && r.record.undisturbed(x.Start, x.Start.Add(x.Timeout+answerTolerance), Host{Entry, x.Entry}, Host{Kind: Clients}) {
+		r.record.addViolationLocked(Violation{Promise: promiseTime, At: x.Start, Request: x.ID, Detail: fmt.Sprintf("entry-%d took %v of %v", x.Entry, took, x.Timeout)})
 	}
 }
 
-// checkStop checks that a planned stop of the entry cut nothing off.
+// checkStop checks that a graceful stop of the entry cut off no request.
 func (r *run) checkStop(x *exchange) {
-	if x.Reply.Err == nil || x.Done.IsZero() || !x.Left.IsZero() {
+	if x.Reply.Err == nil || x.End.IsZero() || !x.AbortedAt.IsZero() {
 		return
 	}
 	stops := r.record.stopping[x.Entry]
-	if !slices.ContainsFunc(stops, func(s span) bool { return s.overlaps(x.At, x.Done) && x.At.Before(s.from.Add(3*time.Second)) }) {
+	if !slices.ContainsFunc(stops, func(s span) bool { return s.overlaps(x.Start, x.End) && x.Start.Before(s.from.Add(3*time.Second)) }) {
 		return
 	}
 	passedOn := len(r.record.arrivals[x.ID]) > 0
-	if !passedOn && x.Done.Sub(x.At) < readSlack {
-		return // It crossed the end of the connection.
+	if !passedOn && x.End.Sub(x.Start) < readTolerance {
+		return // sent while the connection was being closed
 	}
-	if !r.record.unstruck(x.At, x.Done, r.allHosts()...) {
+	if !r.record.faultFree(x.Start, x.End, r.allHosts()...) {
 		return
 	}
-	r.record.report(Violation{
-		Promise: promiseStop, At: x.Done, Request: x.ID,
-		Detail: fmt.Sprintf("%s at entry-%d ended without an answer after %v: %v; passed on: %v", x.Kind, x.Entry, x.Done.Sub(x.At), x.Reply.Err, passedOn),
+	r.record.addViolationLocked(Violation{
+		Promise: promiseStop, At: x.End, Request: x.ID,
+		Detail: fmt.Sprintf("%s at entry-%d ended without an answer after %v: %v; passed on: %v", x.Kind, x.Entry, x.End.Sub(x.Start), x.Reply.Err, passedOn),
 	})
 }
 
-// checkArrivals checks what reached back ends.
+// checkArrivals checks that requests reached endpoints of the right service that are not draining.
 func (r *run) checkArrivals() {
 	for request, list := range r.record.arrivals {
 		for _, a := range list {
 			if want := r.site.Service(a.Path); want != "" && a.Service != want {
-				r.record.report(Violation{Promise: promiseService, At: a.At, Request: request, Detail: fmt.Sprintf("%s of service %s got %s", a.Endpoint, a.Service, a.Path)})
+				r.record.addViolationLocked(Violation{Promise: promiseService, At: a.At, Request: request, Detail: fmt.Sprintf("%s of service %s got %s", a.Endpoint, a.Service, a.Path)})
 			}
 			since, ok := r.record.leaving[a.Endpoint]
 			if !ok || a.At.Before(since.Add(drainBound)) {
 				continue
 			}
-			if r.record.calm(since, a.At, Host{Entry, a.entry}, Host{Kind: Platform}) {
-				r.record.report(Violation{Promise: promiseDrain, At: a.At, Request: request, Detail: fmt.Sprintf("%s got it from entry-%d %v after it said that it leaves", a.Endpoint, a.entry, a.At.Sub(since))})
+			if r.record.undisturbed(since, a.At, Host{Entry, a.entry}, Host{Kind: Platform}) {
+				r.record.addViolationLocked(Violation{Promise: promiseDrain, At: a.At, Request: request, Detail: fmt.Sprintf("%s got it from entry-%d %v after it said that it leaves", a.Endpoint, a.entry, a.At.Sub(since))})
 			}
 		}
 	}
 }
 
-// checkConfig checks by which generations requests were handled.
+// checkConfig checks that entries apply accepted generations in time and never roll back.
 func (r *run) checkConfig() {
 	type seen struct {
 		generation int
 		at         time.Time
 	}
-	newest := make(map[string]seen) // by incarnation of an entry
+	newest := make(map[string]seen) // by entry and incarnation
 	for _, x := range r.record.exchanges {
 		for _, a := range r.record.arrivals[x.ID] {
 			g, ok := r.site.Generation(a.Team)
 			if !ok {
 				continue
 			}
-			if required := r.required(x, a.entry); g < required {
-				r.record.report(Violation{Promise: promiseConfig, At: x.At, Request: x.ID, Detail: fmt.Sprintf("entry-%d handled it by generation %d, %d was accepted", a.entry, g, required)})
+			if required := r.requiredGeneration(x, a.entry); g < required {
+				r.record.addViolationLocked(Violation{Promise: promiseConfig, At: x.Start, Request: x.ID, Detail: fmt.Sprintf("entry-%d handled it by generation %d, %d was accepted", a.entry, g, required)})
 			}
-			of := fmt.Sprintf("%d/%d", a.entry, r.incarnation(a.entry, x.At))
-			slack := rollbackSlack
-			if !r.record.calm(x.At, a.At, Host{Entry, a.entry}) {
-				slack = slowSlack
+			of := fmt.Sprintf("%d/%d", a.entry, r.incarnation(a.entry, x.Start))
+			slack := rollbackTolerance
+			if !r.record.undisturbed(x.Start, a.At, Host{Entry, a.entry}) {
+				slack = faultyRollbackTolerance
 			}
-			if n := newest[of]; g < n.generation && x.At.After(n.at.Add(slack)) {
-				r.record.report(Violation{Promise: promiseNoReturn, At: x.At, Request: x.ID, Detail: fmt.Sprintf("entry-%d handled it by generation %d after %d", a.entry, g, n.generation)})
+			if n := newest[of]; g < n.generation && x.Start.After(n.at.Add(slack)) {
+				r.record.addViolationLocked(Violation{Promise: promiseNoRollback, At: x.Start, Request: x.ID, Detail: fmt.Sprintf("entry-%d handled it by generation %d after %d", a.entry, g, n.generation)})
 			} else if g > n.generation {
 				newest[of] = seen{g, a.At}
 			}
@@ -211,26 +211,26 @@
 	}
 }
 
-// required returns the generation by which an entry must handle a request, zero
-// if the entry is not bound to any.
-func (r *run) required(x *exchange, entry int) int {
+// requiredGeneration returns the oldest generation that an entry may apply to a request,
+// or zero if any will do.
+func (r *run) requiredGeneration(x *exchange, entry int) int {
 	required := 0
 	for _, a := range r.record.acks {
 		bound := configBound
-		if !r.record.unstruck(a.sent, x.At, Host{Kind: RejectedEntries}) {
-			bound += configOuter
+		if !r.record.faultFree(a.sent, x.Start, Host{Kind: RejectedEntries}) {
+			bound += configRejectedExtra
 		}
-		if a.at.Add(bound).Before(x.At) && r.record.calm(a.sent, x.At, Host{Entry, entry}, Host{Kind: Platform}) {
+		if a.at.Add(bound).Before(x.Start) && r.record.undisturbed(a.sent, x.Start, Host{Entry, entry}, Host{Kind: Platform}) {
 			required = max(required, a.generation)
 		}
 	}
 	return required
 }
 
-// incarnation numbers the starts of an entry's process.
+// incarnation returns how often an entry's process was started before a time.
 func (r *run) incarnation(entry int, at time.Time) int {
 	n := 0
-	for _, s := range r.record.started[entry] {
+	for _, s := range r.record.starts[entry] {
 		if s.Before(at) {
 			n++
 		}
@@ -238,12 +238,12 @@
 	return n
 }
 
-// checkBudget checks the further tries of each service in all windows.
+// checkBudget checks the retries of each service against the budget in every window.
 func (r *run) checkBudget() {
 	requests, extra := make(map[string][]time.Time), make(map[string][]time.Time)
 	for _, x := range r.record.exchanges {
 		service := string(r.site.Service(r.site.Path(x.Request)))
-		requests[service] = append(requests[service], x.At)
+		requests[service] = append(requests[service], x.Start)
 		for i, a := range r.record.arrivals[x.ID] {
 			if i > 0 {
 				extra[service] = append(extra[service], a.At)
@@ -259,19 +259,19 @@
 					n++
 				}
 			}
-			owed := 0
+			budgeted := 0
 			for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
-				owed = max(owed, within(requests[service], from.Add(-back), retryWindow))
+				budgeted = max(budgeted, countWithin(requests[service], from.Add(-back), retryWindow))
 			}
-			if float64(n) > RetryBudgetRatio*float64(owed)+RetryBudgetExtra {
-				r.record.report(Violation{Promise: promiseBudget, At: from, Detail: fmt.Sprintf("service %s got %d further tries of %d requests within %v", service, n, owed, retryWindow)})
+			if float64(n) > RetryBudgetRatio*float64(budgeted)+RetryBudgetExtra {
+				r.record.addViolationLocked(Violation{Promise: promiseBudget, At: from, Detail: fmt.Sprintf("service %s got %d further tries of %d requests within %v", service, n, budgeted, retryWindow)})
 				return
 			}
 		}
 	}
 }
 
-func within(times []time.Time, from time.Time, length time.Duration) int {
+func countWithin(times []time.Time, from time.Time, length time.Duration) int {
 	n := 0
 	for _, t := range times {
 		if !t.Before(from) && t.Before(from.Add(length)) {
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -11,18 +11,18 @@
 	"github.com/siskinford/siskinford/lab/faults"
 )
 
-// strike begins a fault and returns what ends it. Nil ends by itself.
-type strike func(r *run, f Fault) (end func())
+// injector begins a fault and returns the function that ends it, nil if it ends by itself.
+type injector func(r *run, f Fault) (end func())
 
-// kinds are all faults by name.
-var kinds = map[string]strike{
+// injectors are the injectors by name of the fault.
+var injectors = map[string]injector{
 	"an entry is killed":                                        killEntry,
-	"the entry that last wrote is killed":                       func(r *run, f Fault) func() { f.Host = r.writer(f); return killEntry(r, f) },
+	"the entry that last wrote is killed":                       func(r *run, f Fault) func() { f.Host = r.lastWriter(f); return killEntry(r, f) },
 	"all entries are killed":                                    killAll,
 	"an entry freezes":                                          freezeEntry,
-	"the entry that last wrote freezes":                         func(r *run, f Fault) func() { f.Host = r.writer(f); return freezeEntry(r, f) },
+	"the entry that last wrote freezes":                         func(r *run, f Fault) func() { f.Host = r.lastWriter(f); return freezeEntry(r, f) },
 	"an entry is stopped":                                       stopEntry,
-	"entries are stopped in turn":                               stopInTurn,
+	"entries are stopped in turn":                               stopConsecutively,
 	"an entry is told that settings changed":                    reloadEntry,
 	"a relay is killed":                                         killRelay,
 	"a relay freezes":                                           freezeRelay,
@@ -34,50 +34,50 @@
 	"the platform resets connections":                           platform(faults.PlatformFaults{Reset: true}),
 	"the platform is slow":                                      platform(faults.PlatformFaults{Delay: 250 * time.Millisecond}),
 	"the platform loses answers":                                platform(faults.PlatformFaults{LateWrites: 0.4, LateWriteDelay: 1500 * time.Millisecond}),
-	"the platform turns some entries away":                      turnAway(faults.PlatformFaults{Silent: true}),
-	"the platform refuses some entries":                         turnAway(faults.PlatformFaults{Busy: true}),
-	"the platform forgets its history":                          compact,
+	"the platform turns some entries away":                      rejectSome(faults.PlatformFaults{Silent: true}),
+	"the platform refuses some entries":                         rejectSome(faults.PlatformFaults{Busy: true}),
+	"the platform forgets its history":                          compactHistory,
 	"a zone is cut off":                                         cutZone(faultproxy.Faults{CutToTarget: true, CutToClient: true}),
 	"a zone is cut off one way":                                 cutZone(faultproxy.Faults{CutToTarget: true}),
 	"a zone's connections are refused":                          cutZone(faultproxy.Faults{Refuse: true, Loss: 1}),
 	"an entry is cut off from the others":                       cutPeers,
 	"an entry loses packets to the others":                      losePackets,
-	"an endpoint goes dark":                                     darkEndpoint,
+	"an endpoint goes dark":                                     isolateEndpoint,
 	"an endpoint's connections are reset":                       resetEndpoint,
-	"an endpoint's connections fall silent":                     silenceEndpoint,
-	"all connections between entries and back ends fall silent": silenceAll,
+	"an endpoint's connections fall silent":                     blackholeEndpoint,
+	"all connections between entries and back ends fall silent": blackholeAll,
 	"clients' connections are reset":                            resetClients,
 	"links are slow":                                            slowLinks,
-	"plain endpoints lose answers":                              behave(Plain, faults.LoseAnswer),
-	"plain endpoints fail":                                      behave(Plain, faults.Fail),
-	"plain endpoints hang":                                      behave(Plain, faults.Hang),
-	"plain endpoints tear answers":                              behave(Plain, faults.Truncate),
-	"plain endpoints answer twice":                              behave(Plain, faults.DuplicateAnswer),
-	"plain endpoints confuse answers":                           behave(Plain, faults.WrongRequestID),
-	"plain endpoints leave out signatures":                      behave(Plain, faults.Unsigned),
-	"plain endpoints refuse":                                    behave(Plain, faults.Refuse),
-	"streams are torn":                                          behave(Model, faults.Truncate),
-	"streams have no length and are torn":                       behave(Model, faults.CloseDelimited),
-	"plain endpoints answer without a length":                   behave(Plain, faults.CloseDelimited),
-	"streams hang":                                              behave(Model, faults.Hang),
+	"plain endpoints lose answers":                              misbehave(Plain, faults.LoseAnswer),
+	"plain endpoints fail":                                      misbehave(Plain, faults.Fail),
+	"plain endpoints hang":                                      misbehave(Plain, faults.Hang),
+	"plain endpoints tear answers":                              misbehave(Plain, faults.Truncate),
+	"plain endpoints answer twice":                              misbehave(Plain, faults.DuplicateAnswer),
+	"plain endpoints confuse answers":                           misbehave(Plain, faults.WrongRequestID),
+	"plain endpoints leave out signatures":                      misbehave(Plain, faults.Unsigned),
+	"plain endpoints refuse":                                    misbehave(Plain, faults.Refuse),
+	"streams are torn":                                          misbehave(Model, faults.Truncate),
+	"streams have no length and are torn":                       misbehave(Model, faults.CloseDelimited),
+	"plain endpoints answer without a length":                   misbehave(Plain, faults.CloseDelimited),
+	"streams hang":                                              misbehave(Model, faults.Hang),
 	"a plain endpoint is replaced":                              replacePlain,
 	"a plain endpoint is replaced unseen":                       replaceUnseen,
 	"the configuration changes":                                 changeConfig,
 	"configurations come in quick succession":                   configStorm,
-	"many clients come at once":                                 burst,
+	"many clients come at once":                                 surge,
 }
 
-func faultNames() []string { return slices.Sorted(maps.Keys(kinds)) }
+func faultNames() []string { return slices.Sorted(maps.Keys(injectors)) }
 
-// planned are the kinds of planned work, which also come while nothing else is
-// wrong: what they promise is judged then.
-var planned = []string{
+// plannedWork are the planned operations, which also run while there are no faults, so
+// that their promises can be checked.
+var plannedWork = []string{
 	"a plain endpoint is replaced", "an entry is stopped", "the configuration changes", "configurations come in quick succession",
 	"an entry is told that settings changed",
 }
 
-// writer returns the entry that last wrote to the platform, or the fault's own.
-func (r *run) writer(f Fault) int {
+// lastWriter returns the entry that last wrote to the platform, or the fault's own if none did.
+func (r *run) lastWriter(f Fault) int {
 	if w := r.site.LastWriter(); w >= 0 {
 		return w
 	}
@@ -90,14 +90,14 @@
 
 func killEntry(r *run, f Fault) func() { return r.kill(r.entry(f.Host)) }
 
-// kill ends a host's process at once. The end of the fault starts it again.
+// kill kills a host's process, which is restarted when the fault ends.
 func (r *run) kill(h Host) func() {
-	calm := r.record.trouble(h)
-	r.down(h) // Whoever else keeps it down finds it ended.
+	endFault := r.record.markFaulty(h)
+	r.reserve(h) // a fault that has it reserved already finds the process ended
 	p := r.site.Process(h)
-	r.expect(p)
+	r.markEnded(p)
 	p.Kill()
-	return func() { r.up(h); r.awaitReady(h); calm() }
+	return func() { r.restart(h); r.awaitReady(h); endFault() }
 }
 
 func killAll(r *run, _ Fault) func() {
@@ -115,22 +115,22 @@
 func freezeEntry(r *run, f Fault) func() { return r.freeze(r.entry(f.Host)) }
 
 func (r *run) freeze(h Host) func() {
-	calm := r.record.trouble(h)
+	endFault := r.record.markFaulty(h)
 	p := r.site.Process(h)
 	p.Suspend()
-	return func() { p.Resume(); calm() }
+	return func() { p.Resume(); endFault() }
 }
 
 func killRelay(r *run, f Fault) func()   { return r.kill(r.rank(f.Host)) }
 func freezeRelay(r *run, f Fault) func() { return r.freeze(r.rank(f.Host)) }
 
-// stopEntry asks an entry to end and starts it again once it has.
+// stopEntry stops an entry gracefully and restarts it once it has exited.
 func stopEntry(r *run, f Fault) func() {
 	r.background.Go(func() { r.stop(r.entry(f.Host)) })
 	return nil
 }
 
-func stopInTurn(r *run, f Fault) func() {
+func stopConsecutively(r *run, f Fault) func() {
 	r.background.Go(func() {
 		for i := range 2 {
 			r.stop(r.entry(f.Host + i))
@@ -139,42 +139,42 @@
 	return nil
 }
 
-// stop is planned work: while nothing else happens, no request may be lost by it.
+// stop is a planned operation: in the absence of faults it must not lose a request.
 func (r *run) stop(h Host) {
-	if !r.down(h) {
+	if !r.reserve(h) {
 		return
 	}
 	p := r.site.Process(h)
-	r.expect(p)
-	done := r.record.stop(h.Index)
+	r.markEnded(p)
+	done := r.record.markStopping(h.Index)
 	p.Signal(stopSignal)
 	r.background.Go(func() { r.checkListening(h, time.Now()) })
-	ctx, cancel := context.WithTimeout(context.Background(), graceBound)
+	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
 	defer cancel()
 	began := time.Now()
 	if _, err := p.Wait(ctx); err != nil {
-		if r.record.undisturbed(began, time.Now(), h) {
-			r.record.violate(Violation{Promise: promiseEnd, Detail: fmt.Sprintf("%v: %v", h, err)})
+		if r.record.faultFreeLocking(began, time.Now(), h) {
+			r.record.addViolation(Violation{Promise: promiseEnd, Detail: fmt.Sprintf("%v: %v", h, err)})
 		}
 		p.Kill()
 	}
 	done()
-	calm := r.record.trouble(h) // It starts anew, which it has to cope with.
-	r.up(h)
+	endFault := r.record.markFaulty(h) // the restart counts as a fault until the entry is ready
+	r.restart(h)
 	r.awaitReady(h)
-	calm()
+	endFault()
 }
 
-// listenInterval is the time between looks whether a leaving entry listens.
+// listenInterval is the time between connection attempts to a leaving entry.
 const listenInterval = 100 * time.Millisecond
 
-// checkListening checks that a leaving entry accepts connections until the platform
-// can have noticed that it leaves.
+// checkListening checks that a leaving entry accepts connections until the platform can
+// have detected that it is leaving.
 func (r *run) checkListening(h Host, since time.Time) {
-	for time.Since(since) < noticeBound {
+	for time.Since(since) < readinessLag {
 		if !r.site.Listens(h.Index) {
-			if r.record.undisturbed(since, time.Now(), h) {
-				r.record.violate(Violation{Promise: promiseListen, Detail: fmt.Sprintf("%v refused a connection %v after it was asked to end", h, time.Since(since))})
+			if r.record.faultFreeLocking(since, time.Now(), h) {
+				r.record.addViolation(Violation{Promise: promiseListen, Detail: fmt.Sprintf("%v refused a connection %v after it was asked to end", h, time.Since(since))})
 			}
 			return
 		}
@@ -187,21 +187,21 @@
 	return nil
 }
 
-// loseRank takes a rank with the relay beside it away.
+// loseRank takes down a rank and the relay beside it.
 func loseRank(r *run, f Fault) func() {
 	h := r.rank(f.Host)
 	back := r.kill(h)
-	r.loss.Lock()
-	r.lost[h.Index]++
-	r.loss.Unlock()
+	r.lostMu.Lock()
+	r.lostRanks[h.Index]++
+	r.lostMu.Unlock()
 	r.site.Group().Lose(h.Index)
 	return func() {
-		r.loss.Lock()
-		r.lost[h.Index]--
-		if r.lost[h.Index] == 0 {
+		r.lostMu.Lock()
+		r.lostRanks[h.Index]--
+		if r.lostRanks[h.Index] == 0 {
 			r.site.Group().Return(h.Index)
 		}
-		r.loss.Unlock()
+		r.lostMu.Unlock()
 		back()
 	}
 }
@@ -213,57 +213,57 @@
 
 func shiftDemand(r *run, _ Fault) func() { r.site.Group().Shift(); return nil }
 
-func platform(t faults.PlatformFaults) strike {
+func platform(t faults.PlatformFaults) injector {
 	return func(r *run, _ Fault) func() {
-		calm := r.record.trouble(Host{Kind: Platform})
-		end := r.troubles.add(func(int) faults.PlatformFaults { return t })
-		return func() { end(); calm() }
+		endFault := r.record.markFaulty(Host{Kind: Platform})
+		end := r.platformFaults.add(func(int) faults.PlatformFaults { return t })
+		return func() { end(); endFault() }
 	}
 }
 
-// turnedFor is the time for which the platform turns entries away, longer than
-// those may take to learn of a configuration from others.
-const turnedFor = configBound + configOuter + 2*time.Second
+// rejectDuration is the time for which the platform rejects entries. It is longer than
+// those may take to get a configuration from other entries.
+const rejectDuration = configBound + configRejectedExtra + 2*time.Second
 
-// turnAway makes the platform turn every other entry away while it serves the rest.
-func turnAway(t faults.PlatformFaults) strike {
+// rejectSome makes the platform reject every other entry while it serves the rest.
+func rejectSome(t faults.PlatformFaults) injector {
 	return func(r *run, f Fault) func() {
-		calm := r.record.trouble(Host{Kind: RejectedEntries})
-		end := r.troubles.add(func(entry int) faults.PlatformFaults {
+		endFault := r.record.markFaulty(Host{Kind: RejectedEntries})
+		end := r.platformFaults.add(func(entry int) faults.PlatformFaults {
 			if (entry+f.Host)%2 == 0 {
 				return t
 			}
 			return faults.PlatformFaults{}
 		})
 		r.background.Go(func() {
-			r.sleep(turnedFor / 4)
+			r.sleep(rejectDuration / 4)
 			r.configure()
-			r.sleep(turnedFor * 3 / 4)
+			r.sleep(rejectDuration * 3 / 4)
 			end()
-			calm()
+			endFault()
 		})
 		return nil
 	}
 }
 
-func compact(r *run, _ Fault) func() {
-	calm := r.record.trouble(Host{Kind: Platform})
+func compactHistory(r *run, _ Fault) func() {
+	endFault := r.record.markFaulty(Host{Kind: Platform})
 	r.site.CompactPlatform()
-	return calm
+	return endFault
 }
 
-// links strikes links until the returned function is called.
-func (r *run) strikeLinks(hosts []Host, of func(from, to Host) faultproxy.Faults) func() {
-	calm := r.record.trouble(hosts...)
+// injectLinkFaults adds faults to links until the returned function is called.
+func (r *run) injectLinkFaults(hosts []Host, of func(from, to Host) faultproxy.Faults) func() {
+	endFault := r.record.markFaulty(hosts...)
 	end := r.links.add(of)
-	return func() { end(); calm() }
+	return func() { end(); endFault() }
 }
 
-func cutZone(x faultproxy.Faults) strike {
+func cutZone(x faultproxy.Faults) injector {
 	return func(r *run, f Fault) func() {
 		zone := f.Host % r.plan.Shape.Zones
 		hosts := append(r.allHosts(), Host{Kind: Platform})
-		return r.strikeLinks(hosts, func(from, to Host) faultproxy.Faults {
+		return r.injectLinkFaults(hosts, func(from, to Host) faultproxy.Faults {
 			if from.Kind == Clients || (r.site.Zone(from) == zone) == (r.site.Zone(to) == zone) {
 				return faultproxy.Faults{}
 			}
@@ -272,7 +272,7 @@
 	}
 }
 
-// entries returns all entries, which a fault of a link between two of them concerns.
+// entries returns all entries. A fault of a link between two of them may affect any.
 func (r *run) entries() []Host {
 	var out []Host
 	for i := range r.plan.Shape.Entries {
@@ -281,7 +281,7 @@
 	return out
 }
 
-// allHosts returns every host with a process or a back end.
+// allHosts returns the hosts of all entries, ranks and plain endpoints.
 func (r *run) allHosts() []Host {
 	out := r.entries()
 	for i := range r.plan.Shape.Ranks {
@@ -295,7 +295,7 @@
 
 func cutPeers(r *run, f Fault) func() {
 	h := r.entry(f.Host)
-	return r.strikeLinks(r.entries(), func(from, to Host) faultproxy.Faults {
+	return r.injectLinkFaults(r.entries(), func(from, to Host) faultproxy.Faults {
 		cut := from.Kind == Entry && to.Kind == Entry && (from == h || to == h)
 		return faultproxy.Faults{CutToTarget: cut, CutToClient: cut && f.Intensity < 0.5}
 	})
@@ -303,7 +303,7 @@
 
 func losePackets(r *run, f Fault) func() {
 	h := r.entry(f.Host)
-	return r.strikeLinks(r.entries(), func(from, to Host) faultproxy.Faults {
+	return r.injectLinkFaults(r.entries(), func(from, to Host) faultproxy.Faults {
 		if to != h || from.Kind != Entry {
 			return faultproxy.Faults{}
 		}
@@ -311,7 +311,7 @@
 	})
 }
 
-// endpoint picks a rank or a plain endpoint.
+// endpoint selects a rank or a plain endpoint.
 func (r *run) endpoint(f Fault) Host {
 	if f.Other%2 == 0 {
 		return r.rank(f.Host)
@@ -319,47 +319,47 @@
 	return r.plain(f.Host)
 }
 
-func darkEndpoint(r *run, f Fault) func() {
+func isolateEndpoint(r *run, f Fault) func() {
 	h := r.endpoint(f)
-	return r.strikeLinks([]Host{h}, func(_, to Host) faultproxy.Faults {
+	return r.injectLinkFaults([]Host{h}, func(_, to Host) faultproxy.Faults {
 		return faultproxy.Faults{CutToTarget: to == h, CutToClient: to == h}
 	})
 }
 
 func resetEndpoint(r *run, f Fault) func() {
 	h := r.endpoint(f)
-	calm := r.record.trouble(h)
+	endFault := r.record.markFaulty(h)
 	r.site.ResetLinks(func(_, to Host) bool { return to == h })
-	return calm
+	return endFault
 }
 
-func silenceEndpoint(r *run, f Fault) func() {
+func blackholeEndpoint(r *run, f Fault) func() {
 	h := r.endpoint(f)
-	calm := r.record.trouble(h)
+	endFault := r.record.markFaulty(h)
 	r.site.BlackholeLinks(func(_, to Host) bool { return to == h })
-	return calm
+	return endFault
 }
 
-func silenceAll(r *run, _ Fault) func() {
-	calm := r.record.trouble(r.allHosts()...)
+func blackholeAll(r *run, _ Fault) func() {
+	endFault := r.record.markFaulty(r.allHosts()...)
 	r.site.BlackholeLinks(func(from, _ Host) bool { return from.Kind == Entry })
-	return calm
+	return endFault
 }
 
 func resetClients(r *run, f Fault) func() {
 	h := r.entry(f.Host)
-	calm := r.record.trouble(h, Host{Kind: Clients})
+	endFault := r.record.markFaulty(h, Host{Kind: Clients})
 	r.site.ResetLinks(func(from, to Host) bool { return from.Kind == Clients && to == h })
-	return calm
+	return endFault
 }
 
 func slowLinks(r *run, f Fault) func() {
 	delay := time.Duration(f.Intensity * float64(60*time.Millisecond))
-	return r.strikeLinks(r.allHosts(), func(from, _ Host) faultproxy.Faults { return faultproxy.Faults{Delay: delay} })
+	return r.injectLinkFaults(r.allHosts(), func(from, _ Host) faultproxy.Faults { return faultproxy.Faults{Delay: delay} })
 }
 
-// behave makes some back ends of a kind treat some requests badly.
-func behave(kind HostKind, b faults.Behavior) strike {
+// misbehave makes some back ends of a kind mishandle a share of their requests.
+func misbehave(kind HostKind, b faults.Behavior) injector {
 	return func(r *run, f Fault) func() {
 		var hosts []Host
 		for _, h := range r.allHosts() {
@@ -367,75 +367,75 @@
 				hosts = append(hosts, h)
 			}
 		}
-		calm := r.record.trouble(hosts...)
+		endFault := r.record.markFaulty(hosts...)
 		end := r.behaviors.add(func(h Host) faults.Behavior {
 			if !slices.Contains(hosts, h) || r.chance() > f.Intensity {
 				return faults.Normal
 			}
 			return b
 		})
-		return func() { end(); calm() }
+		return func() { end(); endFault() }
 	}
 }
 
-// lingering is the time for which an endpoint that left still serves.
-const lingering = 600 * time.Millisecond
+// replacePause is the time for which a drained endpoint still serves before the next step.
+const replacePause = 600 * time.Millisecond
 
-// replacePlain lets a plain endpoint leave and puts another one at its address,
-// half of the time of another service first.
+// replacePlain drains a plain endpoint and starts another one at its address, in half of
+// the cases after one of another service.
 func replacePlain(r *run, f Fault) func() {
 	h := r.plain(f.Host)
-	if !r.down(h) {
+	if !r.reserve(h) {
 		return nil
 	}
 	r.background.Go(func() {
-		defer r.free(h)
+		defer r.release(h)
 		name, err := r.site.MarkLeaving(h.Index)
 		if err != nil {
-			r.fail(err)
+			r.addError(err)
 			return
 		}
-		r.record.leave(name)
-		r.sleep(drainBound + lingering)
+		r.record.markLeaving(name)
+		r.sleep(drainBound + replacePause)
 		r.site.Remove(h.Index)
 		for _, other := range []bool{f.Intensity < 0.5, false} {
-			r.sleep(lingering)
+			r.sleep(replacePause)
 			if err := r.site.Replace(h.Index, other); err != nil {
-				r.fail(err)
+				r.addError(err)
 			}
 			if !other {
 				return
 			}
-			r.sleep(lingering)
+			r.sleep(replacePause)
 			r.site.Remove(h.Index)
 		}
 	})
 	return nil
 }
 
-// replaceUnseen lets a plain endpoint crash and another service take its address,
-// while no entry can hear of that.
+// replaceUnseen replaces a crashed plain endpoint by another service at its address while
+// the platform is unreachable, so that no entry can detect it.
 func replaceUnseen(r *run, f Fault) func() {
 	h := r.plain(f.Host)
-	if !r.down(h) {
+	if !r.reserve(h) {
 		return nil
 	}
-	calm := r.record.trouble(h, Host{Kind: Platform})
-	end := r.troubles.add(func(int) faults.PlatformFaults { return faults.PlatformFaults{Silent: true} })
+	endFault := r.record.markFaulty(h, Host{Kind: Platform})
+	end := r.platformFaults.add(func(int) faults.PlatformFaults { return faults.PlatformFaults{Silent: true} })
 	r.background.Go(func() {
-		defer r.free(h)
+		defer r.release(h)
 		r.site.ResetLinks(func(_, to Host) bool { return to == h })
 		r.site.Remove(h.Index)
 		if err := r.site.Replace(h.Index, true); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 		r.sleep(f.Duration)
 		end()
 		r.site.Remove(h.Index)
 		if err := r.site.Replace(h.Index, false); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
-		calm()
+		endFault()
 	})
 	return nil
 }
@@ -452,7 +452,7 @@
 	return nil
 }
 
-func burst(r *run, f Fault) func() {
-	r.load.crowd(1 + int(2*f.Intensity))
-	return func() { r.load.crowd(0) }
+func surge(r *run, f Fault) func() {
+	r.load.setSurge(1 + int(2*f.Intensity))
+	return func() { r.load.setSurge(0) }
 }
--- a/lab/soak/load.go
+++ b/lab/soak/load.go
@@ -11,49 +11,49 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// mix describes the clients of a kind of request.
-type mix struct {
+// clientProfile describes the clients that send one kind of request.
+type clientProfile struct {
 	kind Kind
-	// clients is their number for each entry.
+	// clients is the number of clients per entry.
 	clients int
-	// pause is the mean time between an answer and the next request.
-	pause time.Duration
-	// patience is the time for which they wait.
-	patience time.Duration
-	// leaves is the share of requests whose client goes away early.
-	leaves float64
+	// meanPause is the mean time between an answer and the next request.
+	meanPause time.Duration
+	// timeout is the time for which a client waits for the answer.
+	timeout time.Duration
+	// abortProbability is the share of requests that the client cancels early.
+	abortProbability float64
 }
 
-// mixes load the site below its capacity, but for moments and crowds.
-var mixes = []mix{
+// clientProfiles load the site below its capacity, except for short peaks and surges.
+var clientProfiles = []clientProfile{
 	{Chat, 14, 600 * time.Millisecond, 5 * time.Second, 0.03},
 	{Issue, 4, 250 * time.Millisecond, time.Second, 0.03},
 	{Look, 3, 250 * time.Millisecond, time.Second, 0.03},
 }
 
 const (
-	// retryPause is the time after which a client whose connection failed goes to
-	// another entry.
-	retryPause = 50 * time.Millisecond
-	// longestRetryAfter bounds how long a refused client waits before it asks again.
-	longestRetryAfter = 500 * time.Millisecond
-	// oldKeyShare is the share of requests that use the key of their generation.
-	oldKeyShare = 0.3
+	// reconnectDelay is the pause before a client whose connection failed tries another
+	// entry.
+	reconnectDelay = 50 * time.Millisecond
+	// maxRetryAfter caps the Retry-After delay that a rejected client honors.
+	maxRetryAfter = 500 * time.Millisecond
+	// generationKeyShare is the share of requests that use the key of the latest generation.
+	generationKeyShare = 0.3
 )
 
-// load is the clients of a run.
+// load runs the clients of a run.
 type load struct {
 	run *run
 	ids atomic.Int64
-	// crowded is the number of times that clients press more than usual.
-	crowded atomic.Int32
-	wg      sync.WaitGroup
+	// surgeFactor shortens the clients' pauses: they are divided by 1+4*surgeFactor.
+	surgeFactor atomic.Int32
+	wg          sync.WaitGroup
 }
 
-// start begins to send until ctx ends. Wait waits for the last answers.
+// start starts clients that send until ctx ends. wg waits for their last answers.
 func (l *load) start(ctx context.Context, seed uint64) {
 	for entry := range l.run.plan.Shape.Entries {
-		for _, m := range mixes {
+		for _, m := range clientProfiles {
 			for n := range m.clients {
 				rng := rand.New(rand.NewPCG(seed, uint64(entry)<<32|uint64(n)<<8|uint64(len(m.kind))))
 				l.wg.Go(func() { l.client(ctx, entry, m, rng) })
@@ -62,15 +62,15 @@
 	}
 }
 
-func (l *load) crowd(times int) { l.crowded.Store(int32(times)) }
+func (l *load) setSurge(times int) { l.surgeFactor.Store(int32(times)) }
 
-// client sends requests to its entry, and to another one while that does not answer.
-func (l *load) client(ctx context.Context, home int, m mix, rng *rand.Rand) {
+// client sends requests to its home entry, and fails over to the next while that does not answer.
+func (l *load) client(ctx context.Context, home int, m clientProfile, rng *rand.Rand) {
 	c := l.run.site.NewClient()
 	defer c.Close()
 	entry := home
 	for {
-		pause := time.Duration(rng.ExpFloat64() * float64(m.pause) / float64(1+4*l.crowded.Load()))
+		pause := time.Duration(rng.ExpFloat64() * float64(m.meanPause) / float64(1+4*l.surgeFactor.Load()))
 		if !sleep(ctx, pause) {
 			return
 		}
@@ -78,10 +78,10 @@
 		switch {
 		case x.Reply.Status == 0:
 			entry = (entry + 1) % l.run.plan.Shape.Entries
-			c.Close() // The next request goes over a new connection.
-			sleep(ctx, retryPause)
+			c.Close() // the next request opens a new connection
+			sleep(ctx, reconnectDelay)
 		case x.Reply.RetryAfter > 0:
-			sleep(ctx, min(x.Reply.RetryAfter, longestRetryAfter))
+			sleep(ctx, min(x.Reply.RetryAfter, maxRetryAfter))
 			entry = home
 		default:
 			entry = home
@@ -89,37 +89,37 @@
 	}
 }
 
-// exchange sends one request and records what came of it.
-func (l *load) exchange(c Client, entry int, m mix, rng *rand.Rand) *exchange {
+// exchange sends one request and records and checks its reply.
+func (l *load) exchange(c Client, entry int, m clientProfile, rng *rand.Rand) *exchange {
 	r := l.run
 	x := &exchange{Request: Request{
-		ID: id.Request(fmt.Sprintf("%s-%d", m.kind, l.ids.Add(1))), Kind: m.kind, Key: r.site.StableKey(), Timeout: m.patience,
-	}, Entry: entry, At: time.Now()}
-	if rng.Float64() < oldKeyShare {
+		ID: id.Request(fmt.Sprintf("%s-%d", m.kind, l.ids.Add(1))), Kind: m.kind, Key: r.site.StableKey(), Timeout: m.timeout,
+	}, Entry: entry, Start: time.Now()}
+	if rng.Float64() < generationKeyShare {
 		x.Key = r.site.Key(r.generation())
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), m.patience+2*lateBound)
+	ctx, cancel := context.WithTimeout(context.Background(), m.timeout+2*answerTolerance)
 	defer cancel()
-	leaves := rng.Float64() < m.leaves
-	if leaves {
+	aborts := rng.Float64() < m.abortProbability
+	if aborts {
 		time.AfterFunc(time.Duration(rng.Float64()*float64(300*time.Millisecond)), cancel)
 	}
-	r.record.send(x)
+	r.record.addExchange(x)
 	reply := c.Send(ctx, entry, x.Request)
-	var left time.Time
-	if leaves && ctx.Err() == context.Canceled {
-		left = time.Now()
+	var abortedAt time.Time
+	if aborts && ctx.Err() == context.Canceled {
+		abortedAt = time.Now()
 	}
-	r.record.done(x, reply, left)
+	r.record.finish(x, reply, abortedAt)
 	r.checkReply(x)
 	return x
 }
 
-// probe sends one request outside the load and reports whether it was served.
-func (l *load) probe(entry int, m mix) bool {
+// probe sends one request outside the load and reports whether it succeeded.
+func (l *load) probe(entry int, m clientProfile) bool {
 	c := l.run.site.NewClient()
 	defer c.Close()
-	m.leaves = 0
+	m.abortProbability = 0
 	x := l.exchange(c, entry, m, rand.New(rand.NewPCG(0, 0)))
 	return x.Reply.Complete()
 }
--- a/lab/soak/record.go
+++ b/lab/soak/record.go
@@ -9,55 +9,55 @@
 	"github.com/siskinford/siskinford/lab/faults"
 )
 
-// exchange is one request with what the client got.
+// exchange is a request with the client's reply.
 type exchange struct {
 	Request
-	Entry    int
-	At, Done time.Time
-	Reply    Reply
-	// Left is when the client went away on its own account, zero if it did not.
-	Left time.Time
+	Entry      int
+	Start, End time.Time
+	Reply      Reply
+	// AbortedAt is when the client canceled the request, zero if it did not.
+	AbortedAt time.Time
 }
 
-// span is a time in which something was not as usual. Its end is zero while it lasts.
+// span is a time interval. Its end is zero while it is open.
 type span struct{ from, to time.Time }
 
 func (s span) overlaps(from, to time.Time) bool {
 	return !s.from.After(to) && (s.to.IsZero() || !s.to.Before(from))
 }
 
-// acked is a generation of the configuration with the time of its acknowledgement.
-type acked struct {
+// acknowledgement is an acknowledged generation of the configuration.
+type acknowledgement struct {
 	generation int
 	sent, at   time.Time
 }
 
-// record holds what clients and back ends saw and what was done to them. It is
-// safe for concurrent use.
+// record holds what clients and back ends observed, and the faults and stops injected.
+// It is safe for concurrent use.
 type record struct {
 	mu        sync.Mutex // leaf lock
 	exchanges []*exchange
 	byID      map[id.Request]*exchange
 	arrivals  map[id.Request][]arrival
-	// troubled holds the times in which a host, its process or one of its links was
-	// struck.
-	troubled map[Host][]span
-	// stopping holds the planned stops of entries.
+	// faultSpans holds the spans in which a host, its process or one of its links had a
+	// fault.
+	faultSpans map[Host][]span
+	// stopping holds the spans of graceful stops by entry.
 	stopping map[int][]span
-	acks     []acked
+	acks     []acknowledgement
 	leaving  map[id.Endpoint]time.Time
-	// started holds the starts of entries' processes.
-	started map[int][]time.Time
-	broken  []Violation
+	// starts holds the start times of processes by entry.
+	starts     map[int][]time.Time
+	violations []Violation
 }
 
-// arrival is a request at a back end, from an entry.
+// arrival is a request received by a back end, with the entry that sent it.
 type arrival struct {
 	faults.Arrival
 	entry int
 }
 
-// Violation is a promise that was seen broken.
+// Violation is an observed breach of a promise.
 type Violation struct {
 	Promise string
 	At      time.Time
@@ -67,78 +67,78 @@
 
 func newRecord() *record {
 	return &record{
-		byID: make(map[id.Request]*exchange), arrivals: make(map[id.Request][]arrival), troubled: make(map[Host][]span),
-		stopping: make(map[int][]span), leaving: make(map[id.Endpoint]time.Time), started: make(map[int][]time.Time),
+		byID: make(map[id.Request]*exchange), arrivals: make(map[id.Request][]arrival), faultSpans: make(map[Host][]span),
+		stopping: make(map[int][]span), leaving: make(map[id.Endpoint]time.Time), starts: make(map[int][]time.Time),
 	}
 }
 
-func (r *record) send(x *exchange) {
+func (r *record) addExchange(x *exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.exchanges = append(r.exchanges, x)
 	r.byID[x.ID] = x
 }
 
-func (r *record) arrive(a faults.Arrival, entry int) {
+func (r *record) addArrival(a faults.Arrival, entry int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrivals[a.Request] = append(r.arrivals[a.Request], arrival{a, entry})
 }
 
-// trouble notes that hosts are struck until the returned function is called.
-func (r *record) trouble(hosts ...Host) (end func()) {
+// markFaulty records a fault of hosts that lasts until the returned function is called.
+func (r *record) markFaulty(hosts ...Host) (end func()) {
 	from := time.Now()
 	index := make(map[Host]int, len(hosts))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range hosts {
-		index[h] = len(r.troubled[h])
-		r.troubled[h] = append(r.troubled[h], span{from: from})
+		index[h] = len(r.faultSpans[h])
+		r.faultSpans[h] = append(r.faultSpans[h], span{from: from})
 	}
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for h, i := range index {
-			r.troubled[h][i].to = time.Now()
+			r.faultSpans[h][i].to = time.Now()
 		}
 	}
 }
 
-// calm reports whether none of the hosts was struck or stopped between two times,
-// nor so shortly before that the product may not have coped with it yet. The caller
-// holds mu.
-func (r *record) calm(from, to time.Time, hosts ...Host) bool {
+// undisturbed reports whether none of the hosts had a fault or a graceful stop between
+// two times or within settleTime before, in which the product may still recover. The
+// caller holds mu.
+func (r *record) undisturbed(from, to time.Time, hosts ...Host) bool {
 	for _, h := range hosts {
-		if h.Kind == Entry && overlap(r.stopping[h.Index], from.Add(-settle), to) {
+		if h.Kind == Entry && overlap(r.stopping[h.Index], from.Add(-settleTime), to) {
 			return false
 		}
 	}
-	return r.unstruck(from, to, hosts...)
+	return r.faultFree(from, to, hosts...)
 }
 
-// unstruck is calm but for planned stops. The caller holds mu.
-func (r *record) unstruck(from, to time.Time, hosts ...Host) bool {
+// faultFree is undisturbed without regard to graceful stops. The caller holds mu.
+func (r *record) faultFree(from, to time.Time, hosts ...Host) bool {
 	for _, h := range hosts {
-		if overlap(r.troubled[h], from.Add(-settle), to) {
+		if overlap(r.faultSpans[h], from.Add(-settleTime), to) {
 			return false
 		}
 	}
 	return true
 }
 
-// undisturbed reports whether a host was not struck between two times.
-func (r *record) undisturbed(from, to time.Time, h Host) bool {
+// faultFreeLocking is faultFree for callers that do not hold mu.
+func (r *record) faultFreeLocking(from, to time.Time, h Host) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.unstruck(from, to, h)
+	return r.faultFree(from, to, h)
 }
 
 func overlap(spans []span, from, to time.Time) bool {
 	return slices.ContainsFunc(spans, func(s span) bool { return s.overlaps(from, to) })
 }
 
-// stop notes that an entry was asked to end until the returned function is called.
-func (r *record) stop(entry int) (end func()) {
+// markStopping records a graceful stop of an entry that lasts until the returned function is called.
+func (r *record) markStopping(entry int) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := len(r.stopping[entry])
@@ -150,57 +150,57 @@
 	}
 }
 
-// leave notes that the platform acknowledged that an endpoint leaves.
-func (r *record) leave(e id.Endpoint) {
+// markLeaving records that the platform acknowledged that an endpoint is leaving.
+func (r *record) markLeaving(e id.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving[e] = time.Now()
 }
 
-func (r *record) start(entry int) {
+func (r *record) addStart(entry int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.started[entry] = append(r.started[entry], time.Now())
+	r.starts[entry] = append(r.starts[entry], time.Now())
 }
 
-// accepted notes that the platform acknowledged a generation that was sent at a time.
-func (r *record) accepted(generation int, sent time.Time) {
+// addAck records the platform's acknowledgement of a generation that was sent at a time.
+func (r *record) addAck(generation int, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.acks = append(r.acks, acked{generation, sent, time.Now()})
+	r.acks = append(r.acks, acknowledgement{generation, sent, time.Now()})
 }
 
-// done notes what a client got.
-func (r *record) done(x *exchange, reply Reply, left time.Time) {
+// finish records the client's reply.
+func (r *record) finish(x *exchange, reply Reply, left time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x.Reply, x.Left, x.Done = reply, left, time.Now()
+	x.Reply, x.AbortedAt, x.End = reply, left, time.Now()
 }
 
-func (r *record) violate(v Violation) {
+func (r *record) addViolation(v Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report(v)
+	r.addViolationLocked(v)
 }
 
-// report notes a violation. The caller holds mu.
-func (r *record) report(v Violation) {
+// addViolationLocked records a violation once per promise and request. The caller holds mu.
+func (r *record) addViolationLocked(v Violation) {
 	if v.At.IsZero() {
 		v.At = time.Now()
 	}
-	for _, b := range r.broken {
+	for _, b := range r.violations {
 		if b.Promise == v.Promise && b.Request == v.Request {
 			return
 		}
 	}
-	r.broken = append(r.broken, v)
+	r.violations = append(r.violations, v)
 }
 
-// Broken returns the promises that were seen broken, in order of time.
-func (r *record) violations() []Violation {
+// sortedViolations returns the violations in order of time.
+func (r *record) sortedViolations() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := slices.Clone(r.broken)
+	out := slices.Clone(r.violations)
 	slices.SortStableFunc(out, func(a, b Violation) int { return a.At.Compare(b.At) })
 	return out
 }
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -17,7 +17,7 @@
 	"github.com/siskinford/siskinford/operate/logs"
 )
 
-// Result is what one seed showed.
+// Result summarizes the run of one seed.
 type Result struct {
 	Seed       uint64
 	Faults     int
@@ -41,7 +41,7 @@
 
 func (r *run) result() Result {
 	out := Result{
-		Seed: r.plan.Seed, Faults: len(r.plan.Faults), Violations: r.record.violations(), Took: time.Since(r.began),
+		Seed: r.plan.Seed, Faults: len(r.plan.Faults), Violations: r.record.sortedViolations(), Took: time.Since(r.startedAt),
 		MapChanges: r.site.Group().Status().Switches,
 	}
 	r.record.mu.Lock()
@@ -51,7 +51,7 @@
 		switch {
 		case x.Reply.Complete():
 			out.Complete++
-		case saysNotRun(x.Reply.Status):
+		case impliesNotRun(x.Reply.Status):
 			out.Refused++
 		default:
 			out.Other++
@@ -60,11 +60,11 @@
 	return out
 }
 
-// around is the time before and after a broken promise whose logs are reported.
-const around = 4 * time.Second
+// logWindow is the time before and after the first violation whose logs are reported.
+const logWindow = 4 * time.Second
 
-// writeReport writes what was broken, the plan, a plot, and the merged logs around
-// the first broken promise into a directory.
+// writeReport writes the violations, the plan, a plot, and the merged logs around the
+// first violation into a directory.
 func (r *run) writeReport(dir string, res Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	var text strings.Builder
 	fmt.Fprintln(&text, res)
 	for _, v := range res.Violations {
-		fmt.Fprintf(&text, "%s  %6.2fs  %s  %s: %s\n", v.At.UTC().Format(time.RFC3339Nano), v.At.Sub(r.began).Seconds(), v.Request, v.Promise, v.Detail)
+		fmt.Fprintf(&text, "%s  %6.2fs  %s  %s: %s\n", v.At.UTC().Format(time.RFC3339Nano), v.At.Sub(r.startedAt).Seconds(), v.Request, v.Promise, v.Detail)
 	}
 	fmt.Fprintln(&text, "plan:")
 	for _, f := range r.plan.Faults {
@@ -89,7 +89,7 @@
 	return r.plot(filepath.Join(dir, "outcomes.svg"))
 }
 
-// writeLogs merges the lines of all processes around a time with the faults.
+// writeLogs writes the merged log lines of all processes and the faults around a time.
 func (r *run) writeLogs(path string, at time.Time) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -105,11 +105,11 @@
 		all = append(all, lines...)
 	}
 	for _, x := range r.plan.Faults {
-		all = append(all, logs.Line{Time: r.began.Add(x.At), Event: "soak.fault", Host: "soak", Message: x.String()})
+		all = append(all, logs.Line{Time: r.startedAt.Add(x.At), Event: "soak.fault", Host: "soak", Message: x.String()})
 	}
 	logs.Sort(all)
 	for _, l := range all {
-		if l.Time.Before(at.Add(-around)) || l.Time.After(at.Add(around)) {
+		if l.Time.Before(at.Add(-logWindow)) || l.Time.After(at.Add(logWindow)) {
 			continue
 		}
 		if err := writeLine(f, l); err != nil {
@@ -135,11 +135,11 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
-	// plotBucket is the resolution of the plot.
+	// plotBucket is the time resolution of the plot.
 	plotBucket = 250 * time.Millisecond
 )
 
-// plot draws outcomes over time, with a mark where each fault begins.
+// plot draws the rates of outcomes over time, with a mark at the start of each fault.
 func (r *run) plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("seed %d", r.plan.Seed)
@@ -147,11 +147,11 @@
 	p.Y.Label.Text = "requests per second"
 	p.Legend.Top = true
 	var complete, refused, other plotter.XYs
-	last := int(time.Since(r.began) / plotBucket)
+	last := int(time.Since(r.startedAt) / plotBucket)
 	count := make([][3]float64, last+1)
 	r.record.mu.Lock()
 	for _, x := range r.record.exchanges {
-		i := int(x.Done.Sub(r.began) / plotBucket)
+		i := int(x.End.Sub(r.startedAt) / plotBucket)
 		if i < 0 || i > last {
 			continue
 		}
@@ -159,7 +159,7 @@
 		switch {
 		case x.Reply.Complete():
 			count[i][0] += n
-		case saysNotRun(x.Reply.Status):
+		case impliesNotRun(x.Reply.Status):
 			count[i][1] += n
 		default:
 			count[i][2] += n
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -16,54 +16,54 @@
 )
 
 const (
-	// readyLimit is the time in which a started entry becomes ready while the site
-	// is up. Longer is a matter of the last check.
-	readyLimit = 5 * time.Second
-	// checkInterval is the time between checks of all that was recorded.
+	// readyTimeout is the time for which a fault waits for its restarted entry to become
+	// ready. Entries that take longer are caught by the check for recovery at the end.
+	readyTimeout = 5 * time.Second
+	// checkInterval is the time between checks of the records.
 	checkInterval = time.Second
-	// holdLimit is the time for which a group may be held, far longer than a change
-	// of maps whose orders are late.
+	// holdLimit is the time for which a group may be held. It is far longer than a change of
+	// maps whose orders are late.
 	holdLimit = recoverBound
 )
 
-// run is one run of a plan.
+// run is the state of one run of a plan.
 type run struct {
-	plan   Plan
-	site   Site
-	record *record
-	load   load
-	began  time.Time
+	plan      Plan
+	site      Site
+	record    *record
+	load      load
+	startedAt time.Time
 
-	links     *overlay[func(from, to Host) faultproxy.Faults]
-	troubles  *overlay[func(entry int) faults.PlatformFaults]
-	behaviors *overlay[func(Host) faults.Behavior]
+	links          *overlay[func(from, to Host) faultproxy.Faults]
+	platformFaults *overlay[func(entry int) faults.PlatformFaults]
+	behaviors      *overlay[func(Host) faults.Behavior]
 
 	ctx        context.Context
 	background sync.WaitGroup
 
-	loss sync.Mutex // taken before the group's lock
-	lost map[int]int
+	lostMu    sync.Mutex // taken before the group's lock
+	lostRanks map[int]int
 
-	mu   sync.Mutex // leaf lock; guards all below
-	rng  *rand.Rand
-	busy map[Host]bool
-	// ended holds the processes that were ended, or found so.
-	ended map[*procs.Process]bool
-	gen   int
-	fault error
+	mu       sync.Mutex // leaf lock; guards all below
+	rng      *rand.Rand
+	reserved map[Host]bool
+	// ended holds the processes whose end was requested or has been reported.
+	ended      map[*procs.Process]bool
+	gen        int
+	harnessErr error
 }
 
 func newRun(p Plan, s Site) *run {
 	r := &run{
-		plan: p, site: s, record: newRecord(), lost: make(map[int]int), busy: make(map[Host]bool), ended: make(map[*procs.Process]bool),
+		plan: p, site: s, record: newRecord(), lostRanks: make(map[int]int), reserved: make(map[Host]bool), ended: make(map[*procs.Process]bool),
 		rng: rand.New(rand.NewPCG(p.Seed, 0xfa17)),
 	}
 	r.load.run = r
 	r.links = newOverlay(func(parts []func(from, to Host) faultproxy.Faults) {
-		s.SetLinks(func(from, to Host) faultproxy.Faults { return joinFaults(parts, from, to) })
+		s.SetLinks(func(from, to Host) faultproxy.Faults { return mergeLinkFaults(parts, from, to) })
 	})
-	r.troubles = newOverlay(func(parts []func(entry int) faults.PlatformFaults) {
-		s.SetPlatformFaults(func(entry int) faults.PlatformFaults { return joinTroubles(parts, entry) })
+	r.platformFaults = newOverlay(func(parts []func(entry int) faults.PlatformFaults) {
+		s.SetPlatformFaults(func(entry int) faults.PlatformFaults { return mergePlatformFaults(parts, entry) })
 	})
 	r.behaviors = newOverlay(func(parts []func(Host) faults.Behavior) {
 		s.SetBehavior(func(h Host) faults.Behavior {
@@ -75,11 +75,11 @@
 			return faults.Normal
 		})
 	})
-	s.OnArrival(r.record.arrive)
+	s.OnArrival(r.record.addArrival)
 	return r
 }
 
-func joinFaults(parts []func(from, to Host) faultproxy.Faults, from, to Host) faultproxy.Faults {
+func mergeLinkFaults(parts []func(from, to Host) faultproxy.Faults, from, to Host) faultproxy.Faults {
 	var sum faultproxy.Faults
 	for _, of := range parts {
 		f := of(from, to)
@@ -94,7 +94,7 @@
 	return sum
 }
 
-func joinTroubles(parts []func(entry int) faults.PlatformFaults, entry int) faults.PlatformFaults {
+func mergePlatformFaults(parts []func(entry int) faults.PlatformFaults, entry int) faults.PlatformFaults {
 	var sum faults.PlatformFaults
 	for _, of := range parts {
 		t := of(entry)
@@ -108,52 +108,52 @@
 	return sum
 }
 
-// execute plays the plan. The error is of the soak itself; what the product did
-// wrong is in the record.
+// execute runs the plan. The error is a failure of the test harness; violations by the
+// product are in the record.
 func (r *run) execute(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.ctx, r.began = ctx, time.Now()
+	r.ctx, r.startedAt = ctx, time.Now()
 	for i := range r.plan.Shape.Entries {
-		r.record.start(i)
+		r.record.addStart(i)
 	}
 	r.configure()
 	if !r.awaitServing(recoverBound) {
-		return errors.New("the site does not serve before the first fault")
+		return errors.New("site does not serve all requests before the first fault")
 	}
-	r.began = time.Now()
+	r.startedAt = time.Now()
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	r.load.start(loadCtx, r.plan.Seed)
-	r.load.wg.Go(func() { r.drift(loadCtx) })
-	r.play(ctx)
+	r.load.wg.Go(func() { r.varyDemand(loadCtx) })
+	r.injectFaults(ctx)
 	if !r.awaitServing(recoverBound) {
-		r.record.violate(Violation{Promise: promiseRecover, Detail: "not all kinds of requests are served by all entries"})
+		r.record.addViolation(Violation{Promise: promiseRecover, Detail: "not all kinds of requests are served by all entries"})
 	}
 	stopLoad()
 	r.load.wg.Wait()
-	r.check()
+	r.checkAll()
 	return r.err()
 }
 
-// driftInterval is the time between changes of demand, a few times that which a
-// map needs to follow.
-const driftInterval = 700 * time.Millisecond
+// demandInterval is the time between changes of demand, a few times what a map needs to
+// follow.
+const demandInterval = 700 * time.Millisecond
 
-// drift changes the demand for experts until ctx ends, so that maps change all the time.
-func (r *run) drift(ctx context.Context) {
-	for sleep(ctx, driftInterval) {
+// varyDemand changes the demand for experts until ctx ends, so that maps keep changing.
+func (r *run) varyDemand(ctx context.Context) {
+	for sleep(ctx, demandInterval) {
 		r.site.Group().Shift()
 	}
 }
 
-// play strikes the faults of the plan while the load is on.
-func (r *run) play(ctx context.Context) {
+// injectFaults injects the faults of the plan while the load runs.
+func (r *run) injectFaults(ctx context.Context) {
 	for _, f := range r.plan.Faults {
 		r.background.Go(func() {
-			if !sleep(ctx, time.Until(r.began.Add(f.At))) {
+			if !sleep(ctx, time.Until(r.startedAt.Add(f.At))) {
 				return
 			}
-			if end := kinds[f.Name](r, f); end != nil {
+			if end := injectors[f.Name](r, f); end != nil {
 				sleep(ctx, f.Duration)
 				end()
 			}
@@ -168,7 +168,7 @@
 		case <-end:
 			over = true
 		case <-tick.C:
-			r.check()
+			r.checkAll()
 			r.checkAlive()
 			held = r.checkHeld(held)
 		case <-ctx.Done():
@@ -178,7 +178,7 @@
 	r.background.Wait()
 }
 
-// checkAlive notices processes that ended by themselves, and starts them again.
+// checkAlive reports and restarts processes that exited unexpectedly.
 func (r *run) checkAlive() {
 	for _, h := range r.allHosts() {
 		if h.Kind == Plain {
@@ -190,17 +190,17 @@
 		default:
 			continue
 		}
-		if r.expect(p) {
-			r.record.violate(Violation{Promise: promiseAlive, Detail: fmt.Sprintf("%v ended: %s", h, lastLines(p.Output(), 30))})
-			if r.down(h) {
-				r.up(h)
+		if r.markEnded(p) {
+			r.record.addViolation(Violation{Promise: promiseAlive, Detail: fmt.Sprintf("%v ended: %s", h, lastLines(p.Output(), 30))})
+			if r.reserve(h) {
+				r.restart(h)
 			}
 		}
 	}
 }
 
-// expect notes that a process is about to be ended. It is false if that is known.
-func (r *run) expect(p *procs.Process) bool {
+// markEnded marks a process as ended. It returns false if it already was.
+func (r *run) markEnded(p *procs.Process) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.ended[p]
@@ -213,7 +213,7 @@
 	return strings.Join(lines[max(0, len(lines)-n):], "\n")
 }
 
-// checkHeld notices a group that is held for too long.
+// checkHeld reports a group that is held for longer than holdLimit.
 func (r *run) checkHeld(since time.Time) time.Time {
 	switch {
 	case !r.site.Group().Status().Held:
@@ -221,7 +221,7 @@
 	case since.IsZero():
 		return time.Now()
 	case time.Since(since) > holdLimit:
-		r.record.violate(Violation{Promise: promiseHeld, Detail: "it was held for more than " + holdLimit.String()})
+		r.record.addViolation(Violation{Promise: promiseHeld, Detail: "it was held for more than " + holdLimit.String()})
 	}
 	return since
 }
@@ -230,7 +230,7 @@
 func (r *run) awaitServing(limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	for entry := range r.plan.Shape.Entries {
-		for _, m := range mixes {
+		for _, m := range clientProfiles {
 			for !r.load.probe(entry, m) {
 				if time.Now().After(deadline) || !sleep(r.ctx, 50*time.Millisecond) {
 					return false
@@ -250,10 +250,10 @@
 	err := r.site.Configure(g)
 	r.mu.Unlock()
 	if err != nil {
-		r.fail(err)
+		r.addError(err)
 		return
 	}
-	r.record.accepted(g, sent)
+	r.record.addAck(g, sent)
 }
 
 func (r *run) generation() int {
@@ -262,37 +262,37 @@
 	return r.gen
 }
 
-// down reserves a host for one who takes its process away. It is false if another
-// one did.
-func (r *run) down(h Host) bool {
+// reserve reserves a host for a fault that stops its process. It returns false if the
+// host is already reserved.
+func (r *run) reserve(h Host) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.busy[h] {
+	if r.reserved[h] {
 		return false
 	}
-	r.busy[h] = true
+	r.reserved[h] = true
 	return true
 }
 
-func (r *run) free(h Host) {
+func (r *run) release(h Host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.busy, h)
+	delete(r.reserved, h)
 }
 
-// up starts a host's process if it has ended.
-func (r *run) up(h Host) {
-	defer r.free(h)
+// restart starts a host's process if it has exited, and releases the host.
+func (r *run) restart(h Host) {
+	defer r.release(h)
 	select {
 	case <-r.site.Process(h).Done():
 	default:
 		return
 	}
 	if h.Kind == Entry {
-		r.record.start(h.Index)
+		r.record.addStart(h.Index)
 	}
 	if err := r.site.Start(h); err != nil {
-		r.fail(err)
+		r.addError(err)
 	}
 }
 
@@ -300,29 +300,29 @@
 	if h.Kind != Entry {
 		return
 	}
-	for end := time.Now().Add(readyLimit); time.Now().Before(end) && !r.site.Ready(h.Index); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end) && !r.site.Ready(h.Index); {
 		r.sleep(20 * time.Millisecond)
 	}
 }
 
 func (r *run) sleep(d time.Duration) { sleep(r.ctx, d) }
 
-// chance draws a number between zero and one.
+// chance returns a random number in [0,1).
 func (r *run) chance() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
-// fail notes a fault of the soak itself.
-func (r *run) fail(err error) {
+// addError records a failure of the test harness.
+func (r *run) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fault = errors.CombineErrors(r.fault, err)
+	r.harnessErr = errors.CombineErrors(r.harnessErr, err)
 }
 
 func (r *run) err() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fault
+	return r.harnessErr
 }
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -1,6 +1,6 @@
-// Package soak runs the real programs as separate processes against stand-ins,
-// injects faults from outside them in a seeded order, and checks what callers
-// and back ends see against the product's promises.
+// Package soak is a randomized fault injection test. It runs the programs as processes
+// against stand-ins, injects faults scheduled by a seed, and checks what clients and
+// back ends observe against the product's promises.
 package soak
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/siskinford/siskinford/lab/replicas"
 )
 
-// HostKind is what a host is for.
+// HostKind is the role of a host.
 type HostKind string
 
-// The kinds of hosts. Clients and the platform count as one host each.
+// The roles of hosts. All clients count as one host, and so does the platform.
 const (
 	Entry    HostKind = "entry"
 	Model    HostKind = "model" // a rank with the relay beside it
 	Plain    HostKind = "plain"
 	Clients  HostKind = "clients"
 	Platform HostKind = "platform"
-	// RejectedEntries stands for the platform's link to the entries that it turns away.
+	// RejectedEntries stands for the platform's link to entries that it rejects.
 	RejectedEntries HostKind = "turned-away"
 )
 
@@ -43,117 +43,117 @@
 	return fmt.Sprintf("%s-%d", h.Kind, h.Index)
 }
 
-// Shape counts the hosts of a site.
+// Shape is the number of hosts and zones of a site.
 type Shape struct{ Entries, Ranks, Plains, Zones int }
 
 // Kind is a kind of request.
 type Kind string
 
 const (
-	// Chat is a stream that may be continued at another endpoint.
+	// Chat is a stream that may be resumed at another endpoint.
 	Chat Kind = "chat"
-	// Issue is an action that may run once at most.
+	// Issue is an action that may run at most once.
 	Issue Kind = "issue"
-	// Look may be repeated freely.
+	// Look is idempotent.
 	Look Kind = "look"
 )
 
-// Request is what a client sends.
+// Request is a request of a client.
 type Request struct {
 	ID   id.Request
 	Kind Kind
-	// Key identifies the team.
+	// Key is the API key, which identifies the team.
 	Key string
-	// Timeout is the time for which the client waits.
+	// Timeout is the time for which the client waits for the answer.
 	Timeout time.Duration
 }
 
-// Reply is what a client got.
+// Reply is the outcome of a request at the client.
 type Reply struct {
 	// Status is zero if there was no answer.
 	Status     int
 	RetryAfter time.Duration
 	Signed     bool
 	Body       string
-	// Events holds the events of a stream.
+	// Events are the events of a stream.
 	Events []string
-	// Err tells why the answer is not complete.
+	// Err is the reason why the answer is incomplete.
 	Err error
 }
 
-// Complete reports whether the client got a whole success.
+// Complete reports whether the client received a complete, successful answer.
 func (r Reply) Complete() bool { return r.Err == nil && r.Status == 200 }
 
-// Client sends requests one after the other over a connection that it keeps.
+// Client sends one request at a time over a persistent connection.
 type Client interface {
 	Send(ctx context.Context, entry int, r Request) Reply
 	Close()
 }
 
-// Oracle tells what the whole answers of a site look like.
+// Oracle defines the expected answers of a site.
 type Oracle interface {
 	// CheckAnswer checks the body of an answer and returns the generation of the
-	// configuration by which it was handled.
+	// configuration that was applied to the request.
 	CheckAnswer(r Request, body string) (generation int, err error)
-	// CheckEvents checks the events of a stream and reports whether all are there.
+	// CheckEvents checks the events of a stream and reports whether it is complete.
 	CheckEvents(r Request, events []string) (all bool, err error)
-	// Generation returns the generation of the configuration that names a team.
+	// Generation returns the generation of the configuration that defines a team.
 	Generation(team id.Team) (int, bool)
 	// Path returns the path of a request.
 	Path(Request) string
-	// Service returns the service that may run a request to a path.
+	// Service returns the service to which a path is routed.
 	Service(path string) id.Service
-	// Key returns the key that a generation adds and the next but one lacks.
+	// Key returns the API key that a generation adds and the next but one removes.
 	Key(generation int) string
-	// StableKey returns the key that all generations hold.
+	// StableKey returns the API key that is valid in all generations.
 	StableKey() string
 }
 
-// Site is an installation with real processes and stand-ins around them.
+// Site is an installation of processes and stand-ins under test.
 type Site interface {
 	Oracle
 	Shape() Shape
-	// Zone returns the number of a host's zone.
+	// Zone returns the index of a host's zone.
 	Zone(Host) int
-	// Start starts the process of an entry or beside a rank, also after it ended.
+	// Start starts or restarts the process of an entry or the relay beside a rank.
 	Start(Host) error
-	// Process returns the last process that was started on a host.
+	// Process returns the most recently started process of a host.
 	Process(Host) *procs.Process
-	// Processes returns all that were started, those that ended included.
+	// Processes returns all processes started so far, including exited ones.
 	Processes() []*procs.Process
-	// Ready reports whether an entry says that it is ready.
+	// Ready reports whether an entry passes its readiness probe.
 	Ready(entry int) bool
-	// Listens reports whether an entry accepts connections of clients.
+	// Listens reports whether an entry accepts client connections.
 	Listens(entry int) bool
 	NewClient() Client
-	// SetLinks replaces the faults between hosts.
+	// SetLinks replaces the faults of the links between hosts.
 	SetLinks(func(from, to Host) faultproxy.Faults)
-	// ResetLinks resets the present connections between hosts, and SilenceLinks
-	// drops what is sent on them for good.
+	// ResetLinks resets the open connections between hosts. BlackholeLinks drops all
+	// further data on them.
 	ResetLinks(func(from, to Host) bool)
 	BlackholeLinks(func(from, to Host) bool)
-	// SetPlatformFaults replaces the troubles of entries with the platform.
+	// SetPlatformFaults replaces the platform's faults towards entries.
 	SetPlatformFaults(func(entry int) faults.PlatformFaults)
 	CompactPlatform()
 	// Configure writes a generation of the configuration.
 	Configure(generation int) error
-	// SetBehavior tells how back ends treat requests.
+	// SetBehavior sets how back ends handle requests.
 	SetBehavior(func(Host) faults.Behavior)
-	// MarkLeaving says that a plain back end leaves, Remove that it has left, and Replace
-	// starts another one at its address, maybe of another service.
+	// MarkLeaving announces that a plain back end is leaving, Remove unregisters it, and Replace
+	// starts another one at its address, of another service if other is set.
 	MarkLeaving(plain int) (id.Endpoint, error)
 	Remove(plain int)
 	Replace(plain int, other bool) error
 	Group() *replicas.Group
 	Ledger() *replicas.Ledger
-	// OnArrival is told of each request at a back end, with the entry that sent it.
+	// OnArrival sets a callback for each request at a back end, with the entry that sent it.
 	OnArrival(func(a faults.Arrival, entry int))
 	// LastWriter returns the entry that last wrote to the platform, or -1.
 	LastWriter() int
 	Close()
 }
 
-// Signals that faults send.
+// Signals for graceful stops and reloads.
 const (
 	stopSignal   = syscall.SIGTERM
 	reloadSignal = syscall.SIGHUP
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -10,17 +10,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options say what to run.
+// Options configure Run.
 type Options struct {
-	// Seeds are run one after the other, Parallel of them at a time.
+	// Seeds are run in order, up to Parallel of them at a time.
 	Seeds    []uint64
 	Parallel int
-	// LoadDuration is the time of the load of each seed.
+	// LoadDuration is the duration of the load for each seed.
 	LoadDuration time.Duration
 	Shape        Shape
-	// Only restricts the faults to some kinds. Empty means all.
+	// Only restricts the kinds of faults by name. Empty means all.
 	Only []string
-	// Dir is where reports of broken promises are written. Empty means nowhere.
+	// Dir is the directory for reports of violations. Empty means no reports.
 	Dir string
 	// Open starts a site.
 	Open func(Shape) (Site, error)
@@ -28,10 +28,10 @@
 }
 
 // DefaultLoadDuration has room for two waves of faults.
-const DefaultLoadDuration = warmUp + 2*(waveLength+waveCalm)
+const DefaultLoadDuration = warmUp + 2*(waveDuration+waveGap)
 
-// Run plays all seeds and returns what each showed. The error is of the soak
-// itself.
+// Run runs all seeds and returns their results. The error is a failure of the test
+// harness.
 func Run(ctx context.Context, o Options) ([]Result, error) {
 	results := make([]Result, len(o.Seeds))
 	g, ctx := errgroup.WithContext(ctx)
@@ -63,7 +63,7 @@
 	res := r.result()
 	fmt.Fprintln(o.Out, res)
 	for _, v := range res.Violations {
-		fmt.Fprintf(o.Out, "  %6.2fs %s: %s %s\n", v.At.Sub(r.began).Seconds(), v.Promise, v.Request, v.Detail)
+		fmt.Fprintf(o.Out, "  %6.2fs %s: %s %s\n", v.At.Sub(r.startedAt).Seconds(), v.Promise, v.Request, v.Detail)
 	}
 	if o.Dir == "" || len(res.Violations) == 0 {
 		return res, nil
