--- a/cmd/siskinford-agent/main.go
+++ b/cmd/siskinford-agent/main.go
@@ -1,4 +1,4 @@
-// Command siskinford-agent is the only way to the model engine or plain service
+// Command siskinford-agent controls all access to the model engine or plain service
 // on its host.
 package main
 
@@ -42,7 +42,7 @@
 	}
 	d.Keys = ring
 	if p.EngineURL != "" {
-		d.Engine, err = engine.NewHTTP(engine.Config{URL: p.EngineURL})
+		d.Engine, err = engine.NewClient(engine.Config{URL: p.EngineURL})
 	} else {
 		d.Plain, err = plain.New(plain.Config{URL: p.PlainURL})
 	}
--- a/cmd/siskinford-platform/main.go
+++ b/cmd/siskinford-platform/main.go
@@ -1,10 +1,9 @@
-// Command siskinford-platform runs an entry on the users' platform:
+// Command siskinford-platform runs an entry on the platform:
 //
 //	siskinford-platform entry [flags]
 //
-// What the platform tells a process stands in the settings file that the
-// environment names; the program's own settings are flags and environment
-// variables.
+// The platform passes its settings in a file named by an environment variable. The
+// program's own settings are flags and environment variables.
 package main
 
 import (
@@ -14,20 +13,20 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"github.com/siskinford/siskinford/cmd/internal/own"
+	"github.com/siskinford/siskinford/cmd/internal/platformflags"
 	"github.com/siskinford/siskinford/core/process"
 	"github.com/siskinford/siskinford/platform/run"
 	"github.com/siskinford/siskinford/platform/settings"
 )
 
-func main() { os.Exit(mainCode(os.Args[1:])) }
+func main() { os.Exit(execute(os.Args[1:])) }
 
-func mainCode(args []string) int {
-	if len(args) == 0 || args[0] != own.RoleEntry {
-		fmt.Fprintf(os.Stderr, "usage: %s %s [flags]\n", own.Program, own.RoleEntry)
+func execute(args []string) int {
+	if len(args) == 0 || args[0] != platformflags.RoleEntry {
+		fmt.Fprintf(os.Stderr, "usage: %s %s [flags]\n", platformflags.ProgramName, platformflags.RoleEntry)
 		return process.ExitUsage
 	}
-	flags := own.New()
+	flags := platformflags.New()
 	if code, ok := process.ParseSettings(flags.Set(), args[1:], flags.Validate, os.Stdout, os.Stderr); !ok {
 		return code
 	}
@@ -46,8 +45,8 @@
 	return code
 }
 
-func serve(s settings.Settings, flags *own.Settings, log *process.BoundedLog, set *metrics.Set) int {
-	e, err := run.Edge(s, flags.Own, log.Logger, set)
+func serve(s settings.Settings, flags *platformflags.Settings, log *process.BoundedLog, set *metrics.Set) int {
+	e, err := run.Edge(s, flags.Run, log.Logger, set)
 	if err != nil {
 		log.Error().Err(err).Str("event", "process.failed").Msg("start failed")
 		return process.ExitFailure
--- a/entry/operator/gather.go
+++ b/entry/operator/gather.go
@@ -98,7 +98,7 @@
 
 // otherZones returns each other zone that is in the membership or the
 // configuration, with its contacts.
-func (s *Service) otherZones() []member.Zone {
+func (s *Service) otherZones() []member.ZoneStatus {
 	zones := s.deps.Members.Zones()
 	known := map[id.Zone]bool{s.deps.Zone: true}
 	for _, z := range zones {
@@ -107,17 +107,17 @@
 	for _, e := range s.deps.Snapshot().Endpoints() {
 		if !known[e.Zone] {
 			known[e.Zone] = true
-			zones = append(zones, member.Zone{Name: e.Zone})
+			zones = append(zones, member.ZoneStatus{Name: e.Zone})
 		}
 	}
 	return zones
 }
 
 // queryZone queries the contacts of a zone in turn until one replies.
-func (s *Service) queryZone(ctx context.Context, g *gatherer, z member.Zone, q peerQuery) {
+func (s *Service) queryZone(ctx context.Context, g *gatherer, z member.ZoneStatus, q peerQuery) {
 	contacts := z.Contacts
 	if len(contacts) == 0 {
-		contacts = s.deps.Members.Elsewhere()
+		contacts = s.deps.Members.RemotePeers()
 	}
 	reason := "no entry of the zone is known"
 	for _, p := range contacts[:min(len(contacts), maxZoneContacts)] {
@@ -283,18 +283,18 @@
 func supersedes(k lang.Kind, t *table.Table, a, b table.Row) bool {
 	switch k {
 	case lang.Endpoints:
-		age := t.Column("report_age_ms")
+		age := t.ColumnIndex("report_age_ms")
 		if a[age].Type == table.NullType || b[age].Type == table.NullType {
 			return b[age].Type == table.NullType && a[age].Type != table.NullType
 		}
 		return a[age].Number < b[age].Number
 	case lang.Hosts:
-		name, by, state := 0, t.Column("seen_by"), t.Column("state")
+		name, by, state := 0, t.ColumnIndex("seen_by"), t.ColumnIndex("state")
 		if self := a[by] == a[name]; self != (b[by] == b[name]) {
 			return self
 		}
 		return b[state].Type == table.NullType && a[state].Type != table.NullType
 	}
-	version := t.Column("version")
+	version := t.ColumnIndex("version")
 	return version >= 0 && a[version].Number > b[version].Number
 }
