--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -38,8 +38,8 @@
 	// time-bound promises can be checked.
 	waveDuration = 4 * time.Second
 	waveGap      = 9 * time.Second
-	// plannedAfter is the time from the end of a wave to planned operations, which begin
-	// within plannedWindow.
+	// Planned operations begin plannedAfter, less maxFaultDuration/2, after the end of a
+	// wave, within plannedWindow.
 	plannedAfter  = maxFaultDuration + settleTime
 	plannedWindow = 500 * time.Millisecond
 	// minFaultDuration and maxFaultDuration bound the duration of a fault.
