--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -35,7 +35,7 @@
 // runVariant starts a fleet, sends the scheduled requests and summarizes the responses.
 func runVariant(ctx context.Context, b procs.Binaries, s Scenario, v Variant, seed uint64) (Result, error) {
 	c, err := procs.NewCluster(ctx, procs.Options{
-		Binaries: b, Zones: zones, Entries: entryHosts, Models: s.Models, NoProxy: true, Teams: s.Workload.Teams,
+		Binaries: b, Zones: zones, Entries: entryHosts, ModelEndpoints: s.Models, NoProxy: true, Teams: s.Workload.Teams,
 		Services: []config.Service{{
 			Name: procs.ModelService, Type: config.ServiceTypeModel, Model: procs.Model,
 			DeadlineMS: int(deadline.Milliseconds()), Idempotent: true,
--- a/lab/measure/path.go
+++ b/lab/measure/path.go
@@ -153,7 +153,7 @@
 
 func (c *Path) startTargets(ctx context.Context, b procs.Binaries, step time.Duration) (*targets, error) {
 	cluster, err := procs.NewCluster(ctx, procs.Options{
-		Binaries: b, Entries: 1, Models: 1, NoProxy: true,
+		Binaries: b, Entries: 1, ModelEndpoints: 1, NoProxy: true,
 		EngineArgs: []string{"--step-time=" + step.String(), fmt.Sprintf("--slots=%d", c.concurrency)},
 		AgentArgs:  []string{fmt.Sprintf("--slots=%d", c.concurrency)},
 	})
