--- a/lab/measure/profile.go
+++ b/lab/measure/profile.go
@@ -12,16 +12,16 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// profile takes processor profiles of the first entry and agent during the
-// throughput measurement, if a directory was given.
-func (c *Path) profile(ctx context.Context, wg *sync.WaitGroup, cluster *procs.Cluster) {
+// captureProfiles starts saving CPU profiles of the first entry and agent if
+// --profiles is set. Callers wait on wg.
+func (c *Path) captureProfiles(ctx context.Context, wg *sync.WaitGroup, cluster *procs.Cluster) {
 	if c.profiles == "" {
 		return
 	}
 	seconds := max(int(c.duration.Seconds())-1, 1)
 	for name, operators := range map[string]string{
-		"entry": cluster.Entries[0].Operators,
-		"agent": cluster.Endpoints[0].Operators,
+		"entry": cluster.Entries[0].OperatorURL,
+		"agent": cluster.Endpoints[0].OperatorURL,
 	} {
 		url := fmt.Sprintf("%s/debug/pprof/profile?seconds=%d", operators, seconds)
 		wg.Go(func() {
