--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -76,8 +76,7 @@
 	c.publish(protocol.CacheEvent{Cleared: true}, now)
 }
 
-// publish numbers an event and loses it with probability c.loss, which leaves a
-// gap in the numbers.
+// publish numbers an event; a lost event leaves a gap in the numbers.
 func (c *cache) publish(event protocol.CacheEvent, now time.Time) {
 	c.seq++
 	event.Seq = c.seq
@@ -90,8 +89,7 @@
 	c.events = append(c.events, pendingEvent{visible: now.Add(c.delay), event: event})
 }
 
-// after returns up to maxEventsPerCall published events with a sequence number
-// above seq.
+// after returns up to maxEventsPerCall published events numbered above seq.
 func (c *cache) after(seq uint64, now time.Time) []protocol.CacheEvent {
 	events := []protocol.CacheEvent{}
 	for _, pending := range c.events {
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -24,7 +24,7 @@
 type AttemptStats struct {
 	// Accepted counts admissions to the queue.
 	Accepted int `json:"accepted"`
-	// Started counts admitted sequences that were prefilled; resuming adds none.
+	// Started counts sequences that entered the batch; resuming adds none.
 	Started int `json:"started"`
 	// Finished counts answers generated to the end, delivered or not.
 	Finished int `json:"finished"`
@@ -125,8 +125,7 @@
 	return s, nil
 }
 
-// checkAdmission returns an error if the request must be rejected. It consumes an
-// injected failure and records the epoch. e.mu must be held.
+// checkAdmission rejects a request or records its epoch. e.mu must be held.
 func (e *Engine) checkAdmission(r protocol.CompletionRequest) error {
 	if e.ctx.Err() != nil {
 		return errClosed
--- a/lab/engine/step.go
+++ b/lab/engine/step.go
@@ -33,8 +33,7 @@
 	return e.config.Group != nil && e.config.Group.isActive()
 }
 
-// waitForWork blocks until the engine is notified. It returns false once the
-// engine is closed.
+// waitForWork blocks until the engine is notified. It returns false after Close.
 func (e *Engine) waitForWork() bool {
 	select {
 	case <-e.ctx.Done():
@@ -111,8 +110,7 @@
 	return step
 }
 
-// startSequence adds a sequence to the batch and returns its uncached prompt
-// tokens, zero when it resumes. e.mu must be held.
+// startSequence adds a sequence to the batch and returns the prompt tokens to prefill.
 func (e *Engine) startSequence(s *sequence, now time.Time) int {
 	s.status.Store(int32(statusRunning))
 	e.running = append(e.running, s)
--- a/lab/engine/stream.go
+++ b/lab/engine/stream.go
@@ -75,8 +75,7 @@
 	return append(prefix, `,"choices":[{"index":0,"text":"`...)
 }
 
-// writeTokens sends the unsent tokens before index end in one write. It aborts the
-// connection if the injected cut is due.
+// writeTokens sends tokens up to index end in one write, or up to an injected cut.
 func (o *stream) writeTokens(end int) error {
 	if o.sent >= end {
 		return nil
--- a/lab/platform/fault_test.go
+++ b/lab/platform/fault_test.go
@@ -72,8 +72,7 @@
 	}
 }
 
-// TestLostAnswerThenOtherWriters checks the reported outcome if other writers write
-// between a lost response and the read-back.
+// TestLostAnswerThenOtherWriters has other writers write before the read-back.
 func TestLostAnswerThenOtherWriters(t *testing.T) {
 	cases := map[string]struct {
 		faults  lab.Faults
--- a/lab/platform/handler.go
+++ b/lab/platform/handler.go
@@ -205,8 +205,7 @@
 	return pathParam(r, "kind"), pathParam(r, "name")
 }
 
-// pathParam returns an unescaped path parameter. chi leaves parameters escaped if the
-// path contains an escape.
+// pathParam unescapes a path parameter, which chi leaves escaped if the path has an escape.
 func pathParam(r *http.Request, name string) string {
 	value := chi.URLParam(r, name)
 	if r.URL.RawPath == "" {
--- a/lab/replicas/group.go
+++ b/lab/replicas/group.go
@@ -149,8 +149,7 @@
 	s.cancelled = true
 }
 
-// FailRank makes a rank unavailable. Its streams are aborted at once, those of other
-// ranks after StallTimeout.
+// FailRank aborts a rank's streams at once, and all others after StallTimeout.
 func (g *Group) FailRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -159,8 +158,7 @@
 	g.closeStreams(g.ranks[i])
 }
 
-// RestoreRank restarts a failed rank. Once no rank is missing, the group starts a new
-// epoch after FormTime.
+// RestoreRank restarts a rank. If none is missing, a new epoch starts after FormTime.
 func (g *Group) RestoreRank(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,8 +188,7 @@
 
 // Status is a snapshot of a Group.
 type Status struct {
-	// Skew is the ratio of the highest rank load to the mean in the last pass, averaged
-	// over the sets.
+	// Skew is the highest over the mean rank load in the last pass, averaged over the sets.
 	Skew float64
 	// MapSwitches counts activated maps, and Step passes.
 	MapSwitches int
