--- a/lab/ranks/ranks_test.go
+++ b/lab/ranks/ranks_test.go
@@ -19,31 +19,31 @@
 func TestRecorderFindsViolations(t *testing.T) {
 	tests := []struct {
 		name   string
-		begin  func(w *recorder)
+		begin  func(rec *recorder)
 		splits int
 	}{
-		{"one map", func(w *recorder) {
-			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
-			w.begin(1, stepKey{1, 0}, 7, 1, time.Time{})
+		{"one map", func(rec *recorder) {
+			rec.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
+			rec.begin(1, stepKey{1, 0}, 7, 1, time.Time{})
 		}, 0},
-		{"two maps", func(w *recorder) {
-			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
-			w.begin(1, stepKey{1, 0}, 8, 1, time.Time{})
+		{"two maps", func(rec *recorder) {
+			rec.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
+			rec.begin(1, stepKey{1, 0}, 8, 1, time.Time{})
 		}, 1},
-		{"step repeated", func(w *recorder) {
-			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
-			w.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
+		{"step repeated", func(rec *recorder) {
+			rec.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
+			rec.begin(0, stepKey{1, 0}, 7, 1, time.Time{})
 		}, 1},
-		{"earlier formation", func(w *recorder) {
-			w.begin(0, stepKey{2, 0}, 7, 1, time.Time{})
-			w.begin(1, stepKey{1, 9}, 7, 1, time.Time{})
+		{"earlier formation", func(rec *recorder) {
+			rec.begin(0, stepKey{2, 0}, 7, 1, time.Time{})
+			rec.begin(1, stepKey{1, 9}, 7, 1, time.Time{})
 		}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newRecorder(2, 4, time.Time{})
-			tt.begin(w)
-			assert.Equal(t, len(w.summary.Violations), tt.splits)
+			rec := newRecorder(2, 4, time.Time{})
+			tt.begin(rec)
+			assert.Equal(t, len(rec.summary.Violations), tt.splits)
 		})
 	}
 }
--- a/lab/ranks/recorder.go
+++ b/lab/ranks/recorder.go
@@ -58,70 +58,70 @@
 	sum        time.Duration
 }
 
-func newRecorder(size, keep int, now time.Time) *recorder {
-	return &recorder{size: size, maxRecords: keep, started: now, open: map[stepKey]*openStep{}}
+func newRecorder(size, maxRecords int, now time.Time) *recorder {
+	return &recorder{size: size, maxRecords: maxRecords, started: now, open: map[stepKey]*openStep{}}
 }
 
 // begin records that a rank starts a step of duration d on map v.
-func (w *recorder) begin(rank int, key stepKey, v lockstep.Version, d time.Duration, now time.Time) {
-	s := w.stepFor(key, now)
+func (rec *recorder) begin(rank int, key stepKey, v lockstep.Version, d time.Duration, now time.Time) {
+	s := rec.stepFor(key, now)
 	again := s.record.MapVersions[rank] != 0
 	s.record.MapVersions[rank] = v
 	s.ranksBegun++
 	s.longest = max(s.longest, d)
 	s.sum += d
-	if again || key.formation < w.summary.Formation || mapsDiffer(s.record.MapVersions) {
-		w.addViolation(s.record)
+	if again || key.formation < rec.summary.Formation || mapsDiffer(s.record.MapVersions) {
+		rec.addViolation(s.record)
 	}
-	if key.formation > w.summary.Formation {
-		w.startFormation(key.formation)
+	if key.formation > rec.summary.Formation {
+		rec.startFormation(key.formation)
 	}
-	if s.ranksBegun == w.size {
-		w.complete(key, s)
+	if s.ranksBegun == rec.size {
+		rec.complete(key, s)
 	}
 }
 
-func (w *recorder) stepFor(key stepKey, now time.Time) *openStep {
-	s := w.open[key]
+func (rec *recorder) stepFor(key stepKey, now time.Time) *openStep {
+	s := rec.open[key]
 	if s == nil {
 		s = &openStep{record: StepRecord{
 			Formation: key.formation, Step: key.step,
-			MapVersions: make([]lockstep.Version, w.size), BegunMicros: now.Sub(w.started).Microseconds(),
+			MapVersions: make([]lockstep.Version, rec.size), BegunMicros: now.Sub(rec.started).Microseconds(),
 		}}
-		w.open[key] = s
+		rec.open[key] = s
 	}
 	return s
 }
 
 // startFormation discards the open steps of earlier formations, which can't complete.
-func (w *recorder) startFormation(formation lockstep.Epoch) {
-	w.summary.Formation = formation
-	for key := range w.open {
+func (rec *recorder) startFormation(formation lockstep.Epoch) {
+	rec.summary.Formation = formation
+	for key := range rec.open {
 		if key.formation < formation {
-			delete(w.open, key)
+			delete(rec.open, key)
 		}
 	}
 }
 
-func (w *recorder) addViolation(r StepRecord) {
-	if len(w.summary.Violations) < maxViolations {
+func (rec *recorder) addViolation(r StepRecord) {
+	if len(rec.summary.Violations) < maxViolations {
 		r.MapVersions = slices.Clone(r.MapVersions)
-		w.summary.Violations = append(w.summary.Violations, r)
+		rec.summary.Violations = append(rec.summary.Violations, r)
 	}
 }
 
-func (w *recorder) complete(key stepKey, s *openStep) {
-	delete(w.open, key)
-	s.record.Skew = float64(s.longest) * float64(w.size) / float64(s.sum)
-	w.summary.Steps++
-	w.records = append(w.records, s.record)
-	if len(w.records) >= 2*w.maxRecords {
-		w.records = slices.Delete(w.records, 0, w.maxRecords)
+func (rec *recorder) complete(key stepKey, s *openStep) {
+	delete(rec.open, key)
+	s.record.Skew = float64(s.longest) * float64(rec.size) / float64(s.sum)
+	rec.summary.Steps++
+	rec.records = append(rec.records, s.record)
+	if len(rec.records) >= 2*rec.maxRecords {
+		rec.records = slices.Delete(rec.records, 0, rec.maxRecords)
 	}
 	v := s.record.MapVersions[0]
-	w.summary.MapVersion = v
-	if !slices.Contains(w.summary.Maps, v) {
-		w.summary.Maps = append(w.summary.Maps, v)
+	rec.summary.MapVersion = v
+	if !slices.Contains(rec.summary.Maps, v) {
+		rec.summary.Maps = append(rec.summary.Maps, v)
 	}
 }
 
