--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -142,7 +142,7 @@
 // varyDemand changes the demand for experts until ctx ends, so that maps keep changing.
 func (r *run) varyDemand(ctx context.Context) {
 	for sleep(ctx, demandInterval) {
-		r.site.Group().Shift()
+		r.site.Group().ShiftPopularity()
 	}
 }
 
