--- a/itest/ranks_measure_test.go
+++ b/itest/ranks_measure_test.go
@@ -23,7 +23,7 @@
 func (w *groupWorld) traffic(name string) float64 {
 	var sum float64
 	for _, e := range w.Entries {
-		response, err := http.Get(e.Operators + "/metrics")
+		response, err := http.Get(e.OperatorURL + "/metrics")
 		assert.NilError(w.t, err)
 		text, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
@@ -72,7 +72,7 @@
 func (m window) slowed() (median int64, excess []int64) {
 	var times []int64
 	for i := range len(m.steps) - 1 {
-		times = append(times, m.steps[i+1].Begun-m.steps[i].Begun)
+		times = append(times, m.steps[i+1].BegunMicros-m.steps[i].BegunMicros)
 	}
 	sorted := slices.Sorted(slices.Values(times))
 	median = sorted[len(sorted)/2]
--- a/lab/slopes/member.go
+++ b/lab/slopes/member.go
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// zoneCounts returns the numbers of zones to measure n nodes in: zones of the
-// full size and ten smaller ones.
+// zoneCounts returns the numbers of zones to split n nodes into: zones of zoneSize,
+// and ten smaller ones if they hold at least two nodes each.
 func zoneCounts(n, zoneSize int) []int {
 	full := (n + zoneSize - 1) / zoneSize
 	const many = 10
@@ -33,28 +33,28 @@
 	return []int{full, many}
 }
 
-func membershipRow(ctx context.Context, c Config, n, zones int) (Membership, error) {
-	before := heap()
+func membershipRow(ctx context.Context, c Config, n, zones int) (MembershipCost, error) {
+	before := liveHeapBytes()
 	b, err := newBench(ctx, c, ModeZoneReader, n, (n+zones-1)/zones, 0)
 	if err != nil {
-		return Membership{}, err
+		return MembershipCost{}, err
 	}
 	defer b.close()
-	row := Membership{Nodes: n, Zones: b.zones}
-	row.Heap = max(0, heap()-before) / float64(n)
+	row := MembershipCost{Nodes: n, Zones: b.zones}
+	row.HeapBytes = max(0, liveHeapBytes()-before) / float64(n)
 	start, cpu := time.Now(), processorTime()
 	first := b.traffic()
 	if err := timer.Sleep(ctx, c.Window); err != nil {
 		return row, err
 	}
 	seconds := time.Since(start).Seconds()
-	row.CoreShare = 100 * (processorTime() - cpu).Seconds() / seconds / float64(n)
+	row.CorePercent = 100 * (processorTime() - cpu).Seconds() / seconds / float64(n)
 	for i, t := range b.traffic() {
 		sent := float64(t.sent-first[i].sent) / seconds
 		row.SentMean += sent / float64(n)
 		row.SentMax = max(row.SentMax, sent)
 		row.ReceivedMean += float64(t.received-first[i].received) / seconds / float64(n)
-		row.Calls += float64(t.calls-first[i].calls) / seconds / float64(n)
+		row.CallsMean += float64(t.calls-first[i].calls) / seconds / float64(n)
 	}
 	return row, nil
 }
@@ -70,7 +70,7 @@
 	return out
 }
 
-// processorTime returns the user and system time of the process so far.
+// processorTime returns the user and system time of the process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -79,8 +79,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap returns the bytes of live objects.
-func heap() float64 {
+// liveHeapBytes collects garbage and returns the size of the live objects.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/lab/slopes/slopes_test.go
+++ b/lab/slopes/slopes_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func small() Config {
+func smallConfig() Config {
 	c := Default()
 	c.Nodes = []int{4}
 	c.ZoneSize = 4
@@ -24,33 +24,33 @@
 	return c
 }
 
-// TestSlopes measures a small fleet. All but the wire runs in virtual time.
-func TestSlopes(t *testing.T) {
+// All steps but wire, which uses real sockets, run in virtual time.
+func TestStepsMeasureSmallFleet(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var r Result
 	for _, s := range steps() {
-		run := func(t *testing.T) { assert.NilError(t, s.run(t.Context(), small(), &r)) }
+		run := func(t *testing.T) { assert.NilError(t, s.run(t.Context(), smallConfig(), &r)) }
 		if s.name == "wire" {
 			t.Run(s.name, run)
 			continue
 		}
 		t.Run(s.name, func(t *testing.T) { synctest.Test(t, run) })
 	}
-	assert.Equal(t, len(r.Spread), 7)
-	for _, s := range r.Spread {
+	assert.Equal(t, len(r.Propagation), 7)
+	for _, s := range r.Propagation {
 		assert.Equal(t, s.Missed, 0, "%+v", s)
-		assert.Assert(t, s.Max > 0, "%+v", s)
+		assert.Assert(t, s.InForceMax > 0, "%+v", s)
 	}
 	assert.Equal(t, len(r.Membership), 1)
 	assert.Assert(t, r.Membership[0].SentMean > 0)
-	assert.Equal(t, len(r.Notice), len(faults()))
-	assert.Assert(t, r.Notice[0].SuspectAll > 0, "%+v", r.Notice[0])
+	assert.Equal(t, len(r.Detection), len(faults()))
+	assert.Assert(t, r.Detection[0].SuspectAll > 0, "%+v", r.Detection[0])
 	assert.Equal(t, len(r.Outage), 2)
 	for _, rows := range []int{len(r.Memory), len(r.Sizes), len(r.Apply), len(r.Wire)} {
 		assert.Assert(t, rows > 2)
 	}
 	for _, w := range r.Wire {
-		assert.Assert(t, w.Bytes > packetHeaders || w.What == "second of an idle connection without probes", "%+v", w)
+		assert.Assert(t, w.Bytes > packetHeaders || w.Operation == "second of an idle connection without probes", "%+v", w)
 	}
 	var text bytes.Buffer
 	assert.NilError(t, json.NewEncoder(&text).Encode(r))
