--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -374,14 +374,14 @@
 	if !ok {
 		return msg.AttemptStatus{State: msg.StateUnknown, Outcome: outcome.Unknown}
 	}
-	v := msg.AttemptStatus{State: r.state, Outcome: outcome.Unknown, Attempt: r.attempt.ID}
+	status := msg.AttemptStatus{State: r.state, Outcome: outcome.Unknown, Attempt: r.attempt.ID}
 	switch r.state {
 	case msg.StateDone:
-		v.Outcome = r.end.Outcome
+		status.Outcome = r.end.Outcome
 	case msg.StateTombstoned:
-		v.Outcome = outcome.NotRun
+		status.Outcome = outcome.NotRun
 	}
-	return v
+	return status
 }
 
 // Unsettled returns the number of attempts that are queued or started.
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -166,7 +166,7 @@
 	assert.Equal(t, l.ActionStatus(ActionKey{Action: "k"}).State, msg.StateUnknown)
 }
 
-func TestDroppedAnswerKeepsItsOutcome(t *testing.T) {
+func TestDroppedResponseKeepsItsOutcome(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxAnswerBytes = 1
 	l := New(c, newClock().read)
--- a/agent/queue/queue.go
+++ b/agent/queue/queue.go
@@ -75,14 +75,14 @@
 }
 
 const (
-	defaultSlots        = 16
-	defaultMaxItems     = 1024
-	defaultMaxPauses    = 64
-	defaultAgeing       = 200
-	defaultLongBound    = 10 * time.Second
-	defaultPauseBound   = 5 * time.Second
-	defaultReservedPart = 8
-	defaultLongPart     = 8
+	defaultSlots         = 16
+	defaultMaxItems      = 1024
+	defaultMaxPauses     = 64
+	defaultAgeingRate    = 200
+	defaultMaxLongWait   = 10 * time.Second
+	defaultMaxPauseTime  = 5 * time.Second
+	reservedSlotsDivisor = 8
+	minLongSlotsDivisor  = 8
 )
 
 // Config sets up a Queue.
@@ -117,13 +117,13 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.Slots, defaultSlots)
 	setDefault(&c.MaxItems, defaultMaxItems)
-	setDefault(&c.MaxLongWait, defaultLongBound)
-	setDefault(&c.MaxPauseTime, defaultPauseBound)
-	setDefault(&c.AgeingRate, defaultAgeing)
+	setDefault(&c.MaxLongWait, defaultMaxLongWait)
+	setDefault(&c.MaxPauseTime, defaultMaxPauseTime)
+	setDefault(&c.AgeingRate, defaultAgeingRate)
 	c.MaxShortWait = max(c.MaxShortWait, 0)
 	setOptional(&c.MaxPauses, defaultMaxPauses)
-	setOptional(&c.ReservedShortSlots, max(1, c.Slots/defaultReservedPart))
-	setOptional(&c.MinLongSlots, max(1, c.Slots/defaultLongPart))
+	setOptional(&c.ReservedShortSlots, max(1, c.Slots/reservedSlotsDivisor))
+	setOptional(&c.MinLongSlots, max(1, c.Slots/minLongSlotsDivisor))
 	c.ReservedShortSlots = min(c.ReservedShortSlots, c.Slots-1)
 	c.MinLongSlots = min(c.MinLongSlots, c.Slots-c.ReservedShortSlots)
 	return c
--- a/agent/server/agent.go
+++ b/agent/server/agent.go
@@ -91,8 +91,8 @@
 	cancel   context.CancelFunc
 	produced atomic.Uint32 // tokens
 	paused   bool          // guarded by Agent.mu
-	// lastOrderDone is closed when the engine has completed the last pause or resume.
-	lastOrderDone chan struct{}
+	// lastPauseDone is closed when the engine has completed the last pause or resume.
+	lastPauseDone chan struct{}
 }
 
 // remaining returns the predicted number of tokens left.
--- a/agent/server/handler.go
+++ b/agent/server/handler.go
@@ -164,14 +164,14 @@
 // withdraw tombstones an attempt that has not started. A started one is cancelled unless
 // it is a non-idempotent action, which always completes.
 func (a *Agent) withdraw(o *msg.Withdraw) *msg.AttemptStatus {
-	v := &msg.AttemptStatus{Incarnation: a.incarnation, Attempt: o.Attempt, Outcome: outcome.Unknown}
+	status := &msg.AttemptStatus{Incarnation: a.incarnation, Attempt: o.Attempt, Outcome: outcome.Unknown}
 	if o.Incarnation != a.incarnation {
-		v.State = msg.StateUnknown
-		return v
+		status.State = msg.StateUnknown
+		return status
 	}
-	if known := a.ledger.ActionStatus(ledger.ActionKey{Team: o.Team, Action: o.Action}); known.Attempt != "" && known.Attempt != o.Attempt {
-		known.Incarnation = a.incarnation
-		return &known
+	if recorded := a.ledger.ActionStatus(ledger.ActionKey{Team: o.Team, Action: o.Action}); recorded.Attempt != "" && recorded.Attempt != o.Attempt {
+		recorded.Incarnation = a.incarnation
+		return &recorded
 	}
 	a.mu.Lock()
 	a.queue.Remove(o.Attempt)
@@ -179,16 +179,16 @@
 	a.mu.Unlock()
 	refusal := msg.Refusal{Code: msg.CodeWithdrawn, Detail: "the attempt was withdrawn"}
 	if a.ledger.Refuse(o.Attempt, refusal) {
-		v.State = msg.StateTombstoned
-		v.Outcome = a.withdrawnOutcome(o)
-		return v
+		status.State = msg.StateTombstoned
+		status.Outcome = a.withdrawnOutcome(o)
+		return status
 	}
 	state, hasAction := a.ledger.State(o.Attempt)
-	v.State = state
+	status.State = state
 	if !hasAction {
 		a.cancelRunning(o.Attempt)
 	}
-	return v
+	return status
 }
 
 // withdrawnOutcome returns the outcome of a withdrawn attempt, or of its action over all
@@ -219,9 +219,9 @@
 	if o.Incarnation != a.incarnation {
 		return &msg.AttemptStatus{Incarnation: a.incarnation, State: msg.StateUnknown, Outcome: outcome.Unknown}
 	}
-	v := a.ledger.ActionStatus(ledger.ActionKey{Team: o.Team, Action: o.Action})
-	v.Incarnation = a.incarnation
-	return &v
+	status := a.ledger.ActionStatus(ledger.ActionKey{Team: o.Team, Action: o.Action})
+	status.Incarnation = a.incarnation
+	return &status
 }
 
 // maxEvents bounds the events of one reply.
--- a/agent/server/schedule.go
+++ b/agent/server/schedule.go
@@ -109,9 +109,9 @@
 		kind, call = "attempt.paused", a.deps.Engine.Pause
 	}
 	a.record(timeline.Event{Kind: kind, Request: r.dispatch.Request, Attempt: attempt})
-	previous := r.lastOrderDone
+	previous := r.lastPauseDone
 	done := make(chan struct{})
-	r.lastOrderDone = done
+	r.lastPauseDone = done
 	a.wg.Go(func() {
 		defer close(done)
 		if previous != nil {
