--- a/fleet/claim/view.go
+++ b/fleet/claim/view.go
@@ -27,7 +27,7 @@
 	active      *segment
 	version     uint64
 	sealed      map[uint64]*segment
-	// stale requires a reload before the next use of the view.
+	// stale is true if the view must be reloaded before its next use.
 	stale bool
 	// fresh is true if the active segment was read or written in the current batch.
 	fresh bool
--- a/fleet/config/config_test.go
+++ b/fleet/config/config_test.go
@@ -185,7 +185,7 @@
 	return objectapi.Object{}, &objectapi.OutcomeUnknownError{Kind: o.Kind, Name: o.Name, Cause: context.DeadlineExceeded}
 }
 
-func TestAcceptSaysNothingOfAnUnknownOutcome(t *testing.T) {
+func TestAcceptReturnsUnknownOutcome(t *testing.T) {
 	store := unknownOutcomeStore{memstore.New(memstore.Config{})}
 	_, err := config.Accept(context.Background(), store, change(config.KindServices, services, 0))
 	var unknown *objectapi.OutcomeUnknownError
--- a/fleet/configsync/config.go
+++ b/fleet/configsync/config.go
@@ -19,11 +19,11 @@
 	// PushGrace is the time to wait for a push after a digest with a greater
 	// version, before fetching it. Unit: duration. Default: 200ms.
 	PushGrace time.Duration
-	// ZoneTries is the maximum number of peers in the zone to fetch from, before other zones. Unit: hosts. Default: 3.
-	ZoneTries int
-	// ElsewhereTries is the maximum number of peers in other zones to fetch from, before the platform. Unit: hosts. Default: 2.
-	ElsewhereTries int
-	// DutyInterval is the time between checks whether the host has become the reader of its zone. Unit: duration. Default: 200ms.
+	// MaxZonePeers is the maximum number of peers in the zone to fetch from, before other zones. Unit: hosts. Default: 3.
+	MaxZonePeers int
+	// MaxRemotePeers is the maximum number of peers in other zones to fetch from, before the platform. Unit: hosts. Default: 2.
+	MaxRemotePeers int
+	// DutyInterval is the time between checks of whether the host has become the reader of its zone. Unit: duration. Default: 200ms.
 	DutyInterval time.Duration
 	// JoinGrace is the time after the start in which the host bootstraps from peers only. Unit: duration. Default: 2s.
 	JoinGrace time.Duration
@@ -45,8 +45,8 @@
 		Fanout:              3,
 		CallTimeout:         400 * time.Millisecond,
 		PushGrace:           200 * time.Millisecond,
-		ZoneTries:           3,
-		ElsewhereTries:      2,
+		MaxZonePeers:        3,
+		MaxRemotePeers:      2,
 		DutyInterval:        200 * time.Millisecond,
 		JoinGrace:           2 * time.Second,
 		WatchTimeout:        10 * time.Second,
@@ -67,11 +67,11 @@
 	}
 	positive("fanout", int64(c.Fanout))
 	positive("call_timeout", int64(c.CallTimeout))
-	if c.ZoneTries < 0 {
-		l.Addf("zone_tries", "must not be negative, but is %d", c.ZoneTries)
+	if c.MaxZonePeers < 0 {
+		l.Addf("zone_tries", "must not be negative, but is %d", c.MaxZonePeers)
 	}
-	if c.ElsewhereTries < 0 {
-		l.Addf("elsewhere_tries", "must not be negative, but is %d", c.ElsewhereTries)
+	if c.MaxRemotePeers < 0 {
+		l.Addf("elsewhere_tries", "must not be negative, but is %d", c.MaxRemotePeers)
 	}
 	positive("duty_interval", int64(c.DutyInterval))
 	positive("watch_timeout", int64(c.WatchTimeout))
--- a/fleet/configsync/configsync_test.go
+++ b/fleet/configsync/configsync_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestSpreadUnderLoss(t *testing.T) {
+func TestReplicationUnderLoss(t *testing.T) {
 	runSimulation(t, 2, 18, 0.05, func(sim *simulation) {
 		for range 10 {
 			took := sim.await(config.KindTeams, sim.publish(config.KindTeams, "teams"), convergenceBound, sim.all)
@@ -148,7 +148,7 @@
 	})
 }
 
-func TestStalePlatformIsNotObeyed(t *testing.T) {
+func TestStalePlatformReadIsIgnored(t *testing.T) {
 	runSimulation(t, 1, 6, 0, func(sim *simulation) {
 		version := sim.publish(config.KindServices, "second")
 		sim.await(config.KindServices, version, convergenceBound, sim.all)
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestLostAnswersOfPlatform(t *testing.T) {
+func TestLostResponsesOfPlatform(t *testing.T) {
 	runSimulation(t, 1, 6, 0, func(sim *simulation) {
 		version := sim.publish(config.KindTeams, "teams")
 		sim.await(config.KindTeams, version, convergenceBound, sim.all)
--- a/fleet/configsync/recover.go
+++ b/fleet/configsync/recover.go
@@ -64,14 +64,14 @@
 // version want is resolved. Peers that fail are removed from the sources until
 // their next digest.
 func (s *Syncer) fetch(ctx context.Context, kind config.Kind, want uint64) bool {
-	zone, elsewhere := s.candidates(kind)
+	zone, remote := s.candidates(kind)
 	for _, address := range zone {
 		if s.fetchFrom(ctx, address, kind, want) {
 			return true
 		}
 		s.removeSource(kind, address)
 	}
-	for _, address := range elsewhere {
+	for _, address := range remote {
 		if s.fetchFrom(ctx, address, kind, want) {
 			s.pushToZone(kind)
 			return true
@@ -87,22 +87,22 @@
 	s.sources[kind] = slices.DeleteFunc(s.sources[kind], func(src source) bool { return src.address == address })
 }
 
-// candidates returns the addresses of up to ZoneTries sources in the zone and
-// ElsewhereTries in other zones, in random order.
-func (s *Syncer) candidates(kind config.Kind) (zone, elsewhere []string) {
+// candidates returns the addresses of up to MaxZonePeers sources in the zone and
+// MaxRemotePeers in other zones, in random order.
+func (s *Syncer) candidates(kind config.Kind) (zone, remote []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, src := range s.sources[kind] {
 		if src.inZone {
 			zone = append(zone, src.address)
 		} else {
-			elsewhere = append(elsewhere, src.address)
+			remote = append(remote, src.address)
 		}
 	}
 	shuffle := func(a []string) { s.rng.Shuffle(len(a), func(i, j int) { a[i], a[j] = a[j], a[i] }) }
 	shuffle(zone)
-	shuffle(elsewhere)
-	return zone[:min(s.cfg.ZoneTries, len(zone))], elsewhere[:min(s.cfg.ElsewhereTries, len(elsewhere))]
+	shuffle(remote)
+	return zone[:min(s.cfg.MaxZonePeers, len(zone))], remote[:min(s.cfg.MaxRemotePeers, len(remote))]
 }
 
 func (s *Syncer) fetchFrom(ctx context.Context, address string, kind config.Kind, want uint64) bool {
@@ -168,10 +168,10 @@
 // bootstrapFromPeers fetches the greatest versions of a few peers, in the zone first,
 // and reports whether one of them was ready.
 func (s *Syncer) bootstrapFromPeers(ctx context.Context) bool {
-	if s.bootstrapFrom(ctx, s.samplePeers(s.opt.Peers.Live(), s.cfg.ZoneTries), true) {
+	if s.bootstrapFrom(ctx, s.samplePeers(s.opt.Peers.Live(), s.cfg.MaxZonePeers), true) {
 		return true
 	}
-	return s.bootstrapFrom(ctx, s.samplePeers(s.opt.Peers.RemotePeers(), s.cfg.ElsewhereTries), false)
+	return s.bootstrapFrom(ctx, s.samplePeers(s.opt.Peers.RemotePeers(), s.cfg.MaxRemotePeers), false)
 }
 
 func (s *Syncer) bootstrapFrom(ctx context.Context, peers []member.Peer, inZone bool) bool {
--- a/fleet/duty/duty_test.go
+++ b/fleet/duty/duty_test.go
@@ -236,7 +236,7 @@
 			f.step(f.a)
 			f.assertHeld(2, 0)
 		},
-		"an older version is not obeyed": func(f *harness) {
+		"a stale read is rejected": func(f *harness) {
 			f.step(f.a, f.b)
 			f.advance(2 * ttl)
 			f.step(f.b)
--- a/lab/slopes/node.go
+++ b/lab/slopes/node.go
@@ -123,7 +123,7 @@
 	c := configsync.Default()
 	switch b.mode {
 	case ModePlatformRecovery:
-		c.ZoneTries, c.ElsewhereTries = 0, 0
+		c.MaxZonePeers, c.MaxRemotePeers = 0, 0
 	case ModeDirectPush:
 		c.Fanout = 1 << 10
 	}
