--- a/cmd/siskinford-agent/main.go
+++ b/cmd/siskinford-agent/main.go
@@ -36,11 +36,11 @@
 }
 
 func build(p *programs.Agent, d server.Deps) (*server.Agent, error) {
-	ring, err := keys.New(p.Keys)
+	credentials, err := keys.New(p.Keys)
 	if err != nil {
 		return nil, err
 	}
-	d.Keys = ring
+	d.Keys = credentials
 	if p.EngineURL != "" {
 		d.Engine, err = engine.NewClient(engine.Config{URL: p.EngineURL})
 	} else {
--- a/cmd/siskinford-entry/main.go
+++ b/cmd/siskinford-entry/main.go
@@ -32,7 +32,7 @@
 }
 
 func build(p *programs.Entry, d server.Deps) (*server.Server, error) {
-	ring, err := keys.New(p.Keys)
+	credentials, err := keys.New(p.Keys)
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.Keys = ring
+	d.Keys = credentials
 	d.Store = store
 	return server.New(p.Server, d)
 }
--- a/entry/direct/groups.go
+++ b/entry/direct/groups.go
@@ -25,7 +25,7 @@
 	monitorInterval   = 80 * time.Millisecond
 	// monitoredRanks is the number of monitored ranks per group.
 	monitoredRanks = 2
-	// maxStateAge is the maximum age of a state in use. Relays repeat theirs every second.
+	// maxStateAge is the maximum age of a state in use. Relays resend theirs every second.
 	maxStateAge = 1500 * time.Millisecond
 	// minStallTimeout and stallTimeoutPasses give the time without a new pass, while requests
 	// run, after which a group counts as down. Reports are up to 200 ms old. A rank with 3.5
@@ -67,8 +67,8 @@
 // polling is how a rank is polled.
 type polling struct {
 	interval time.Duration
-	// judgesGroup is true for the ranks whose state decides whether the group is down.
-	judgesGroup bool
+	// monitored is true for the ranks whose state decides whether the group is down.
+	monitored bool
 }
 
 func (p polling) watch() relay.Watch { return relay.Watch{StateMillis: int(p.interval.Milliseconds())} }
@@ -151,12 +151,12 @@
 	if len(groups) == 0 {
 		// Without a roster, a few ranks are polled to discover their group.
 		for _, e := range g.chooseMonitored(slices.Collect(maps.Keys(unassigned)), now) {
-			out[e] = polling{interval: monitorInterval, judgesGroup: true}
+			out[e] = polling{interval: monitorInterval, monitored: true}
 		}
 	}
 	for _, ranks := range groups {
 		for _, e := range g.chooseMonitored(ranks, now) {
-			out[e] = polling{interval: monitorInterval * time.Duration(len(groups)), judgesGroup: true}
+			out[e] = polling{interval: monitorInterval * time.Duration(len(groups)), monitored: true}
 		}
 	}
 	return out
@@ -255,7 +255,7 @@
 			s.progressAt = w.progressAt
 		}
 		switch {
-		case !w.polling.judgesGroup:
+		case !w.polling.monitored:
 		case !w.state.Open:
 			s.downReason = "a rank is missing"
 		case w.state.Running+w.state.Waiting > 0 && w.stateAt.Sub(w.activeAt) > stallTimeout:
--- a/entry/direct/groups_test.go
+++ b/entry/direct/groups_test.go
@@ -28,7 +28,7 @@
 	h.SetTable(table)
 	h.SetEndpoints([]Endpoint{{Name: "a", Service: "s", Address: "127.0.0.1:1"}})
 	rank := ranklink.Endpoint{Name: "a", Address: "127.0.0.1:1"}
-	w := &rankMonitor{polling: polling{interval: monitorInterval, judgesGroup: true}}
+	w := &rankMonitor{polling: polling{interval: monitorInterval, monitored: true}}
 	return &GroupMonitor{
 		Service: h.Service("s"), Roster: roster.New(func() {}), Log: zerolog.Nop(),
 		links: map[ranklink.Endpoint]*rankMonitor{rank: w}, listed: map[ranklink.Endpoint]id.Zone{rank: "z"},
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -246,9 +246,9 @@
 	assert.Equal(t, string(sink.body), "xy")
 }
 
-// TestMissingFrameIsAskedFor checks that a missing frame is requested by an attach
+// TestMissingFrameIsRequested checks that a missing frame is requested by an attach
 // order, without a second dispatch.
-func TestMissingFrameIsAskedFor(t *testing.T) {
+func TestMissingFrameIsRequested(t *testing.T) {
 	d, agents := newFixture(t, func(s *link.Session, o *msg.Order, _ int) {
 		if o.Attach != nil {
 			replyFrames(s, o.ID, o.Attach.Attempt, o.Attach.From)
@@ -265,8 +265,8 @@
 	assert.Equal(t, agents[0].orders[1].Attach.From, uint32(1))
 }
 
-// TestChangedAnswerIsNotComplete checks that a checksum mismatch makes the outcome unknown.
-func TestChangedAnswerIsNotComplete(t *testing.T) {
+// TestCorruptResponseHasUnknownOutcome checks that a checksum mismatch makes the outcome unknown.
+func TestCorruptResponseHasUnknownOutcome(t *testing.T) {
 	d, _ := newFixture(t, func(s *link.Session, o *msg.Order, _ int) {
 		s.Reply(&msg.Reply{ID: o.ID, Frame: dataFrame(string(o.Dispatch.Attempt), 0, "q")})
 		s.Reply(&msg.Reply{ID: o.ID, Frame: endFrame(string(o.Dispatch.Attempt), 1, "x")})
--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -161,14 +161,14 @@
 func (l *Limiter) exchangeZone(ctx context.Context, shard int, leader string) {
 	now := l.config.Now()
 	r := &request{Level: zoneLevel, Shard: uint8(shard), Node: l.node}
-	var asked []*team
+	var requested []*team
 	for _, t := range l.teams.Load().byShard[shard] {
 		if !t.keyCollision && !t.share.Idle(now) {
 			r.add(t.key, t.share.NextDemand(now))
-			asked = append(asked, t)
+			requested = append(requested, t)
 		}
 	}
-	if len(asked) == 0 {
+	if len(requested) == 0 {
 		return
 	}
 	a, err := l.call(ctx, leader, r)
@@ -177,7 +177,7 @@
 		return
 	}
 	now = l.config.Now()
-	for i, t := range asked {
+	for i, t := range requested {
 		if g, ok := a.grant(i, r.Seqs[i]); ok {
 			t.share.Apply(g, now)
 		}
@@ -188,14 +188,14 @@
 func (l *Limiter) exchangeFleet(ctx context.Context, shard int) {
 	now := l.config.Now()
 	r := &request{Level: fleetLevel, Shard: uint8(shard), Node: l.node}
-	var asked []*team
+	var requested []*team
 	for _, t := range l.teams.Load().byShard[shard] {
 		if !t.keyCollision && !t.zoneAllocator.Idle(now) {
 			r.add(t.key, t.zoneAllocator.NextDemand(now))
-			asked = append(asked, t)
+			requested = append(requested, t)
 		}
 	}
-	if len(asked) == 0 {
+	if len(requested) == 0 {
 		return
 	}
 	s := &l.shards[shard]
@@ -208,7 +208,7 @@
 	}
 	s.setHint(address)
 	now = l.config.Now()
-	for i, t := range asked {
+	for i, t := range requested {
 		if g, ok := a.grant(i, r.Seqs[i]); ok {
 			t.zoneAllocator.Apply(g, now)
 		}
@@ -249,10 +249,10 @@
 
 // updateHint follows the redirect of an answer without grants, or moves on to the
 // next address.
-func (s *shard) updateHint(a *answer, asked string) {
+func (s *shard) updateHint(a *answer, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a != nil && a.Redirect != "" && a.Redirect != asked {
+	if a != nil && a.Redirect != "" && a.Redirect != address {
 		s.hintAddress = a.Redirect
 		return
 	}
--- a/entry/upstream/upstream_test.go
+++ b/entry/upstream/upstream_test.go
@@ -69,7 +69,7 @@
 	return string(b), err
 }
 
-func TestConnectionIsKeptOnlyIfNothingIsAgainstIt(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	cases := map[string]struct {
 		answer string
 		kept   bool
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestExtraBytesArriveLate guards against mistaking an unsolicited response, received
+// TestUnsolicitedBytesOnIdleConnection guards against mistaking an unsolicited response, received
 // while the connection was idle in the pool, for that of the next request.
-func TestExtraBytesArriveLate(t *testing.T) {
+func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
 	pool, conns := startEndpoint(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for {
 			if _, _, err := read(r); err != nil {
@@ -131,11 +131,11 @@
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
-func TestBrokenAnswersAreNotComplete(t *testing.T) {
+func TestTruncatedResponsesFail(t *testing.T) {
 	cases := map[string]string{
 		"length not reached": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"no last chunk":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-		"no answer":          "",
+		"no response":        "",
 		"no HTTP":            "\x00\x01\x02 what is this\r\n\r\n",
 	}
 	for name, answer := range cases {
@@ -230,9 +230,9 @@
 	}
 }
 
-// TestAnswerBeforeTheBody covers an endpoint that responds before it has read a
+// TestResponseBeforeRequestBody covers an endpoint that responds before it has read a
 // long body and reads on: the connection must not carry another request.
-func TestAnswerBeforeTheBody(t *testing.T) {
+func TestResponseBeforeRequestBody(t *testing.T) {
 	pool, conns := startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
