--- a/balance/scheduler/breaker_test.go
+++ b/balance/scheduler/breaker_test.go
@@ -102,9 +102,9 @@
 	assert.Equal(t, d.RetryAfter, minRemainingOutage)
 }
 
-// TestShortReturnIsTheSameOutage covers reports that cross the recovery of a group:
+// TestBriefUptimeContinuesOutage covers reports that cross the recovery of a group:
 // a brief uptime between them does not restart the outage.
-func TestShortReturnIsTheSameOutage(t *testing.T) {
+func TestBriefUptimeContinuesOutage(t *testing.T) {
 	h := newHarness(t, Config{OutageDuration: 4 * time.Second}, usableEndpoint("a", 4))
 	h.advance(time.Second)
 	h.scheduler.SetDown(true, h.now)
--- a/balance/scheduler/dispatch.go
+++ b/balance/scheduler/dispatch.go
@@ -24,20 +24,20 @@
 		return false
 	}
 	for _, late := range []bool{false, true} {
-		for i, t := range s.waiting {
-			if s.isLate(&t.Request, now) != late {
+		for i, item := range s.waiting {
+			if s.isLate(&item.Request, now) != late {
 				continue
 			}
-			e := s.leastCost(&t.Request, now)
+			e := s.leastCost(&item.Request, now)
 			if e == nil {
 				continue
 			}
 			s.waiting = slices.Delete(s.waiting, i, i+1)
-			s.recordStart(e, &t.Request, now)
+			s.recordStart(e, &item.Request, now)
 			if open := s.breakers[e.group]; open != nil {
 				open.lastTrial = now
 			}
-			s.decide(t, Decision{Endpoint: e.Name, Late: late}, now)
+			s.decide(item, Decision{Endpoint: e.Name, Late: late}, now)
 			return true
 		}
 	}
@@ -87,8 +87,8 @@
 }
 
 // refuseOnArrival returns the refusal of a new request that is not queued, if any.
-func (s *Scheduler) refuseOnArrival(t *Ticket, now time.Duration) (Decision, bool) {
-	r := &t.Request
+func (s *Scheduler) refuseOnArrival(item *Item, now time.Duration) (Decision, bool) {
+	r := &item.Request
 	if !s.anyUsable(r) {
 		return Decision{Reason: NoEndpoint, RetryAfter: noEndpointRetryAfter}, true
 	}
@@ -102,7 +102,7 @@
 		}
 		return Decision{}, false
 	}
-	if wait := s.expectedWait(t, now); wait > limit {
+	if wait := s.expectedWait(item, now); wait > limit {
 		return Decision{Reason: Overload, RetryAfter: wait - limit}, true
 	}
 	return Decision{}, false
@@ -147,10 +147,10 @@
 
 // expectedWait returns the time until a new request starts, from the number of
 // requests ahead of it and the start rate.
-func (s *Scheduler) expectedWait(t *Ticket, now time.Duration) time.Duration {
+func (s *Scheduler) expectedWait(item *Item, now time.Duration) time.Duration {
 	ahead := 0
 	for _, w := range s.waiting {
-		if w.sortKey <= t.sortKey && !s.isLate(&w.Request, now) {
+		if w.sortKey <= item.sortKey && !s.isLate(&w.Request, now) {
 			ahead++
 		}
 	}
@@ -162,24 +162,24 @@
 
 // refuseExpired refuses the requests that can no longer be served.
 func (s *Scheduler) refuseExpired(now time.Duration) {
-	var out []*Ticket
-	s.waiting = slices.DeleteFunc(s.waiting, func(t *Ticket) bool {
-		if s.maxWait(&t.Request, now) > 0 && s.anyUsable(&t.Request) {
+	var out []*Item
+	s.waiting = slices.DeleteFunc(s.waiting, func(item *Item) bool {
+		if s.maxWait(&item.Request, now) > 0 && s.anyUsable(&item.Request) {
 			return false
 		}
-		out = append(out, t)
+		out = append(out, item)
 		return true
 	})
-	for _, t := range out {
-		d := Decision{Reason: Overload, RetryAfter: s.expectedWait(t, now)}
+	for _, item := range out {
+		d := Decision{Reason: Overload, RetryAfter: s.expectedWait(item, now)}
 		switch {
-		case !s.anyUsable(&t.Request):
+		case !s.anyUsable(&item.Request):
 			d = Decision{Reason: NoEndpoint, RetryAfter: noEndpointRetryAfter}
 		case s.down:
 			d = Decision{Reason: GroupDown, RetryAfter: s.remainingOutage(now)}
 		case s.allBreakersOpen():
 			d = Decision{Reason: GroupDown, RetryAfter: minRemainingOutage}
 		}
-		s.decide(t, d, now)
+		s.decide(item, d, now)
 	}
 }
--- a/balance/scheduler/scheduler.go
+++ b/balance/scheduler/scheduler.go
@@ -16,7 +16,7 @@
 	endpoints []*endpoint
 	byName    map[id.Endpoint]*endpoint
 
-	waiting []*Ticket // by sortKey
+	waiting []*Item // by sortKey
 	// firstEventLatency and requestDuration estimate the times from the start of a
 	// request to its first event and to its end.
 	firstEventLatency, requestDuration estimate
@@ -235,22 +235,22 @@
 	}
 }
 
-// Submit schedules a request. The ticket's Decided is called before Submit returns
+// Submit schedules a request. The item's Decided is called before Submit returns
 // or by a later call of Dispatch.
-func (s *Scheduler) Submit(t *Ticket, now time.Duration) {
-	t.sortKey = t.Request.Target + time.Duration(t.Request.Priority)*s.cfg.PriorityStep
-	if t.Request.Resumed {
-		t.sortKey = 0
+func (s *Scheduler) Submit(item *Item, now time.Duration) {
+	item.sortKey = item.Request.Target + time.Duration(item.Request.Priority)*s.cfg.PriorityStep
+	if item.Request.Resumed {
+		item.sortKey = 0
 	}
-	if d, refused := s.refuseOnArrival(t, now); refused {
-		s.decide(t, d, now)
+	if d, refused := s.refuseOnArrival(item, now); refused {
+		s.decide(item, d, now)
 		return
 	}
-	i := sort.Search(len(s.waiting), func(i int) bool { return s.waiting[i].sortKey > t.sortKey })
-	s.waiting = slices.Insert(s.waiting, i, t)
+	i := sort.Search(len(s.waiting), func(i int) bool { return s.waiting[i].sortKey > item.sortKey })
+	s.waiting = slices.Insert(s.waiting, i, item)
 	s.Dispatch(now)
-	if !t.done && t.Queued != nil {
-		t.Queued(s.occupancy())
+	if !item.done && item.Queued != nil {
+		item.Queued(s.occupancy())
 	}
 }
 
@@ -269,25 +269,25 @@
 	return sum
 }
 
-// Withdraw removes a ticket from the queue. It has no effect after the decision.
-func (s *Scheduler) Withdraw(t *Ticket) {
-	t.done = true
-	if i := slices.Index(s.waiting, t); i >= 0 {
+// Withdraw removes an item from the queue. It has no effect after the decision.
+func (s *Scheduler) Withdraw(item *Item) {
+	item.done = true
+	if i := slices.Index(s.waiting, item); i >= 0 {
 		s.waiting = slices.Delete(s.waiting, i, i+1)
 	}
 }
 
-func (s *Scheduler) decide(t *Ticket, d Decision, now time.Duration) {
-	if t.done {
+func (s *Scheduler) decide(item *Item, d Decision, now time.Duration) {
+	if item.done {
 		return
 	}
-	t.done = true
-	d.Waited = max(now-t.Request.Arrival, 0)
+	item.done = true
+	d.Waited = max(now-item.Request.Arrival, 0)
 	d.Occupancy = s.occupancy()
 	if s.down {
 		d.DownFor = now - s.downSince
 	}
-	t.Decided(d)
+	item.Decided(d)
 }
 
 // running returns the number of requests at all endpoints.
--- a/balance/scheduler/scheduler_test.go
+++ b/balance/scheduler/scheduler_test.go
@@ -33,7 +33,7 @@
 	if r.Arrival == 0 {
 		r.Arrival = h.now
 	}
-	h.scheduler.Submit(&Ticket{Request: r, Decided: func(got Decision) { *d = got }}, h.now)
+	h.scheduler.Submit(&Item{Request: r, Decided: func(got Decision) { *d = got }}, h.now)
 	return d
 }
 
@@ -203,9 +203,9 @@
 	running := h.chatRequest()
 	h.submit(running)
 	called := false
-	ticket := &Ticket{Request: h.chatRequest(), Decided: func(Decision) { called = true }}
-	h.scheduler.Submit(ticket, h.now)
-	h.scheduler.Withdraw(ticket)
+	item := &Item{Request: h.chatRequest(), Decided: func(Decision) { called = true }}
+	h.scheduler.Submit(item, h.now)
+	h.scheduler.Withdraw(item)
 	h.scheduler.RecordEnd("a", &running, true, 100*ms)
 	h.advance(ms)
 	assert.Assert(t, !called)
@@ -236,7 +236,7 @@
 	h.scheduler.SetPeerLoad("a", Load{Running: 2})
 	h.scheduler.SetPeerLoad("b", Load{Running: 2})
 	var got Decision
-	h.scheduler.Submit(&Ticket{
+	h.scheduler.Submit(&Item{
 		Request: h.chatRequest(), Queued: func(s Occupancy) { queued = append(queued, s) }, Decided: func(d Decision) { got = d },
 	}, h.now)
 	assert.DeepEqual(t, queued, []Occupancy{{Running: 8, Capacity: 8, Waiting: 1}})
--- a/balance/scheduler/types.go
+++ b/balance/scheduler/types.go
@@ -144,8 +144,8 @@
 	Down bool
 }
 
-// Ticket is a request in the queue.
-type Ticket struct {
+// Item is a request in the queue.
+type Item struct {
 	Request Request
 	// Decided is called once, by the goroutine that calls the Scheduler.
 	Decided func(Decision)
--- a/entry/direct/buffered_test.go
+++ b/entry/direct/buffered_test.go
@@ -17,15 +17,15 @@
 	nonIdempotent = routes.Route{Kind: routes.NonIdempotent, MaxAttempts: 2}
 )
 
-func TestWholeAnswers(t *testing.T) {
+func TestBufferedResponses(t *testing.T) {
 	refusal := respond(503, "Not-Run: 1")
 	cases := map[string]struct {
 		route         routes.Route
 		first, second script
 		wantStatus    int
 		wantBody      string
-		// wantTries counts the requests at both endpoints.
-		wantTries int
+		// wantAttempts counts the requests at both endpoints.
+		wantAttempts int
 	}{
 		"answered":                     {idempotent, respondOK("a"), respondOK("a"), 200, "a", 1},
 		"a refusal is tried elsewhere": {nonIdempotent, refusal, refusal, 503, "", 2},
@@ -51,7 +51,7 @@
 			if c.wantBody != "" {
 				assert.Equal(t, got.body, c.wantBody)
 			}
-			assert.Equal(t, len(a.requests())+len(b.requests()), c.wantTries)
+			assert.Equal(t, len(a.requests())+len(b.requests()), c.wantAttempts)
 			if c.wantStatus == http.StatusServiceUnavailable {
 				after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 				assert.NilError(t, err)
@@ -72,9 +72,9 @@
 	assert.Equal(t, len(a.requests())+len(b.requests()), 1)
 }
 
-// TestGETIsNotRepeatedByItsMethod checks that the kind of the route decides, not the
+// TestGETIsNotRetriedByItsMethod checks that the kind of the route decides, not the
 // method.
-func TestGETIsNotRepeatedByItsMethod(t *testing.T) {
+func TestGETIsNotRetriedByItsMethod(t *testing.T) {
 	a, b := newBackend(t, "a", cutOff("")), newBackend(t, "b", cutOff(""))
 	e := newEntry(t, nonIdempotent, a, b)
 	got := e.sendBody(t.Context(), http.MethodGet, "")
@@ -82,7 +82,7 @@
 	assert.Equal(t, len(a.requests())+len(b.requests()), 1)
 }
 
-func TestWhatTheEndpointIsTold(t *testing.T) {
+func TestForwardedHeaders(t *testing.T) {
 	a := newBackend(t, "a", respondOK("x"))
 	e := newEntry(t, idempotent, a)
 	got := e.send(http.MethodPost, "Patience: 1000", "Connection: X-Hop", "X-Hop: 1", "X-Kept: 2", "Team: forged")
@@ -111,7 +111,7 @@
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 }
 
-func TestTimeIsOver(t *testing.T) {
+func TestDeadlineExceeded(t *testing.T) {
 	t.Run("at the endpoint, nothing is promised", func(t *testing.T) {
 		a := newBackend(t, "a", hang)
 		e := newEntry(t, nonIdempotent, a)
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestBudgetOfRepeats(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	a, b := newBackend(t, "a", respond(500, "Signed: yes")), newBackend(t, "b", respond(500, "Signed: yes"))
 	e := newEntry(t, idempotent, a, b)
 	e.handler.Service("s").window = noRetries()
--- a/entry/direct/service.go
+++ b/entry/direct/service.go
@@ -135,22 +135,22 @@
 // is empty if ctx ended.
 func (s *Service) Acquire(ctx context.Context, r scheduler.Request, queued func(scheduler.Occupancy)) (*Slot, scheduler.Decision) {
 	decided := make(chan scheduler.Decision, 1)
-	t := &scheduler.Ticket{Request: r, Decided: func(d scheduler.Decision) { decided <- d }, Queued: queued}
+	item := &scheduler.Item{Request: r, Decided: func(d scheduler.Decision) { decided <- d }, Queued: queued}
 	s.mu.Lock()
-	s.scheduler.Submit(t, s.now())
+	s.scheduler.Submit(item, s.now())
 	s.dispatch()
 	s.mu.Unlock()
 	select {
 	case d := <-decided:
-		return s.slot(t, d)
+		return s.slot(item, d)
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
-	s.scheduler.Withdraw(t)
+	s.scheduler.Withdraw(item)
 	s.mu.Unlock()
 	select {
 	case d := <-decided:
-		if slot, _ := s.slot(t, d); slot != nil {
+		if slot, _ := s.slot(item, d); slot != nil {
 			slot.Release(Neutral)
 		}
 	default:
@@ -158,7 +158,7 @@
 	return nil, scheduler.Decision{}
 }
 
-func (s *Service) slot(t *scheduler.Ticket, d scheduler.Decision) (*Slot, scheduler.Decision) {
+func (s *Service) slot(item *scheduler.Item, d scheduler.Decision) (*Slot, scheduler.Decision) {
 	if d.Endpoint == "" {
 		return nil, d
 	}
@@ -169,7 +169,7 @@
 		return nil, scheduler.Decision{Reason: scheduler.NoEndpoint} // It was removed in the meantime.
 	}
 	return &Slot{
-		Backend: b, Decision: d, LoadsAge: time.Since(s.peerLoadsAt), service: s, request: &t.Request, started: s.now(),
+		Backend: b, Decision: d, LoadsAge: time.Since(s.peerLoadsAt), service: s, request: &item.Request, started: s.now(),
 	}, d
 }
 
--- a/entry/direct/stream_test.go
+++ b/entry/direct/stream_test.go
@@ -34,13 +34,13 @@
 	notResumable := stream
 	notResumable.Resumable = false
 	cases := map[string]struct {
-		route      routes.Route
-		a, b       script
-		last       string
-		wantStatus int
-		want       string
-		wantBroken bool
-		wantTries  int
+		route        routes.Route
+		a, b         script
+		last         string
+		wantStatus   int
+		want         string
+		wantBroken   bool
+		wantAttempts int
 	}{
 		"forwarded to its end":                    {stream, events(5, 0, 0), events(5, 0, 0), "", 200, wantEvents(1, 5), false, 1},
 		"resumed elsewhere after the last event":  {stream, events(6, 3, 0), events(6, 0, 0), "", 200, wantEvents(1, 6), false, 2},
@@ -66,7 +66,7 @@
 				assert.Equal(t, got.body, c.want)
 			}
 			assert.Equal(t, got.err != nil, c.wantBroken, "%v", got.err)
-			assert.Equal(t, len(a.requests())+len(b.requests()), c.wantTries)
+			assert.Equal(t, len(a.requests())+len(b.requests()), c.wantAttempts)
 		})
 	}
 }
@@ -95,9 +95,9 @@
 	return out
 }
 
-// TestSilentStreamGoesOnElsewhere checks that the stream of a hung rank is resumed
+// TestSilentStreamResumesElsewhere checks that the stream of a hung rank is resumed
 // elsewhere while other ranks are active.
-func TestSilentStreamGoesOnElsewhere(t *testing.T) {
+func TestSilentStreamResumesElsewhere(t *testing.T) {
 	a, b := newBackend(t, "a", silent), newBackend(t, "b", events(9, 0, 100*time.Millisecond))
 	e := newEntry(t, stream, a, b)
 	other := startAt(e, "b", "a") // Keeps the service active.
@@ -141,7 +141,7 @@
 	assert.Equal(t, len(a.requests()), 1, "the silent rank received another stream")
 }
 
-func TestClientThatLeavesFreesTheEndpoint(t *testing.T) {
+func TestDisconnectedClientFreesEndpoint(t *testing.T) {
 	left := make(chan struct{})
 	a := newBackend(t, "a", func(n int, w http.ResponseWriter, r *http.Request) {
 		hang(n, w, r)
@@ -166,7 +166,7 @@
 	t.Fatal("the slot is still taken")
 }
 
-func TestStreamEndsAtTheRoutesTime(t *testing.T) {
+func TestStreamEndsAtRouteTimeout(t *testing.T) {
 	route := stream
 	route.Timeout = 250 * time.Millisecond
 	a := newBackend(t, "a", events(9, 0, 100*time.Millisecond))
@@ -176,9 +176,9 @@
 	assert.Assert(t, got.took < 600*time.Millisecond)
 }
 
-// TestContinuedStreamRepeatsEvents checks endpoints that do not resume exactly after the
+// TestInexactResume checks endpoints that do not resume exactly after the
 // requested event.
-func TestContinuedStreamRepeatsEvents(t *testing.T) {
+func TestInexactResume(t *testing.T) {
 	from := func(first int) script {
 		return func(_ int, w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Signed", "yes")
