--- a/wire/link/link_test.go
+++ b/wire/link/link_test.go
@@ -139,7 +139,7 @@
 	assert.ErrorIs(t, err, ErrClosed)
 }
 
-func TestOutboxKnowsWhatLeft(t *testing.T) {
+func TestOutboxMaybeSent(t *testing.T) {
 	o := newOutbox(DefaultConfig())
 	first, err := o.enqueue(ticketOrder("a"))
 	assert.NilError(t, err)
@@ -223,9 +223,9 @@
 
 func (r *slowReplyHandler) Lost(bool, error) { close(r.lost) }
 
-// TestCloseDeliversWhatIsQueued guards against the loss of queued replies when an agent
+// TestCloseDeliversQueuedReplies guards against the loss of queued replies when an agent
 // stops after its last response, while the entry is slow to read.
-func TestCloseDeliversWhatIsQueued(t *testing.T) {
+func TestCloseDeliversQueuedReplies(t *testing.T) {
 	authority, err := keys.NewAuthority(time.Hour)
 	assert.NilError(t, err)
 	agent, dialer := issueCredentials(t, authority, keys.RoleAgent), issueCredentials(t, authority, keys.RoleEntry)
