--- a/itest/histories/histories_test.go
+++ b/itest/histories/histories_test.go
@@ -29,46 +29,46 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	callers        = 6
+	callerCount    = 6
 	callsPerCaller = 8
-	tickets        = 3
-	ownKeys        = 3
-	faults         = 12
+	ticketCount    = 3
+	callerKeyCount = 3
+	faultCount     = 12
 	maxIssueTries  = 100
 )
 
-// key is an action that callers try again and again.
+// key is the ticket or idempotency key of an action that several callers repeat.
 type key struct {
 	text   string
 	ticket bool
 }
 
-// told is what one request learned.
-type told struct {
+// callResult is the outcome that the caller of one request received.
+type callResult struct {
 	request    string
 	key        string
 	idempotent bool
 	outcome    outcome.Outcome
 	action     outcome.Outcome
 	problem    *problem.Problem
-	// wrong is set if a complete answer was not the one to this request.
-	wrong string
+	// mismatch describes a complete answer that belongs to another request or payload.
+	mismatch string
 }
 
-// history is a run of callers and faults.
+// history is one seeded run of concurrent callers under injected faults.
 type history struct {
 	seed  uint64
 	world *world
 	keys  []key
 
-	mu   sync.Mutex // leaf lock
-	told []told
+	mu      sync.Mutex // leaf lock
+	results []callResult
 }
 
-// text collects an answer.
-type text struct{ body []byte }
+// bodySink implements dispatch.Sink and collects the answer's body.
+type bodySink struct{ body []byte }
 
-func (s *text) WriteFrames(batch []*msg.Frame) error {
+func (s *bodySink) WriteFrames(batch []*msg.Frame) error {
 	for _, f := range batch {
 		s.body = append(s.body, f.Data...)
 	}
@@ -80,24 +80,24 @@
 		return err
 	}
 	var wg sync.WaitGroup
-	for i := range callers {
-		wg.Go(func() { h.caller(ctx, newChance(h.seed, uint64(i)+10)) })
+	for i := range callerCount {
+		wg.Go(func() { h.runCaller(ctx, newLockedRand(h.seed, uint64(i)+10)) })
 	}
 	var failure error
-	wg.Go(func() { failure = h.faults(ctx, newChance(h.seed, 2)) })
+	wg.Go(func() { failure = h.injectFaults(ctx, newLockedRand(h.seed, 2)) })
 	wg.Wait()
 	if failure != nil {
 		return failure
 	}
-	h.heal()
+	h.clearFaults()
 	for _, k := range h.keys {
-		h.request(ctx, newChance(h.seed, 3), h.world.entries[0], k, time.Second, "payload", true)
+		h.request(ctx, newLockedRand(h.seed, 3), h.world.entries[0], k, time.Second, "payload", true)
 	}
 	return nil
 }
 
 func (h *history) makeKeys(ctx context.Context) error {
-	for i := range tickets {
+	for i := range ticketCount {
 		t, p := h.world.entries[i%len(h.world.entries)].actions.IssueTicket(ctx, team, service)
 		for tries := 0; p != nil && tries < maxIssueTries; tries++ {
 			t, p = h.world.entries[i%len(h.world.entries)].actions.IssueTicket(ctx, team, service)
@@ -107,7 +107,7 @@
 		}
 		h.keys = append(h.keys, key{text: t.Ticket, ticket: true})
 	}
-	for range ownKeys {
+	for range callerKeyCount {
 		k, err := uuid.NewV7()
 		if err != nil {
 			return err
@@ -117,12 +117,12 @@
 	return nil
 }
 
-// caller sends requests, leaves some early and tries others again elsewhere.
-func (h *history) caller(ctx context.Context, c *chance) {
+// runCaller sends requests through random entries, cancels some and repeats shared keys.
+func (h *history) runCaller(ctx context.Context, c *lockedRand) {
 	for range callsPerCaller {
 		var k key
 		if c.percent(75) {
-			k = h.keys[c.below(len(h.keys))]
+			k = h.keys[c.intN(len(h.keys))]
 		}
 		payload := "payload"
 		if c.percent(5) {
@@ -130,37 +130,37 @@
 		}
 		requestCtx, cancel := context.WithCancel(ctx)
 		if c.percent(15) {
-			time.AfterFunc(c.millis(30), cancel)
+			time.AfterFunc(c.upToMillis(30), cancel)
 		}
-		h.request(requestCtx, c, h.world.entries[c.below(len(h.world.entries))], k, c.millis(300), payload, c.percent(50))
+		h.request(requestCtx, c, h.world.entries[c.intN(len(h.world.entries))], k, c.upToMillis(300), payload, c.percent(50))
 		cancel()
-		wait(ctx, c.millis(10))
+		wait(ctx, c.upToMillis(10))
 	}
 }
 
-// request sends one request as the caller API does and records what it learned.
-func (h *history) request(ctx context.Context, c *chance, e *entry, k key, timeout time.Duration, payload string, idempotent bool) {
-	r := told{request: string(id.NewRequest()), key: k.text, idempotent: idempotent && k.text == ""}
+// request sends one request the way the caller API does and records its result.
+func (h *history) request(ctx context.Context, c *lockedRand, e *entry, k key, timeout time.Duration, payload string, idempotent bool) {
+	r := callResult{request: string(id.NewRequest()), key: k.text, idempotent: idempotent && k.text == ""}
 	call := &dispatch.Call{
 		Request: id.Request(r.request), Team: team, Service: service, Idempotent: r.idempotent,
 		Deadline: time.Now().Add(timeout), PayloadHash: uint64(len(payload)),
-		Plain: &msg.HTTPRequest{Method: "POST", Path: "/", Body: []byte(payload), Header: []msg.Header{{Name: headRequest, Value: r.request}}},
+		Plain: &msg.HTTPRequest{Method: "POST", Path: "/", Body: []byte(payload), Header: []msg.Header{{Name: headerRequest, Value: r.request}}},
 	}
 	if k.text != "" {
-		call.Plain.Header = append(call.Plain.Header, msg.Header{Name: headKey, Value: k.text})
+		call.Plain.Header = append(call.Plain.Header, msg.Header{Name: headerKey, Value: k.text})
 	}
 	if p := bind(ctx, e, call, k); p != nil {
 		r.outcome, r.action, r.problem = p.Outcome, p.ActionOutcome, p
 		h.record(r)
 		return
 	}
-	var sink text
+	var sink bodySink
 	result := e.dispatcher.Run(ctx, call, &sink)
 	r.outcome, r.problem = result.Outcome, result.Problem
 	if result.Problem != nil {
 		r.action = result.Problem.ActionOutcome
 	} else if want := answerTo(call.Plain); string(sink.body) != want {
-		r.wrong = fmt.Sprintf("got %q instead of %q", sink.body, want)
+		r.mismatch = fmt.Sprintf("got %q instead of %q", sink.body, want)
 	}
 	h.record(r)
 }
@@ -175,19 +175,19 @@
 	return e.actions.BindKey(ctx, call, k.text)
 }
 
-func (h *history) record(r told) {
+func (h *history) record(r callResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told = append(h.told, r)
+	h.results = append(h.results, r)
 }
 
-// faults strikes endpoints and the platform by chance.
-func (h *history) faults(ctx context.Context, c *chance) error {
+// injectFaults injects random faults into endpoints and the platform.
+func (h *history) injectFaults(ctx context.Context, c *lockedRand) error {
 	w := h.world
-	for range faults {
-		wait(ctx, c.millis(40))
-		e := w.endpoints[c.below(len(w.endpoints))]
-		switch c.below(14) {
+	for range faultCount {
+		wait(ctx, c.upToMillis(40))
+		e := w.endpoints[c.intN(len(w.endpoints))]
+		switch c.intN(14) {
 		case 0, 1:
 			e.proxy.SilenceExisting()
 		case 2:
@@ -207,25 +207,24 @@
 		case 9:
 			w.store.SetDown(c.percent(50))
 		case 10:
-			w.store.LoseResponses(1 + c.below(4))
-			w.store.SetReadLag(c.below(3))
+			w.store.LoseResponses(1 + c.intN(4))
+			w.store.SetReadLag(c.intN(3))
 		case 11:
 			w.drain(e, c.percent(60))
 		case 12, 13:
-			// Dispatches arrive after their connection was given up.
+			// The delay exceeds the silence timeout, so dispatches outlive their connection.
 			e.proxy.Set(faultproxy.Faults{Delay: 120 * time.Millisecond})
 			wait(ctx, 80*time.Millisecond)
 			e.proxy.Set(faultproxy.Faults{})
 		}
 		if c.percent(40) {
-			h.heal()
+			h.clearFaults()
 		}
 	}
 	return nil
 }
 
-// heal ends all faults.
-func (h *history) heal() {
+func (h *history) clearFaults() {
 	h.world.store.SetDown(false)
 	h.world.store.SetReadLag(0)
 	for _, e := range h.world.endpoints {
@@ -233,44 +232,44 @@
 	}
 }
 
-// violations returns what was said and is not so. All back ends have ended.
+// violations compares outcomes with counted executions. The world must be closed.
 func (h *history) violations() []string {
 	var out []string
-	w := h.world.witness
+	w := h.world.executions
 	for k, n := range w.keys {
 		if n > 1 {
 			out = append(out, fmt.Sprintf("action %.20s ran %d times", k, n))
 		}
 	}
-	for _, r := range h.told {
+	for _, r := range h.results {
 		runs := w.requests[r.request]
 		name := fmt.Sprintf("request %s (key %.20s, idempotent %t, %v): ", r.request, r.key, r.idempotent, r.problem)
-		if r.wrong != "" {
-			out = append(out, name+r.wrong)
+		if r.mismatch != "" {
+			out = append(out, name+r.mismatch)
 		}
 		if runs > 1 && !r.idempotent {
 			out = append(out, fmt.Sprintf("%sran %d times", name, runs))
 		}
 		if r.outcome == outcome.NotRun && runs > 0 {
-			out = append(out, name+"was told not-run and ran")
+			out = append(out, name+"was reported not-run but ran")
 		}
 		if r.outcome == outcome.Ran && r.key == "" && runs == 0 {
-			out = append(out, name+"was told ran and did not run")
+			out = append(out, name+"was reported ran but did not run")
 		}
 		if r.outcome == outcome.Ran && r.key != "" && w.keys[r.key] != 1 {
-			out = append(out, fmt.Sprintf("%swas told ran and its action ran %d times", name, w.keys[r.key]))
+			out = append(out, fmt.Sprintf("%swas reported ran but its action ran %d times", name, w.keys[r.key]))
 		}
 		if r.action == outcome.NotRun && w.keys[r.key] > 0 {
-			out = append(out, name+"was told that the action never runs and it ran")
+			out = append(out, name+"had its action reported not-run but the action ran")
 		}
 	}
 	return out
 }
 
-// TestAtMostOnceAndHonestOutcomes runs seeded histories. The witness in the back
-// ends decides whether what callers were told is true.
+// TestAtMostOnceAndHonestOutcomes runs seeded histories and checks every reported
+// outcome against the executions that the back ends counted.
 func TestAtMostOnceAndHonestOutcomes(t *testing.T) {
-	rings, err := newKeyRings()
+	creds, err := newCredentials()
 	assert.NilError(t, err)
 	var mu sync.Mutex
 	outcomes := map[outcome.Outcome]int{}
@@ -282,7 +281,7 @@
 			defer func() { <-slots }()
 			h := &history{seed: *seed + uint64(i)}
 			var err error
-			if h.world, err = newWorld(h.seed, rings); err == nil {
+			if h.world, err = newWorld(h.seed, creds); err == nil {
 				err = h.run(context.Background())
 				h.world.close()
 			}
@@ -292,7 +291,7 @@
 			for _, v := range h.violations() {
 				t.Errorf("seed %d: %s", h.seed, v)
 			}
-			for _, r := range h.told {
+			for _, r := range h.results {
 				outcomes[r.outcome]++
 			}
 		})
@@ -300,6 +299,6 @@
 	wg.Wait()
 	t.Logf("%d histories from seed %d: %v", *cases, *seed, outcomes)
 	for _, o := range []outcome.Outcome{outcome.Ran, outcome.NotRun, outcome.Unknown} {
-		assert.Check(t, outcomes[o] > 0, "no request learned %q", o)
+		assert.Check(t, outcomes[o] > 0, "no request had outcome %q", o)
 	}
 }
--- a/itest/histories/late_test.go
+++ b/itest/histories/late_test.go
@@ -12,7 +12,7 @@
 	"github.com/siskinford/siskinford/wire/msg"
 )
 
-// frameWaiter receives the first frame of an order.
+// frameWaiter receives the first reply frame to an order.
 type frameWaiter struct{ frames chan *msg.Frame }
 
 func (w frameWaiter) Reply(r *msg.Reply) {
@@ -24,8 +24,8 @@
 
 func (frameWaiter) Lost(bool, error) {}
 
-// ask sends an order and returns the first frame of its answer.
-func ask(t *testing.T, conn *link.Conn, o *msg.Order) *msg.Frame {
+// firstFrame sends an order and returns the first frame of the reply.
+func firstFrame(t *testing.T, conn *link.Conn, o *msg.Order) *msg.Frame {
 	t.Helper()
 	w := frameWaiter{frames: make(chan *msg.Frame, 1)}
 	call, err := conn.Send(o, w)
@@ -40,17 +40,17 @@
 	}
 }
 
-// TestLateDispatchIsRefused lets a dispatch arrive after its attempt was said to
-// be not run, over a connection of its own.
+// TestLateDispatchIsRefused verifies that a dispatch that arrives over another
+// connection after its attempt was settled as not run is refused.
 func TestLateDispatchIsRefused(t *testing.T) {
-	rings, err := newKeyRings()
+	creds, err := newCredentials()
 	assert.NilError(t, err)
 	for _, tc := range []struct {
 		name   string
 		settle func(t *testing.T, conn *link.Conn, d *msg.Dispatch)
 	}{
 		{"after the entry attached", func(t *testing.T, conn *link.Conn, d *msg.Dispatch) {
-			f := ask(t, conn, &msg.Order{Attach: &msg.Attach{Attempt: d.Attempt, Incarnation: d.Incarnation, Team: d.Team, Action: d.Action}})
+			f := firstFrame(t, conn, &msg.Order{Attach: &msg.Attach{Attempt: d.Attempt, Incarnation: d.Incarnation, Team: d.Team, Action: d.Action}})
 			assert.Equal(t, f.Refused.Code, msg.CodeUnknownAttempt)
 		}},
 		{"after the caller left", func(t *testing.T, conn *link.Conn, d *msg.Dispatch) {
@@ -61,7 +61,7 @@
 			assert.Equal(t, reply.Status.State, msg.StateTombstoned)
 			want := outcome.NotRun
 			if d.Action != "" {
-				want = outcome.Unknown // another attempt of the action may still come
+				want = outcome.Unknown // another attempt of the action may still arrive
 			}
 			assert.Equal(t, reply.Status.Outcome, want)
 		}},
@@ -71,7 +71,7 @@
 	} {
 		for _, action := range []string{"", "act"} {
 			t.Run(tc.name+" "+action, func(t *testing.T) {
-				w, err := newWorld(1, rings)
+				w, err := newWorld(1, creds)
 				assert.NilError(t, err)
 				defer w.close()
 				e := w.endpoints[0]
@@ -82,15 +82,15 @@
 				d := &msg.Dispatch{
 					Request: "req", Attempt: "att", Incarnation: e.current().Incarnation(), Endpoint: e.name, Team: team,
 					Service: service, QueueTimeoutMicros: time.Minute.Microseconds(),
-					Plain: &msg.HTTPRequest{Method: "POST", Path: "/", Header: []msg.Header{{Name: headRequest, Value: "req"}}},
+					Plain: &msg.HTTPRequest{Method: "POST", Path: "/", Header: []msg.Header{{Name: headerRequest, Value: "req"}}},
 				}
 				if action != "" {
 					d.Action = "act"
 				}
 				tc.settle(t, first, d)
-				f := ask(t, second, &msg.Order{Dispatch: d})
+				f := firstFrame(t, second, &msg.Order{Dispatch: d})
 				assert.Assert(t, f.Refused != nil)
-				assert.Equal(t, w.witness.requests["req"], 0)
+				assert.Equal(t, w.executions.requests["req"], 0)
 			})
 		}
 	}
--- a/itest/histories/world_test.go
+++ b/itest/histories/world_test.go
@@ -1,6 +1,6 @@
-// Package histories checks many seeded histories of callers, entries, agents and
-// faults within one process: real agents, connections, dispatchers, claims and
-// tickets over loopback, with the back end replaced by a counting witness.
+// Package histories is a randomized safety test of at-most-once execution. Each
+// seeded history runs agents, connections, dispatchers, claims and tickets in one
+// process over loopback, against a back end that counts executions.
 package histories
 
 import (
@@ -32,57 +32,57 @@
 )
 
 const (
-	service     id.Service = "mostrador"
-	team        id.Team    = "puno"
-	headRequest            = "X-Request"
-	headKey                = "Idempotency-Key"
+	service       id.Service = "mostrador"
+	team          id.Team    = "puno"
+	headerRequest            = "X-Request"
+	headerKey                = "Idempotency-Key"
 )
 
-// chance is a seeded source of random numbers that is safe for concurrent use.
-type chance struct {
+// lockedRand is a seeded random number generator that is safe for concurrent use.
+type lockedRand struct {
 	mu     sync.Mutex // leaf lock
 	random *rand.Rand
 }
 
-func newChance(seed, stream uint64) *chance {
-	return &chance{random: rand.New(rand.NewPCG(seed, stream))}
+func newLockedRand(seed, stream uint64) *lockedRand {
+	return &lockedRand{random: rand.New(rand.NewPCG(seed, stream))}
 }
 
-func (c *chance) below(n int) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.random.IntN(n)
+func (r *lockedRand) intN(n int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.random.IntN(n)
 }
 
-func (c *chance) percent(p int) bool { return c.below(100) < p }
+func (r *lockedRand) percent(p int) bool { return r.intN(100) < p }
 
-func (c *chance) millis(n int) time.Duration {
-	return time.Duration(c.below(n*1000)) * time.Microsecond
+func (r *lockedRand) upToMillis(n int) time.Duration {
+	return time.Duration(r.intN(n*1000)) * time.Microsecond
 }
 
-// witness counts what back ends ran.
-type witness struct {
+// executionCounts counts the executions of back ends by key and by request.
+type executionCounts struct {
 	mu       sync.Mutex // leaf lock
 	keys     map[string]int
 	requests map[string]int
 }
 
-func (w *witness) run(key, request string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.requests[request]++
+func (c *executionCounts) record(key, request string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests[request]++
 	if key != "" {
-		w.keys[key]++
+		c.keys[key]++
 	}
 }
 
-// backend is the back end of all endpoints of a history. It implements gate.PlainBackend.
+// backend is the back end that all endpoints of a history share.
 type backend struct {
-	witness *witness
-	chance  *chance
+	executions *executionCounts
+	rng        *lockedRand
 }
 
-var errBroken = errors.New("the back end broke")
+var errInjected = errors.New("injected back-end failure")
 
 func header(p *msg.HTTPRequest, name string) string {
 	for _, h := range p.Header {
@@ -93,32 +93,32 @@
 	return ""
 }
 
-// answerTo returns the text that a back end answers to a request: a mark of the
-// action or the request, and the payload.
+// answerTo returns the expected answer to a request: the key of its action, or the
+// request's ID if it has none, and the payload.
 func answerTo(p *msg.HTTPRequest) string {
-	mark := header(p, headKey)
+	mark := header(p, headerKey)
 	if mark == "" {
-		mark = header(p, headRequest)
+		mark = header(p, headerRequest)
 	}
 	return "ran " + mark + " with " + string(p.Body)
 }
 
 // Do implements gate.PlainBackend.
 func (b *backend) Do(ctx context.Context, p *msg.HTTPRequest, w plain.Writer) error {
-	if ctx.Err() != nil || b.chance.percent(4) {
-		return &plain.NotStartedError{Cause: errBroken}
+	if ctx.Err() != nil || b.rng.percent(4) {
+		return &plain.NotStartedError{Cause: errInjected}
 	}
-	b.witness.run(header(p, headKey), header(p, headRequest))
+	b.executions.record(header(p, headerKey), header(p, headerRequest))
 	if err := w.Head(msg.ResponseHead{Status: 201}); err != nil {
 		return err
 	}
 	text := answerTo(p)
 	for len(text) > 0 {
-		wait(ctx, b.chance.millis(8))
-		if ctx.Err() != nil || b.chance.percent(2) {
-			return errBroken
+		wait(ctx, b.rng.upToMillis(8))
+		if ctx.Err() != nil || b.rng.percent(2) {
+			return errInjected
 		}
-		n := min(len(text), 1+b.chance.below(40))
+		n := min(len(text), 1+b.rng.intN(40))
 		_, _ = w.Write([]byte(text[:n])) // the agent's writer does not fail
 		text = text[n:]
 	}
@@ -134,14 +134,14 @@
 	}
 }
 
-// endpoint is an agent that is restarted now and then.
+// endpoint is an agent behind a fault-injecting proxy. It can be restarted.
 type endpoint struct {
 	name  id.Endpoint
 	proxy *faultproxy.UDP
 
-	mu     sync.Mutex // leaf lock
-	agent  *gate.Agent
-	former id.Incarnation
+	mu       sync.Mutex // leaf lock
+	agent    *gate.Agent
+	previous id.Incarnation
 }
 
 func (e *endpoint) current() *gate.Agent {
@@ -150,17 +150,17 @@
 	return e.agent
 }
 
-// believed returns an incarnation as an entry may believe it, which may be outdated.
-func (e *endpoint) believed(outdated bool) id.Incarnation {
+// incarnation returns the current or, if outdated is set, the previous incarnation.
+func (e *endpoint) incarnation(outdated bool) id.Incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if outdated && e.former != "" {
-		return e.former
+	if outdated && e.previous != "" {
+		return e.previous
 	}
 	return e.agent.Incarnation()
 }
 
-// entry is the part of an entry that runs requests.
+// entry holds the components of an entry that run requests.
 type entry struct {
 	dispatcher *dispatch.Dispatcher
 	actions    *actions.Actions
@@ -170,26 +170,26 @@
 
 // world is the fleet of one history.
 type world struct {
-	keys      *keyRings
-	chance    *chance
-	witness   *witness
-	backend   *backend
-	store     *faultstore.Store
-	endpoints []*endpoint
-	entries   []*entry
-	drained   uint64
+	keys         *credentials
+	rng          *lockedRand
+	executions   *executionCounts
+	backend      *backend
+	store        *faultstore.Store
+	endpoints    []*endpoint
+	entries      []*entry
+	drainVersion uint64
 }
 
-// keyRings are the keys of all processes.
-type keyRings struct{ agent, entry *keys.Credentials }
+// credentials are the TLS credentials of all agents and of all entries.
+type credentials struct{ agent, entry *keys.Credentials }
 
-func newKeyRings() (*keyRings, error) {
+func newCredentials() (*credentials, error) {
 	authority, err := keys.NewAuthority(24 * time.Hour)
 	if err != nil {
 		return nil, err
 	}
-	var rings keyRings
-	for role, ring := range map[keys.Role]**keys.Credentials{keys.RoleAgent: &rings.agent, keys.RoleEntry: &rings.entry} {
+	var creds credentials
+	for role, ring := range map[keys.Role]**keys.Credentials{keys.RoleAgent: &creds.agent, keys.RoleEntry: &creds.entry} {
 		material, err := authority.Issue(role, "host", 24*time.Hour)
 		if err != nil {
 			return nil, err
@@ -198,10 +198,10 @@
 			return nil, err
 		}
 	}
-	return &rings, nil
+	return &creds, nil
 }
 
-// linkConfig abandons silent connections early, so that a history sees many of them.
+// linkConfig has short timeouts, so that a history abandons many silent connections.
 func linkConfig() link.Config {
 	c := link.DefaultConfig()
 	c.DialTimeout = 100 * time.Millisecond
@@ -210,14 +210,14 @@
 	return c
 }
 
-func newWorld(seed uint64, rings *keyRings) (*world, error) {
+func newWorld(seed uint64, creds *credentials) (*world, error) {
 	w := &world{
-		keys:    rings,
-		chance:  newChance(seed, 0),
-		witness: &witness{keys: map[string]int{}, requests: map[string]int{}},
-		store:   faultstore.New(memstore.New(memstore.Config{})),
+		keys:       creds,
+		rng:        newLockedRand(seed, 0),
+		executions: &executionCounts{keys: map[string]int{}, requests: map[string]int{}},
+		store:      faultstore.New(memstore.New(memstore.Config{})),
 	}
-	w.backend = &backend{witness: w.witness, chance: newChance(seed, 1)}
+	w.backend = &backend{executions: w.executions, rng: newLockedRand(seed, 1)}
 	for i := range 2 {
 		if err := w.addEndpoint(id.Endpoint(fmt.Sprintf("%s-%d", service, i)), seed); err != nil {
 			return nil, err
@@ -266,23 +266,23 @@
 	maxListenTries = 1000
 )
 
-// restart ends an agent at once and starts it again at the same address.
+// restart stops an agent without draining and starts it again at the same address.
 func (w *world) restart(e *endpoint) error {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	former := e.current()
-	_ = former.Shutdown(ended) // requests are cut off on purpose
-	agent, err := w.startAgent(e.name, former.Address())
+	previous := e.current()
+	_ = previous.Shutdown(ended) // aborting the requests in flight is intended
+	agent, err := w.startAgent(e.name, previous.Address())
 	for tries := 0; err != nil && tries < maxListenTries; tries++ {
 		wait(context.Background(), listenInterval) // the former socket is closed in the background
-		agent, err = w.startAgent(e.name, former.Address())
+		agent, err = w.startAgent(e.name, previous.Address())
 	}
 	if err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.agent, e.former = agent, former.Incarnation()
+	e.agent, e.previous = agent, previous.Incarnation()
 	return nil
 }
 
@@ -305,9 +305,9 @@
 	return nil
 }
 
-// Pick implements route.Picker by chance, now and then with an outdated incarnation.
+// Pick implements route.Picker at random, in 10% of cases with an outdated incarnation.
 func (w *world) Pick(r route.Request) (route.Choice, error) {
-	first := w.chance.below(len(w.endpoints))
+	first := w.rng.intN(len(w.endpoints))
 	for i := range w.endpoints {
 		e := w.endpoints[(first+i)%len(w.endpoints)]
 		excluded := false
@@ -315,7 +315,7 @@
 			excluded = excluded || x == e.name
 		}
 		if !excluded {
-			return route.Choice{Endpoint: e.name, Incarnation: e.believed(w.chance.percent(10))}, nil
+			return route.Choice{Endpoint: e.name, Incarnation: e.incarnation(w.rng.percent(10))}, nil
 		}
 	}
 	return route.Choice{}, &route.NoEndpointError{}
@@ -331,7 +331,7 @@
 	return "", false
 }
 
-// drain sets the drain state of an endpoint over a connection of its own.
+// drain sends a drain order to an endpoint without waiting for the reply.
 func (w *world) drain(e *endpoint, drain bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
@@ -339,17 +339,17 @@
 	if err != nil {
 		return
 	}
-	w.drained++
-	call, err := conn.Send(&msg.Order{Drain: &msg.DrainOrder{Drain: drain, Version: w.drained}}, ignore{})
+	w.drainVersion++
+	call, err := conn.Send(&msg.Order{Drain: &msg.DrainOrder{Drain: drain, Version: w.drainVersion}}, discardReplies{})
 	if err == nil {
 		call.Release()
 	}
 }
 
-type ignore struct{}
+type discardReplies struct{}
 
-func (ignore) Reply(*msg.Reply) {}
-func (ignore) Lost(bool, error) {}
+func (discardReplies) Reply(*msg.Reply) {}
+func (discardReplies) Lost(bool, error) {}
 
 type noTable struct{}
 
@@ -359,7 +359,7 @@
 
 func (noTable) Failed(route.Choice, time.Time) {}
 
-// close ends the history. Afterwards nothing runs any more.
+// close stops all agents. Afterwards the execution counts are final.
 func (w *world) close() {
 	for _, e := range w.entries {
 		e.claims.Close()
