--- a/itest/group/doc.go
+++ b/itest/group/doc.go
@@ -1,3 +1,3 @@
-// Package group tests coordinators, agents and engines of one group of ranks
-// together in one process, over a transport with faults and with explicit ticks.
+// Package group tests the map changes of one expert-parallel group: coordinators,
+// agents and fake engines in one process, with explicit ticks and a lossy transport.
 package group
--- a/itest/group/engine_test.go
+++ b/itest/group/engine_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	errStalled = errors.New("engine does not answer")
-	errFenced  = errors.New("order has an old fencing number")
-	errOutside = errors.New("engine is not in the order's formation")
+	errStalled        = errors.New("engine does not answer")
+	errFenced         = errors.New("order has an outdated fencing number")
+	errWrongFormation = errors.New("engine is not in the order's formation")
 )
 
-// loadRounds is the number of rounds that loading weights takes.
+// loadRounds is the number of rounds from StageWeights until a map is staged.
 const loadRounds = 2
 
 // engine is a fake engine of one rank.
@@ -34,9 +34,9 @@
 	loading map[lockstep.Version]int
 	counts  groupmsg.Loads
 	// delay is the number of rounds after which an accepted order takes effect.
-	delay   int
-	delayed *lockstep.EngineOrder
-	left    int
+	delay     int
+	delayed   *lockstep.EngineOrder
+	delayLeft int
 }
 
 func newEngine(rank int, ignoreFence bool) *engine {
@@ -66,12 +66,12 @@
 	case !e.ignoreFence && o.Older(e.state.Order):
 		return errFenced
 	case o.Formation != e.state.Order.Formation && !o.EntersFormation():
-		return errOutside
+		return errWrongFormation
 	}
 	if e.delay == 0 {
 		e.apply(o)
 	} else if e.delayed == nil {
-		e.delayed, e.left = &o, e.delay
+		e.delayed, e.delayLeft = &o, e.delay
 	}
 	return nil
 }
@@ -116,13 +116,13 @@
 	return l, nil
 }
 
-// advance lets weights arrive and delayed orders take effect.
+// advance moves weight loading and a delayed order ahead by one round.
 func (e *engine) advance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.delayed != nil {
-		e.left--
-		if e.left == 0 {
+		e.delayLeft--
+		if e.delayLeft == 0 {
 			e.apply(*e.delayed)
 			e.delayed = nil
 		}
@@ -138,7 +138,7 @@
 	}
 }
 
-// nextMap returns the map of the step that the engine may begin, zero for none.
+// nextMap returns the map of the next step, zero if it is not staged or the engine is stalled.
 func (e *engine) nextMap() lockstep.Version {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,7 +149,7 @@
 	return v
 }
 
-// step runs one step on map v; replicas counts the replicas of each expert by layer.
+// step runs one step on map v; load and replica counts are indexed by layer and expert.
 func (e *engine) step(v lockstep.Version, load []expertmap.Load, replicas [][]int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -171,7 +171,7 @@
 	e.state.LastMap = v
 }
 
-// snapshot returns the state without regard to a stall.
+// snapshot returns the state even while the engine is stalled.
 func (e *engine) snapshot() lockstep.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -201,35 +201,35 @@
 	step      lockstep.Step
 }
 
-// witness records the map of every step.
-type witness struct {
-	maps  map[stepKey]lockstep.Version
-	ranks map[stepKey]int
-	first lockstep.Epoch
+// stepChecker verifies that all ranks run a step on the same map.
+type stepChecker struct {
+	maps            map[stepKey]lockstep.Version
+	ranks           map[stepKey]int
+	latestFormation lockstep.Epoch
 }
 
-func newWitness() *witness {
-	return &witness{maps: map[stepKey]lockstep.Version{}, ranks: map[stepKey]int{}}
+func newStepChecker() *stepChecker {
+	return &stepChecker{maps: map[stepKey]lockstep.Version{}, ranks: map[stepKey]int{}}
 }
 
-// begin records that a rank ran a step and returns an error if the group split.
-func (w *witness) begin(rank int, key stepKey, v lockstep.Version) error {
-	if used, ok := w.maps[key]; ok && used != v {
+// record returns an error if ranks ran a step on two maps or its formation is outdated.
+func (c *stepChecker) record(rank int, key stepKey, v lockstep.Version) error {
+	if used, ok := c.maps[key]; ok && used != v {
 		return fmt.Errorf("step %d of formation %d: rank %d uses map %d, another rank used %d", key.step, key.formation, rank, v, used)
 	}
-	if key.formation < w.first {
-		return fmt.Errorf("rank %d began a step in formation %d after formation %d ran", rank, key.formation, w.first)
+	if key.formation < c.latestFormation {
+		return fmt.Errorf("rank %d began a step in formation %d after formation %d ran", rank, key.formation, c.latestFormation)
 	}
-	w.maps[key] = v
-	w.ranks[key]++
-	w.first = key.formation
+	c.maps[key] = v
+	c.ranks[key]++
+	c.latestFormation = key.formation
 	return nil
 }
 
-// completed returns the number of steps that all of n ranks ran.
-func (w *witness) completed(n int) int {
+// completed returns the number of steps that n ranks ran.
+func (c *stepChecker) completed(n int) int {
 	var count int
-	for _, ranks := range w.ranks {
+	for _, ranks := range c.ranks {
 		if ranks == n {
 			count++
 		}
--- a/itest/group/group_test.go
+++ b/itest/group/group_test.go
@@ -12,38 +12,38 @@
 	"github.com/siskinford/siskinford/balance/lockstep"
 )
 
-// limit is the number of rounds within which a map has to take hold.
-const limit = 150
+// maxRounds bounds the rounds until every rank runs on a new map.
+const maxRounds = 150
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// active returns the coordinator with the greatest lease.
+// active returns the coordinator with the highest fencing token.
 func (w *world) active() *process { return w.processes[len(w.processes)-1] }
 
-// newMap changes the load and waits until a map newer than the current one is in use everywhere.
-func (w *world) newMap() int {
+// changeMap changes the load and returns the rounds until all ranks run on a newer map.
+func (w *world) changeMap() int {
 	w.t.Helper()
-	old := w.runsOne()
+	old := w.commonMap()
 	w.drift()
-	return w.until(limit, "new map", func() bool { return w.runsOne() > old })
+	return w.runUntil(maxRounds, "new map", func() bool { return w.commonMap() > old })
 }
 
-// untilPhase waits until the active coordinator is in a phase.
+// untilPhase runs rounds until the active coordinator is in a phase.
 func (w *world) untilPhase(phase lockstep.Phase) {
 	w.t.Helper()
-	w.until(limit, string(phase), func() bool { return w.active().duty.Status().Phase == phase })
+	w.runUntil(maxRounds, string(phase), func() bool { return w.active().coordinator.Status().Phase == phase })
 }
 
-// faults are injected into a formed group with a lossy transport.
+// faults are injected into a formed group whose transport is lossy.
 var faults = []struct {
 	name   string
 	inject func(w *world)
 }{
-	{"loss and reordering", func(w *world) { w.newMap() }},
-	{"coordinator paused while changing", func(w *world) { w.pausedCoordinator(lockstep.PhaseChanging) }},
-	{"coordinator paused while staging", func(w *world) { w.pausedCoordinator(lockstep.PhaseStaging) }},
-	{"rank stalls while changing", func(w *world) { w.stalledRank(lockstep.PhaseChanging) }},
-	{"rank stalls while staging", func(w *world) { w.stalledRank(lockstep.PhaseStaging) }},
+	{"loss and reordering", func(w *world) { w.changeMap() }},
+	{"coordinator paused while changing", func(w *world) { w.pauseCoordinator(lockstep.PhaseChanging) }},
+	{"coordinator paused while staging", func(w *world) { w.pauseCoordinator(lockstep.PhaseStaging) }},
+	{"rank stalls while changing", func(w *world) { w.stallRank(lockstep.PhaseChanging) }},
+	{"rank stalls while staging", func(w *world) { w.stallRank(lockstep.PhaseStaging) }},
 	{"agent restarts while changing", func(w *world) {
 		w.drift()
 		w.untilPhase(lockstep.PhaseChanging)
@@ -55,29 +55,29 @@
 		w.addProcess()
 		w.replaceHost(5)
 	}},
-	{"earlier agent wakes beside its successor", func(w *world) {
+	{"superseded agent resumes beside its successor", func(w *world) {
 		earlier := w.agents[0]
 		w.agents[0] = w.newAgent(0)
-		w.newMap()
+		w.changeMap()
 		for range 20 {
 			earlier.Tick(context.Background())
 			w.round()
 		}
 	}},
-	{"earlier agent with a pending formation wakes", func(w *world) { w.earlierAgentForms() }},
+	{"superseded agent with a pending formation resumes", func(w *world) { w.resumeSupersededAgent() }},
 	{"engine applies orders late", func(w *world) {
 		w.engines[5].setDelay(4)
-		w.newMap()
+		w.changeMap()
 		w.engines[5].setDelay(0)
 	}},
 	{"paused coordinator, stalled rank and replaced host", func(w *world) {
-		w.stalledRank(lockstep.PhaseChanging)
-		w.pausedCoordinator(lockstep.PhaseChanging)
+		w.stallRank(lockstep.PhaseChanging)
+		w.pauseCoordinator(lockstep.PhaseChanging)
 		w.replaceHost(7)
 	}},
 }
 
-func (w *world) pausedCoordinator(phase lockstep.Phase) {
+func (w *world) pauseCoordinator(phase lockstep.Phase) {
 	w.drift()
 	w.untilPhase(phase)
 	earlier := w.active()
@@ -87,31 +87,31 @@
 		w.round()
 	}
 	earlier.paused = false
-	w.newMap()
+	w.changeMap()
 	assert.Assert(w.t, !earlier.lease.held, "earlier coordinator was not fenced")
 }
 
-func (w *world) stalledRank(phase lockstep.Phase) {
+func (w *world) stallRank(phase lockstep.Phase) {
 	w.drift()
 	w.untilPhase(phase)
 	w.engines[17].setStalled(true)
-	before := w.witness.completed(ranks)
+	before := w.checker.completed(ranks)
 	for range 30 {
 		w.round()
 	}
-	assert.Assert(w.t, w.witness.completed(ranks) <= before+1, "steps completed without rank 17")
-	assert.DeepEqual(w.t, w.active().duty.Status().Silent, []int{17})
+	assert.Assert(w.t, w.checker.completed(ranks) <= before+1, "steps completed without rank 17")
+	assert.DeepEqual(w.t, w.active().coordinator.Status().Silent, []int{17})
 	w.engines[17].setStalled(false)
 }
 
-// earlierAgentForms wakes an agent whose order would take the engine out of the
-// formation that its successor joined.
-func (w *world) earlierAgentForms() {
+// resumeSupersededAgent resumes an agent whose pending order would take the engine
+// out of the formation that the agent's successor joined.
+func (w *world) resumeSupersededAgent() {
 	w.agents[1] = w.newAgent(1)
-	w.until(limit, "pending formation", func() bool { return w.engines[0].snapshot().Order.EntersFormation() })
+	w.runUntil(maxRounds, "pending formation", func() bool { return w.engines[0].snapshot().Order.EntersFormation() })
 	earlier := w.agents[0]
 	w.agents[0] = w.newAgent(0)
-	w.newMap()
+	w.changeMap()
 	formation := w.engines[0].snapshot().Order.Formation
 	for range 20 {
 		earlier.Tick(context.Background())
@@ -120,7 +120,7 @@
 	assert.Equal(w.t, w.engines[0].snapshot().Order.Formation, formation)
 }
 
-// replaceHost puts an empty host with new engines in place of one.
+// replaceHost replaces an agent and its engines by new ones without state.
 func (w *world) replaceHost(a int) {
 	for i := range ranksPerAgent {
 		r := a*ranksPerAgent + i
@@ -146,8 +146,8 @@
 	return n
 }
 
-// TestFaults verifies that the group never splits and that a new map takes hold
-// afterwards. A longer run:
+// TestFaults verifies that no step runs on two maps during a fault and that the map
+// still changes after it. A longer run:
 //
 //	GROUP_SEEDS=40 go test ./itest/group -run TestFaults -v -timeout 20m
 func TestFaults(t *testing.T) {
@@ -155,28 +155,28 @@
 		t.Run(fault.name, func(t *testing.T) {
 			for seed := range seedCount(t) {
 				w := newWorld(t, seed)
-				formed := w.until(limit, "first map", func() bool { return w.runsOne() != 0 })
+				formed := w.runUntil(maxRounds, "first map", func() bool { return w.commonMap() != 0 })
 				w.lossy = true
 				fault.inject(w)
 				w.lossy = false
-				again := w.until(limit, "group runs", func() bool { return w.runsOne() != 0 })
-				changed := w.newMap()
+				again := w.runUntil(maxRounds, "group runs", func() bool { return w.commonMap() != 0 })
+				changed := w.changeMap()
 				t.Logf("seed %d: rounds to form %d, to run after the fault %d, to a new map %d; %d steps completed",
-					seed, formed, again, changed, w.witness.completed(ranks))
+					seed, formed, again, changed, w.checker.completed(ranks))
 			}
 		})
 	}
 }
 
-// TestNoCoordinator verifies that a group keeps running without any coordinator.
+// TestNoCoordinator verifies that a group runs at full rate without a coordinator.
 func TestNoCoordinator(t *testing.T) {
 	w := newWorld(t, 1)
-	w.until(limit, "first map", func() bool { return w.runsOne() != 0 })
+	w.runUntil(maxRounds, "first map", func() bool { return w.commonMap() != 0 })
 	w.active().paused = true
-	before := w.witness.completed(ranks)
+	before := w.checker.completed(ranks)
 	const rounds = 50
 	for range rounds {
 		w.round()
 	}
-	assert.Equal(t, w.witness.completed(ranks), before+rounds*stepsPerRound)
+	assert.Equal(t, w.checker.completed(ranks), before+rounds*stepsPerRound)
 }
--- a/itest/group/world_test.go
+++ b/itest/group/world_test.go
@@ -30,25 +30,24 @@
 	groupName     = id.Group("asistente-0")
 )
 
-// lease is what one coordinator process believes of its lease.
+// lease is a coordinator's local view of its lease, which may be outdated.
 type lease struct {
-	number uint64
-	held   bool
+	token uint64
+	held  bool
 }
 
-func (l *lease) FencingToken() (uint64, bool) { return l.number, l.held }
+func (l *lease) FencingToken() (uint64, bool) { return l.token, l.held }
 
 func (l *lease) CoversChange() bool { return l.held }
 
-// MarkFenced gives the lease up.
 func (l *lease) MarkFenced(uint64) { l.held = false }
 
 // process is one coordinator process.
 type process struct {
-	lease  *lease
-	duty   *coordinator.Coordinator
-	paused bool
-	// inbox holds what arrives while the process is paused.
+	lease       *lease
+	coordinator *coordinator.Coordinator
+	paused      bool
+	// inbox queues statuses that arrive while the process is paused.
 	inbox []groupmsg.Status
 }
 
@@ -60,12 +59,12 @@
 	processes []*process
 	agents    []*rank.Controller
 	engines   []*engine
-	witness   *witness
+	checker   *stepChecker
 	load      []expertmap.Load
 	lossy     bool
 	starts    int
 
-	// mu guards the queues, which agents fill at the same time.
+	// mu guards the queues, which agents fill concurrently.
 	mu       sync.Mutex
 	orders   []groupmsg.Order
 	statuses []groupmsg.Status
@@ -87,10 +86,10 @@
 	q.w.statuses = append(q.w.statuses, s)
 }
 
-// newWorld returns a group whose engines on every third host ignore fencing numbers.
+// newWorld returns a group in which the engines of every third agent ignore fencing.
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{
-		t: t, rand: rand.New(rand.NewPCG(seed, 0)), witness: newWitness(),
+		t: t, rand: rand.New(rand.NewPCG(seed, 0)), checker: newStepChecker(),
 		cfg: expertmap.Config{Ranks: ranks, Experts: experts, SlotsPerRank: slotsPerRank},
 	}
 	for r := range ranks {
@@ -114,19 +113,19 @@
 	return rank.New(cfg, statusQueue{w})
 }
 
-// addProcess starts a coordinator with the next lease. Earlier ones learn nothing of it.
+// addProcess starts a coordinator with the next fencing token; earlier ones keep theirs.
 func (w *world) addProcess() *process {
-	l := &lease{number: uint64(len(w.processes) + 1), held: true}
+	l := &lease{token: uint64(len(w.processes) + 1), held: true}
 	cfg := coordinator.Config{
 		Group: groupName, Layers: layerCount, Shape: w.cfg, PlanTicks: 20,
 		Lockstep: lockstep.Config{Margin: 8, PollTicks: 2},
 	}
-	p := &process{lease: l, duty: coordinator.New(cfg, l, orderQueue{w})}
+	p := &process{lease: l, coordinator: coordinator.New(cfg, l, orderQueue{w})}
 	w.processes = append(w.processes, p)
 	return p
 }
 
-// drift changes the popularity of the experts.
+// drift shuffles the popularity of the experts.
 func (w *world) drift() {
 	w.load = nil
 	for range layerCount {
@@ -138,8 +137,9 @@
 	}
 }
 
-// lose returns what of queue arrives now, in random order, and what stays for later.
-func lose[T any](w *world, queue []T) (now, later []T) {
+// deliverable splits a queue into messages to deliver now and messages to keep. On a
+// lossy transport it loses 8%, duplicates 6%, delays 16% and shuffles the deliveries.
+func deliverable[T any](w *world, queue []T) (now, later []T) {
 	if !w.lossy {
 		return queue, nil
 	}
@@ -158,11 +158,11 @@
 	return now, later
 }
 
-// round lets every part act once.
+// round ticks coordinators and agents once, delivers messages and runs the steps.
 func (w *world) round() {
 	for _, p := range w.processes {
 		if !p.paused {
-			p.duty.Tick()
+			p.coordinator.Tick()
 		}
 	}
 	w.deliverOrders()
@@ -178,7 +178,7 @@
 
 func (w *world) deliverOrders() {
 	var now []groupmsg.Order
-	now, w.orders = lose(w, w.orders)
+	now, w.orders = deliverable(w, w.orders)
 	byAgent := make([][]groupmsg.Order, agents)
 	for _, o := range now {
 		a := o.Command.Rank / ranksPerAgent
@@ -204,21 +204,21 @@
 		return cmp.Or(cmp.Compare(a.Report.Rank, b.Report.Rank), cmp.Compare(a.Report.Seq, b.Report.Seq))
 	})
 	var now []groupmsg.Status
-	now, w.statuses = lose(w, w.statuses)
+	now, w.statuses = deliverable(w, w.statuses)
 	for _, p := range w.processes {
 		p.inbox = append(p.inbox, now...)
 		if p.paused {
 			continue
 		}
 		for _, s := range p.inbox {
-			p.duty.Receive(s)
+			p.coordinator.Receive(s)
 		}
 		p.inbox = nil
 	}
 }
 
-// step lets each engine begin its next step if every rank of its formation has
-// ended the one before, as the ranks' collective operations demand.
+// step runs the next step of each engine whose whole formation has ended the step
+// before, as the collective operations of the ranks require.
 func (w *world) step() {
 	states := make([]lockstep.EngineState, ranks)
 	for r, e := range w.engines {
@@ -227,7 +227,7 @@
 	counts := map[lockstep.Version][][]int{}
 	for r, e := range w.engines {
 		v := e.nextMap()
-		if v == 0 || !mayStep(states, r) {
+		if v == 0 || !mayBegin(states, r) {
 			continue
 		}
 		if counts[v] == nil {
@@ -235,11 +235,11 @@
 		}
 		e.step(v, w.load, counts[v])
 		key := stepKey{states[r].Order.Formation, states[r].Next}
-		assert.NilError(w.t, w.witness.begin(r, key, v))
+		assert.NilError(w.t, w.checker.record(r, key, v))
 	}
 }
 
-func mayStep(states []lockstep.EngineState, r int) bool {
+func mayBegin(states []lockstep.EngineState, r int) bool {
 	for _, s := range states {
 		if s.Order.Formation != states[r].Order.Formation || s.Next < states[r].Next {
 			return false
@@ -248,7 +248,7 @@
 	return true
 }
 
-// replicas checks the whole map of a version and returns its replica counts by layer.
+// replicas validates the whole map of a version and returns its replica counts by layer.
 func (w *world) replicas(v lockstep.Version) [][]int {
 	var out [][]int
 	for layer := range layerCount {
@@ -264,8 +264,8 @@
 	return out
 }
 
-// runsOne returns the map that every engine ran last, zero if they differ.
-func (w *world) runsOne() lockstep.Version {
+// commonMap returns the map of the last step if it is the same on all engines, else zero.
+func (w *world) commonMap() lockstep.Version {
 	v := w.engines[0].snapshot().LastMap
 	for _, e := range w.engines {
 		if e.snapshot().LastMap != v {
@@ -275,8 +275,8 @@
 	return v
 }
 
-// until runs rounds until done, and fails the test after limit rounds.
-func (w *world) until(limit int, what string, done func() bool) int {
+// runUntil runs rounds until done and returns their number; it fails the test at limit.
+func (w *world) runUntil(limit int, what string, done func() bool) int {
 	w.t.Helper()
 	for i := range limit {
 		if done() {
@@ -291,7 +291,7 @@
 func (w *world) describe() string {
 	var s string
 	for _, p := range w.processes {
-		s += fmt.Sprintf("\npaused %t %+v", p.paused, p.duty.Status())
+		s += fmt.Sprintf("\npaused %t %+v", p.paused, p.coordinator.Status())
 	}
 	for _, e := range w.engines[:ranksPerAgent] {
 		s += fmt.Sprintf("\nrank %d %+v", e.rank, e.snapshot())
