--- a/itest/maps/coordinator_test.go
+++ b/itest/maps/coordinator_test.go
@@ -1,5 +1,5 @@
 // Package maps tests the coordinators of expert maps in one process, with relays
-// and a group of ranks that obeys simple orders.
+// and a simulated group of ranks.
 package maps
 
 import (
@@ -29,7 +29,7 @@
 
 const ranks = 4
 
-// peers is what an entry knows of the others.
+// peers fakes an entry's view of the other entries.
 type peers struct {
 	claimed atomic.Uint64
 	gone    atomic.Bool
@@ -39,7 +39,7 @@
 func (p *peers) Gone(string) bool              { return p.gone.Load() }
 func (p *peers) Claimed(duty.Name) uint64      { return p.claimed.Load() }
 
-// site is a group with relays, load and a store.
+// site is a group under load, with a relay per rank and the store of the leases.
 type site struct {
 	t         *testing.T
 	group     *replicas.Group
@@ -70,12 +70,12 @@
 	return s
 }
 
-// engineAt returns the rank at an address.
+// engineAt returns the engine of the rank at an address.
 func (s *site) engineAt(address string) relay.Engine {
 	return s.group.Engine(slices.IndexFunc(s.endpoints, func(e ranklink.Endpoint) bool { return e.Address == address }))
 }
 
-// load keeps some streams at a rank.
+// load keeps four streams running at a rank.
 func (s *site) load(rank int) {
 	const streams, events = 4, 12
 	for range streams {
@@ -102,8 +102,8 @@
 	}
 }
 
-// coordinator starts one, which ends when stop is called.
-func (s *site) coordinator(holder string, p *peers) (c *expertmaps.Coordinator, stop func()) {
+// startCoordinator runs a coordinator until stop is called or the test ends.
+func (s *site) startCoordinator(holder string, p *peers) (c *expertmaps.Coordinator, stop func()) {
 	s.t.Helper()
 	c, err := expertmaps.New(expertmaps.Options{
 		Service: "m", Group: "g", Holder: holder, Store: s.store, Peers: p,
@@ -125,9 +125,9 @@
 	}
 }
 
-var errUnreachable = errors.New("no route")
+var errUnreachable = errors.New("rank has no direct route")
 
-// unreachable is a rank that is reached through its relay only.
+// unreachable is the direct client of a rank that only its relay can reach.
 type unreachable struct{}
 
 func (unreachable) State(context.Context) (relay.State, error) { return relay.State{}, errUnreachable }
@@ -153,54 +153,55 @@
 	}
 }
 
-// follows waits until the map fits the demand, within the users' bound of 3 s
-// after a change.
-func (s *site) follows(limit time.Duration) {
+// awaitBalance waits until the map has been switched and the skew is below 1.5. The
+// users require this within 3 s of a change of the demand.
+func (s *site) awaitBalance(limit time.Duration) {
 	s.t.Helper()
-	s.await("the map follows the demand", limit, func() bool { return s.group.Status().Switches > 0 && s.group.Status().Skew < 1.5 })
+	s.await("skew below 1.5", limit, func() bool { return s.group.Status().Switches > 0 && s.group.Status().Skew < 1.5 })
 	assert.Equal(s.t, len(s.group.Status().Violations), 0, "%v", s.group.Status().Violations)
 }
 
-// TestPlansWhileThePlatformIsAway: nobody can take the lease meanwhile, and
-// safety does not rest on it.
+// TestPlansWhileThePlatformIsAway verifies planning after the lease expired in an
+// outage: no other entry can take the lease, and safety does not depend on it.
 func TestPlansWhileThePlatformIsAway(t *testing.T) {
 	s := newSite(t)
-	c, stop := s.coordinator("h1", &peers{})
+	c, stop := s.startCoordinator("h1", &peers{})
 	defer stop()
-	s.follows(10 * time.Second)
+	s.awaitBalance(10 * time.Second)
 	s.store.SetDown(true)
-	time.Sleep(3 * time.Second) // Longer than the lease lasts.
+	time.Sleep(3 * time.Second) // longer than the lease TTL
 	before := s.group.Status().Switches
 	s.group.Shift()
 	s.await("a map for the new demand", 3*time.Second, func() bool { return s.group.Status().Switches > before })
-	s.follows(3 * time.Second)
+	s.awaitBalance(3 * time.Second)
 	assert.Assert(t, c.FencingToken() > 0)
 }
 
-// TestOutdatedCoordinatorStops names the pattern "a paused coordinator wakes up":
-// another entry says that it acts under a later lease.
+// TestOutdatedCoordinatorStops verifies that a coordinator stops when another entry
+// claims a later lease, as after a pause of the coordinator.
 func TestOutdatedCoordinatorStops(t *testing.T) {
 	s := newSite(t)
 	p := &peers{}
-	c, stop := s.coordinator("h1", p)
+	c, stop := s.startCoordinator("h1", p)
 	defer stop()
-	s.follows(10 * time.Second)
+	s.awaitBalance(10 * time.Second)
 	s.store.SetDown(true)
 	p.claimed.Store(c.FencingToken() + 1)
 	s.await("the coordinator stops", 4*time.Second, func() bool { return c.FencingToken() == 0 })
 }
 
-// TestTwoCoordinatorsAtATime: both plan, and no pass begins with two maps.
+// TestTwoCoordinatorsAtATime verifies that no pass begins with two maps while two
+// coordinators plan.
 func TestTwoCoordinatorsAtATime(t *testing.T) {
 	s := newSite(t)
-	_, stop := s.coordinator("h1", &peers{})
+	_, stop := s.startCoordinator("h1", &peers{})
 	defer stop()
-	s.follows(10 * time.Second)
-	takesAll := &peers{}
-	takesAll.gone.Store(true) // It takes h1 for dead.
-	second, stopSecond := s.coordinator("h2", takesAll)
+	s.awaitBalance(10 * time.Second)
+	suspicious := &peers{}
+	suspicious.gone.Store(true) // considers h1 failed
+	second, stopSecond := s.startCoordinator("h2", suspicious)
 	defer stopSecond()
-	s.await("the second one plans too", 5*time.Second, func() bool { return second.FencingToken() > 0 })
+	s.await("the second coordinator holds a lease", 5*time.Second, func() bool { return second.FencingToken() > 0 })
 	for range 5 {
 		s.group.ApplyLate(0.3, 100*time.Millisecond)
 		s.group.Shift()
@@ -208,6 +209,6 @@
 		assert.Equal(t, len(s.group.Status().Violations), 0, "%v", s.group.Status().Violations)
 	}
 	s.group.ApplyLate(0, 0)
-	s.await("the group is not held", 3*time.Second, func() bool { return !s.group.Status().Held })
-	s.follows(5 * time.Second)
+	s.await("no rank holds the group", 3*time.Second, func() bool { return !s.group.Status().Held })
+	s.awaitBalance(5 * time.Second)
 }
