--- a/entry/expertmaps/bench_test.go
+++ b/entry/expertmaps/bench_test.go
@@ -73,7 +73,7 @@
 			Events:   make(chan ranklink.Event), Report: func(*ranklink.Link, string, error) {},
 		})
 		f.links = append(f.links, l)
-		f.states = append(f.states, relay.State{Group: "g", Size: size, Rank: r, Epoch: 1, Open: true, Running: 9, Pace: 1})
+		f.states = append(f.states, relay.State{Group: "g", Size: size, Rank: r, Epoch: 1, Open: true, Running: 9, Slowdown: 1})
 		layout := relay.Layout{Epoch: 1}
 		for range sets {
 			var own []int
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -94,7 +94,7 @@
 	if newLink {
 		m.sampleState = sampleState{}
 	}
-	m.link, m.born, m.running, m.slowdown, m.stateAt = l, s.StartMillis, s.Running, s.Pace, now
+	m.link, m.born, m.running, m.slowdown, m.stateAt = l, s.StartMillis, s.Running, s.Slowdown, now
 	if s.Epoch > g.mapSwitch.Epoch() {
 		g.demand.Reset()
 	}
--- a/entry/roster/collector.go
+++ b/entry/roster/collector.go
@@ -52,7 +52,7 @@
 			return
 		case e := <-events:
 			if e.State != nil && e.State.Group != "" {
-				c.collected[e.Link.Endpoint().Name] = newRank(e.State.Group, e.State.Pace)
+				c.collected[e.Link.Endpoint().Name] = newRank(e.State.Group, e.State.Slowdown)
 			}
 		case <-tick.C:
 			c.relist(ctx, events)
--- a/lab/replicas/engine.go
+++ b/lab/replicas/engine.go
@@ -40,7 +40,7 @@
 	s := relay.State{
 		StartMillis: r.born, Group: g.cfg.Name, Epoch: g.epoch, Rank: e.index, Size: len(g.ranks),
 		Open: len(g.missing) == 0 && g.formingAt.IsZero(), Step: g.step, MapVersion: r.version, Armed: r.armed, Held: r.held,
-		Waiting: len(r.waiting), Running: len(r.running), Pace: 1,
+		Waiting: len(r.waiting), Running: len(r.running), Slowdown: 1,
 	}
 	if r.prepared != 0 && !time.Now().Before(r.readyAt) {
 		s.Prepared = r.prepared
--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -60,7 +60,8 @@
 	Size int `json:"size"`
 	// Open is false while a rank of the group is missing.
 	Open bool `json:"open"`
-	// Step is the last step that began.
+	// Step is the last step that began. A step is one joint pass of all ranks, which can
+	// generate several tokens per request.
 	Step uint64 `json:"step"`
 	// MapVersion is the version of the expert map in use, zero for the initial one.
 	MapVersion uint64 `json:"map"`
@@ -73,8 +74,8 @@
 	// Waiting and Running count requests.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Pace is the slowdown of the rank, one at full speed.
-	Pace float64 `json:"pace"`
+	// Slowdown is the slowdown of the rank, one at full speed.
+	Slowdown float64 `json:"pace"`
 }
 
 // Sample counts the tokens routed to the experts of a rank between two steps.
