--- a/balance/expertmap/config.go
+++ b/balance/expertmap/config.go
@@ -28,8 +28,8 @@
 	StepTime time.Duration
 	// Horizon is the time over which a change has to pay off. Default 5 minutes.
 	Horizon time.Duration
-	// Slowdown is the fraction by which steps slow down during transfers. Default 0.1.
-	Slowdown float64
+	// TransferSlowdown is the fraction by which steps slow down during transfers. Default 0.1.
+	TransferSlowdown float64
 	// SwitchTime is the layer's share of the time for which a switch stops the group. Default 1 ms.
 	SwitchTime time.Duration
 	// TargetSkew is the skew at which no further experts are moved. Default 1.04.
@@ -37,15 +37,15 @@
 }
 
 const (
-	defaultExpertBytes    = 44_040_192
-	defaultRankBandwidth  = 1e9
-	defaultStoreBandwidth = 2e8
-	defaultTokenTime      = 200 * time.Nanosecond
-	defaultStepTime       = 33 * time.Millisecond
-	defaultHorizon        = 5 * time.Minute
-	defaultSlowdown       = 0.1
-	defaultSwitchTime     = time.Millisecond
-	defaultTargetSkew     = 1.04
+	defaultExpertBytes      = 44_040_192
+	defaultRankBandwidth    = 1e9
+	defaultStoreBandwidth   = 2e8
+	defaultTokenTime        = 200 * time.Nanosecond
+	defaultStepTime         = 33 * time.Millisecond
+	defaultHorizon          = 5 * time.Minute
+	defaultTransferSlowdown = 0.1
+	defaultSwitchTime       = time.Millisecond
+	defaultTargetSkew       = 1.04
 )
 
 // WithDefaults returns c with defaults in place of zero values.
@@ -56,7 +56,7 @@
 	setDefault(&c.TokenTime, defaultTokenTime)
 	setDefault(&c.StepTime, defaultStepTime)
 	setDefault(&c.Horizon, defaultHorizon)
-	setDefault(&c.Slowdown, defaultSlowdown)
+	setDefault(&c.TransferSlowdown, defaultTransferSlowdown)
 	setDefault(&c.SwitchTime, defaultSwitchTime)
 	setDefault(&c.TargetSkew, defaultTargetSkew)
 	return c
@@ -86,7 +86,7 @@
 	if c.ExpertBytes < 0 || c.RankBandwidth < 0 || c.StoreBandwidth < 0 {
 		found.Addf("bandwidth", "sizes and rates must not be negative")
 	}
-	if c.TokenTime < 0 || c.StepTime < 0 || c.Horizon < 0 || c.SwitchTime < 0 || c.Slowdown < 0 {
+	if c.TokenTime < 0 || c.StepTime < 0 || c.Horizon < 0 || c.SwitchTime < 0 || c.TransferSlowdown < 0 {
 		found.Addf("horizon", "times and slowdown must not be negative")
 	}
 	if c.TargetSkew != 0 && c.TargetSkew < 1 {
--- a/balance/expertmap/demand.go
+++ b/balance/expertmap/demand.go
@@ -41,8 +41,8 @@
 	cfg  DemandConfig
 	sets []setEstimate
 
-	// roundCounts sums the samples of the current round, about one of each sampled
-	// rank; sampled marks the ranks that sent one.
+	// roundCounts sums the samples of the current sampling round, about one of each
+	// sampled rank; sampled marks the ranks that sent one.
 	roundCounts  []float64
 	sampled      []bool
 	sampledCount int
@@ -108,7 +108,7 @@
 	return changed
 }
 
-// finishRound adds the counts of the round to the estimate.
+// finishRound adds the counts of the sampling round to the estimate.
 func (d *DemandEstimator) finishRound(now time.Duration) {
 	keep := 1 - min(1, float64(now-d.updatedAt)/float64(d.cfg.TimeConstant))
 	for s := range d.sets {
--- a/balance/expertmap/improve.go
+++ b/balance/expertmap/improve.go
@@ -1,6 +1,6 @@
 package expertmap
 
-// localMove is one step of the local search: an exchange of two slots between ranks,
+// localMove is a move of the local search: an exchange of two slots between ranks,
 // or a new replica of an expert in place of a spare replica of another.
 type localMove struct {
 	rank, slot int
--- a/balance/expertmap/round.go
+++ b/balance/expertmap/round.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// RoundPlanner plans one of several short rounds of changes: the maps of all layer
+// RoundPlanner plans one of several short changes, called rounds: the maps of all layer
 // sets at once, with a bound on the copies per rank. As ranks copy in parallel, the
 // bound fixes the duration of the change.
 type RoundPlanner struct {
@@ -16,9 +16,9 @@
 	MaxNewPerSet int
 	// MaxCopiesPerRank bounds the experts that a rank copies over all sets. Required.
 	MaxCopiesPerRank int
-	// SlowFactors multiply the load of each rank by how much slower than usual it is.
-	// Nil means that no rank is slow.
-	SlowFactors []float64
+	// Slowdowns are the step times of the ranks relative to the usual one, by which their
+	// loads are multiplied. Nil means that no rank is slow.
+	Slowdowns []float64
 	// MinGain is the least reduction of the largest rank load over the mean,
 	// summed over the sets, that justifies a copy. Default: 0.005.
 	MinGain float64
@@ -57,7 +57,7 @@
 		p.sets = append(p.sets, newRoundSet(c, current[s], loads[s]))
 	}
 	before := p.skew()
-	for p.step() {
+	for p.applyBestMove() {
 	}
 	out := RoundPlan{SkewBefore: before, SkewAfter: p.skew()}
 	for _, s := range p.sets {
@@ -97,8 +97,8 @@
 	gain float64
 }
 
-// step applies the best move over all sets. It returns false if none justifies a copy.
-func (p *roundSearch) step() bool {
+// applyBestMove applies the best move over all sets. It returns false if none justifies a copy.
+func (p *roundSearch) applyBestMove() bool {
 	best := roundMove{gain: p.cfg.MinGain}
 	found := false
 	for i, s := range p.sets {
@@ -137,16 +137,16 @@
 	}
 }
 
-// slowFactor returns the slow factor of a rank, 1 by default.
-func (c RoundPlanner) slowFactor(rank int) float64 {
-	if c.SlowFactors == nil {
+// slowdown returns the slowdown of a rank, 1 by default.
+func (c RoundPlanner) slowdown(rank int) float64 {
+	if c.Slowdowns == nil {
 		return 1
 	}
-	return c.SlowFactors[rank]
+	return c.Slowdowns[rank]
 }
 
 // roundSet is the placement of one set during a search. Loads are relative to the
-// mean, and multiplied by the slow factor of their rank.
+// mean, and multiplied by the slowdown of their rank.
 type roundSet struct {
 	cfg        RoundPlanner
 	slots      [][]int // by rank; -1 is empty
@@ -186,7 +186,7 @@
 	}
 	for e, holders := range s.holders {
 		for _, r := range holders {
-			s.rankLoads[r] += c.slowFactor(r) * s.load[e] / float64(len(holders))
+			s.rankLoads[r] += c.slowdown(r) * s.load[e] / float64(len(holders))
 		}
 	}
 	return s
@@ -205,11 +205,11 @@
 // setHolders replaces the holders of an expert and updates the rank loads.
 func (s *roundSet) setHolders(e int, holders []int) {
 	for _, r := range s.holders[e] {
-		s.rankLoads[r] -= s.cfg.slowFactor(r) * s.load[e] / float64(len(s.holders[e]))
+		s.rankLoads[r] -= s.cfg.slowdown(r) * s.load[e] / float64(len(s.holders[e]))
 	}
 	s.holders[e] = holders
 	for _, r := range holders {
-		s.rankLoads[r] += s.cfg.slowFactor(r) * s.load[e] / float64(len(holders))
+		s.rankLoads[r] += s.cfg.slowdown(r) * s.load[e] / float64(len(holders))
 	}
 }
 
@@ -271,7 +271,7 @@
 			if e < 0 {
 				continue
 			}
-			if p.cfg.slowFactor(h) > 1 && len(s.holders[e]) > 1 {
+			if p.cfg.slowdown(h) > 1 && len(s.holders[e]) > 1 {
 				s.tryDrop(&b, h, slot)
 			}
 			for _, r := range cold {
@@ -381,12 +381,12 @@
 	return s.resolveDeltas(before)
 }
 
-// addDelta records a tentative change of a rank's load, before its slow factor.
+// addDelta records a tentative change of a rank's load, before its slowdown.
 func (s *roundSet) addDelta(rank int, diff float64) {
 	if s.delta[rank] == 0 {
 		s.touched = append(s.touched, rank)
 	}
-	s.delta[rank] += s.cfg.slowFactor(rank) * diff
+	s.delta[rank] += s.cfg.slowdown(rank) * diff
 }
 
 // resolveDeltas returns the power sum after the tentative changes and clears them.
--- a/balance/expertmap/round_test.go
+++ b/balance/expertmap/round_test.go
@@ -151,8 +151,8 @@
 			}
 		}
 		c := RoundPlanner{Ranks: size.ranks, Experts: size.experts, SlotsPerRank: size.slotsPerRank, MaxNewPerSet: size.maxNew, MaxCopiesPerRank: 1}
-		skewAfter := func(slowFactors []float64, rounds int) float64 {
-			c.SlowFactors = slowFactors
+		skewAfter := func(slowdowns []float64, rounds int) float64 {
+			c.Slowdowns = slowdowns
 			var p RoundPlan
 			for range rounds {
 				p = c.Plan(maps, loads)
@@ -165,13 +165,13 @@
 			return p.SkewAfter
 		}
 		even := skewAfter(nil, roundsIn3s)
-		slowFactors := slices.Repeat([]float64{1}, size.ranks)
-		slowFactors[slow] = 5
+		slowdowns := slices.Repeat([]float64{1}, size.ranks)
+		slowdowns[slow] = 5
 		before := 0.0
 		for s := range maps {
-			before += maps[s].WeightedSkew(loads[s], slowFactors) / float64(size.sets)
+			before += maps[s].WeightedSkew(loads[s], slowdowns) / float64(size.sets)
 		}
-		relieved := skewAfter(slowFactors, roundsIn3s)
+		relieved := skewAfter(slowdowns, roundsIn3s)
 		recovered := skewAfter(nil, roundsIn3s)
 		t.Logf("%d ranks: %.2f, with a slow rank %.2f, relieved %.2f, recovered %.2f", size.ranks, even, before, relieved, recovered)
 		assert.Assert(t, before > 4)
--- a/balance/expertmap/source.go
+++ b/balance/expertmap/source.go
@@ -102,7 +102,7 @@
 	p.Transfer = transferTime(cfg, p)
 	p.Gain = gain(cfg, load, p)
 	if p.Changes() {
-		p.Cost = time.Duration(float64(p.Transfer)*cfg.Slowdown) + cfg.SwitchTime
+		p.Cost = time.Duration(float64(p.Transfer)*cfg.TransferSlowdown) + cfg.SwitchTime
 	}
 	return p
 }
--- a/balance/expertmap/types.go
+++ b/balance/expertmap/types.go
@@ -93,16 +93,16 @@
 // Skew returns the largest rank load over the mean, 1 without load.
 func (m Map) Skew(load Load) float64 { return m.WeightedSkew(load, nil) }
 
-// WeightedSkew is Skew with each rank's load multiplied by its slow factor. Nil means
+// WeightedSkew is Skew with each rank's load multiplied by its slowdown. Nil means
 // that no rank is slow.
-func (m Map) WeightedSkew(load Load, slowFactors []float64) float64 {
+func (m Map) WeightedSkew(load Load, slowdowns []float64) float64 {
 	loads := m.RankLoads(load)
 	mean := load.Total() / float64(len(loads))
 	if mean == 0 {
 		return 1
 	}
-	for r, p := range slowFactors {
-		loads[r] *= p
+	for r, factor := range slowdowns {
+		loads[r] *= factor
 	}
 	return slices.Max(loads) / mean
 }
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -218,14 +218,14 @@
 	}
 	g.plannedAt = now
 	maps := g.plannerMaps(version, content)
-	slowFactors := g.slowFactors()
-	skew := meanSkew(maps, loads, slowFactors)
+	slowdowns := g.plannerSlowdowns()
+	skew := meanSkew(maps, loads, slowdowns)
 	if g.lastRejected.shifts == g.demand.Shifts() && now-g.lastRejected.at < g.cfg.ReplanHoldoff && skew < g.lastRejected.skew+g.cfg.MinSkewReduction {
 		return false
 	}
 	planner := expertmap.RoundPlanner{
 		Ranks: g.size, Experts: g.experts.ExpertsPerSet, SlotsPerRank: g.experts.SlotsPerRank,
-		MaxNewPerSet: g.experts.MaxNewPerMap, MaxCopiesPerRank: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), SlowFactors: slowFactors,
+		MaxNewPerSet: g.experts.MaxNewPerMap, MaxCopiesPerRank: g.cfg.MaxCopiesPerRank, MinGain: g.minGain(skew), Slowdowns: slowdowns,
 	}
 	p := planner.Plan(maps, loads)
 	if p.SkewBefore-p.SkewAfter < g.cfg.MinSkewReduction {
@@ -271,8 +271,8 @@
 // minSlowdown is the slowdown from which a rank counts as slow, above normal variation.
 const minSlowdown = 1.25
 
-// slowFactors returns the slowdowns with one for ranks that are not slow, nil if none is.
-func (g *group) slowFactors() []float64 {
+// plannerSlowdowns returns the slowdowns with one for ranks that are not slow, nil if none is.
+func (g *group) plannerSlowdowns() []float64 {
 	if !slices.ContainsFunc(g.ranks, func(m rankState) bool { return m.slowdown >= minSlowdown }) {
 		return nil
 	}
@@ -295,11 +295,11 @@
 }
 
 // meanSkew returns the largest rank load over the mean, averaged over the sets. Rank loads
-// are multiplied by slowFactors, which may be nil.
-func meanSkew(maps []expertmap.Map, loads []expertmap.Load, slowFactors []float64) float64 {
+// are multiplied by slowdowns, which may be nil.
+func meanSkew(maps []expertmap.Map, loads []expertmap.Load, slowdowns []float64) float64 {
 	var sum float64
 	for i, m := range maps {
-		sum += m.WeightedSkew(loads[i], slowFactors)
+		sum += m.WeightedSkew(loads[i], slowdowns)
 	}
 	return sum / float64(max(len(maps), 1))
 }
--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -74,7 +74,7 @@
 	// Waiting and Running count requests.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Slowdown is the slowdown of the rank, one at full speed.
+	// Slowdown is the step time relative to the usual one, one at full speed.
 	Slowdown float64 `json:"pace"`
 }
 
