--- a/balance/mapswitch/change.go
+++ b/balance/mapswitch/change.go
@@ -118,7 +118,7 @@
 		return
 	}
 	if got == Conflict {
-		c.allowRelease() // A resent hold may still be carried out.
+		c.allowRelease() // A resent hold may still be executed.
 		c.holdTries++
 		c.step = c.nextHoldStep(c.lastStep() + c.leadSteps())
 		return
@@ -361,7 +361,7 @@
 }
 
 // releaseAllowed releases the holds that are no longer needed, including those that were
-// carried out late.
+// executed late.
 func (c *Coordinator) releaseAllowed(now time.Duration) []Order {
 	if c.phase == Releasing {
 		return nil
--- a/balance/mapswitch/far_test.go
+++ b/balance/mapswitch/far_test.go
@@ -12,7 +12,7 @@
 	*world
 	rtts       []time.Duration
 	deliveries []delivery
-	// waited is the total time for which steps were held back, longestWait the longest wait.
+	// waited is the total time for which held steps waited, longestWait the longest wait.
 	waited, longestWait time.Duration
 	changes             int
 }
--- a/balance/mapswitch/machine.go
+++ b/balance/mapswitch/machine.go
@@ -93,7 +93,7 @@
 	superseded bool
 }
 
-// New returns a coordinator for a lease whose fencing number is higher than that of
+// New returns a coordinator for a lease whose fencing token is higher than that of
 // any earlier lease and below 2^32.
 func New(cfg Config, lease uint64) *Coordinator {
 	n := uint64(cfg.Ranks)
--- a/balance/mapswitch/model_test.go
+++ b/balance/mapswitch/model_test.go
@@ -173,7 +173,7 @@
 				continue
 			case 4:
 				f.answerLost = true
-			case 5: // carried out twice
+			case 5: // executed twice
 				w.delayed = append(w.delayed, message{from: c, order: &o, answerLost: true})
 			}
 		}
--- a/balance/mapswitch/stall_test.go
+++ b/balance/mapswitch/stall_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestHostStallsAsItPassesAHoldOn guards against a group that stays held until the host
+// TestHostStallsWhileForwardingHold guards against a group that stays held until the host
 // recovers, if the host of the forwarding relay stalls while it works on the hold.
-func TestHostStallsAsItPassesAHoldOn(t *testing.T) {
+func TestHostStallsWhileForwardingHold(t *testing.T) {
 	for _, delay := range []time.Duration{-1, 0, 5 * time.Millisecond, 10 * time.Millisecond} {
 		s := newStallWorld(4, delay)
 		m := s.coordinators[0]
--- a/balance/mapswitch/types.go
+++ b/balance/mapswitch/types.go
@@ -1,7 +1,7 @@
 // Package mapswitch changes the expert map of a group whose ranks run in
 // lock-step and obey simple orders: prepare, arm, disarm, hold and release. No
 // step may begin while two ranks have different maps, although orders may be lost,
-// be carried out seconds late, or come from a coordinator that was paused and replaced.
+// be executed seconds late, or come from a coordinator that was paused and replaced.
 //
 // A change prepares the map at all ranks, holds a step at one rank, arms the map
 // for that step at all ranks and then releases the step. Two rules make it safe:
@@ -80,9 +80,9 @@
 type Outcome uint8
 
 const (
-	// Unknown means that the order may be carried out now, later or not at all.
+	// Unknown means that the order may or may not be executed, now or later.
 	Unknown Outcome = iota
-	// Done means that the order was carried out or started.
+	// Done means that the order was executed or started.
 	Done
 	// Conflict means that the order was refused because it does not fit the rank's state.
 	Conflict
@@ -96,7 +96,7 @@
 	Epoch uint64
 	// Open is false while a rank of the group is missing.
 	Open bool
-	// Step is the last step that began.
+	// Step is the last step that began, a joint pass of all ranks.
 	Step uint64
 	// Version is the version of the map in use.
 	Version uint64
