--- a/balance/lockstep/coordinator.go
+++ b/balance/lockstep/coordinator.go
@@ -83,7 +83,7 @@
 	changesPaused bool
 }
 
-// NewCoordinator returns a coordinator for the lease with the given fencing number.
+// NewCoordinator returns a coordinator for the lease with the given fencing token.
 func NewCoordinator(cfg Config, lease uint64) *Coordinator {
 	cfg = cfg.withDefaults()
 	return &Coordinator{
@@ -153,11 +153,11 @@
 }
 
 // storeReport stores a report of the current epoch. A second incarnation of a rank
-// starts the next round, which only the running one can join.
+// starts the next epoch, which only the running one can join.
 func (c *Coordinator) storeReport(r Report) bool {
 	v := &c.ranks[r.Rank]
 	if v.joined && v.report.Incarnation != r.Incarnation {
-		c.nextRound()
+		c.nextEpoch()
 		return true
 	}
 	if v.joined && r.Seq <= v.report.Seq {
@@ -169,8 +169,8 @@
 	return true
 }
 
-// nextRound restarts in the next epoch of the lease.
-func (c *Coordinator) nextRound() {
+// nextEpoch restarts in the next epoch of the lease, or ends if there is none left.
+func (c *Coordinator) nextEpoch() {
 	next, ok := c.epoch.Next()
 	if !ok {
 		c.phase = PhaseFenced
@@ -203,12 +203,12 @@
 // addPolls adds a Join for each rank that is not sent one in cmds. Ranks with
 // another command are polled too, since a new incarnation ignores that command.
 func (c *Coordinator) addPolls(cmds []Command) []Command {
-	asked := make([]bool, len(c.ranks))
+	polled := make([]bool, len(c.ranks))
 	for _, cmd := range cmds {
-		asked[cmd.Rank] = cmd.Kind == Join
+		polled[cmd.Rank] = cmd.Kind == Join
 	}
 	for i := range c.ranks {
-		if !asked[i] {
+		if !polled[i] {
 			cmds = append(cmds, c.joinCommand(i))
 		}
 	}
--- a/balance/lockstep/decide.go
+++ b/balance/lockstep/decide.go
@@ -25,22 +25,22 @@
 	return c.decideFormation()
 }
 
-// restartIfBlocked begins the next round if this one cannot make or complete a decision.
+// restartIfBlocked begins the next epoch if this one cannot make or complete a decision.
 func (c *Coordinator) restartIfBlocked() {
 	if c.promiseFailed() {
 		c.margin = min(2*c.margin, MaxMargin)
-		c.nextRound()
+		c.nextEpoch()
 		return
 	}
 	latest := c.latestCommitted()
 	broken := !c.committedEverywhere(latest) && !c.committable(latest)
 	if broken && latest.Formation == c.epoch {
 		// The epoch is already used by a formation.
-		c.nextRound()
+		c.nextEpoch()
 		return
 	}
 	if broken && !c.proposed.IsZero() && !c.proposed.IsFormation() {
-		c.nextRound()
+		c.nextEpoch()
 	}
 }
 
--- a/balance/lockstep/explore_test.go
+++ b/balance/lockstep/explore_test.go
@@ -126,7 +126,7 @@
 				}
 			}
 		}},
-		{"engine ignores fencing numbers and orders arrive late", func(m *model) {
+		{"engine ignores fencing tokens and orders arrive late", func(m *model) {
 			for _, e := range m.engines {
 				e.ignoreFence = true
 			}
--- a/balance/lockstep/rank.go
+++ b/balance/lockstep/rank.go
@@ -122,7 +122,7 @@
 	if r.pending.IsZero() || r.pending.IsFormation() || r.pendingEpoch >= c.Epoch {
 		return
 	}
-	// The next order needs a fencing number above that of the aborted decision.
+	// The next order needs a fencing token above that of the aborted decision.
 	r.committedEpoch = c.Epoch
 	r.clearPending()
 }
--- a/balance/lockstep/rank_test.go
+++ b/balance/lockstep/rank_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-const testEpoch = Epoch(1 << roundBits)
+const testEpoch = Epoch(1 << leaseShift)
 
-// preparedRank returns a rank that runs map 1 and is asked to change to map 2 at step 10.
+// preparedRank returns a rank that runs map 1 and has a prepared change to map 2 at step 10.
 func preparedRank(t *testing.T) *Rank {
 	t.Helper()
 	r := NewRank(0, "inc_1")
--- a/balance/lockstep/types.go
+++ b/balance/lockstep/types.go
@@ -6,18 +6,18 @@
 	"github.com/siskinford/siskinford/core/id"
 )
 
-// roundBits is the number of low bits of an Epoch that count the rounds of one lease.
-const roundBits = 16
+// leaseShift is the number of low bits of an Epoch or Version that count the values of one lease.
+const leaseShift = 16
 
-// Epoch is the fencing number of a coordinator. The upper bits hold the fencing
-// number of its lease, the lower 16 bits count the rounds of that lease.
+// Epoch is the fencing token of a coordinator's commands. The upper bits hold the
+// fencing token of its lease, the lower 16 bits count the epochs of that lease.
 type Epoch uint64
 
 // NewEpoch returns the first epoch of a lease.
-func NewEpoch(lease uint64) Epoch { return Epoch(lease << roundBits) }
+func NewEpoch(lease uint64) Epoch { return Epoch(lease << leaseShift) }
 
-// Lease returns the fencing number of the lease that e belongs to.
-func (e Epoch) Lease() uint64 { return uint64(e) >> roundBits }
+// Lease returns the fencing token of the lease that e belongs to.
+func (e Epoch) Lease() uint64 { return uint64(e) >> leaseShift }
 
 // Next returns the next epoch of the same lease, or false if the lease has none left.
 func (e Epoch) Next() (Epoch, bool) {
@@ -31,7 +31,7 @@
 
 // NewVersion returns the version of the n-th map that is created under a lease.
 func NewVersion(lease uint64, n uint16) Version {
-	return Version(lease<<roundBits | uint64(n))
+	return Version(lease<<leaseShift | uint64(n))
 }
 
 // Step numbers the steps of one formation of a group, from zero.
@@ -69,7 +69,7 @@
 type CommandKind uint8
 
 const (
-	// Join requests a report and the promise to ignore lower epochs.
+	// Join requests that the rank ignores lower epochs from then on and sends a report.
 	Join CommandKind = iota + 1
 	// Stage requests loading the weights of a map.
 	Stage
@@ -133,7 +133,7 @@
 // EngineOrder is the wanted state of an engine. For step s the engine uses Map
 // if s < SwitchAt, otherwise Next; it does not begin a step whose map is zero.
 type EngineOrder struct {
-	// Epoch and Turn are the fencing number: an engine that checks it refuses an
+	// Epoch and Turn are the fencing token: an engine that checks it refuses an
 	// order whose pair is lower than that of its current order.
 	Epoch     Epoch   `cbor:"1,keyasint"`
 	Turn      uint64  `cbor:"2,keyasint"`
@@ -155,7 +155,7 @@
 // into another formation, which then starts at step zero.
 func (o EngineOrder) EntersFormation() bool { return o.SwitchAt == 0 && o.Next == 0 }
 
-// Older reports whether o has a lower fencing number than p.
+// Older reports whether o has a lower fencing token than p.
 func (o EngineOrder) Older(p EngineOrder) bool {
 	if o.Epoch != p.Epoch {
 		return o.Epoch < p.Epoch
