--- a/entry/coordinator/coordinator.go
+++ b/entry/coordinator/coordinator.go
@@ -103,7 +103,7 @@
 	Active bool           `json:"active"`
 	Epoch  lockstep.Epoch `json:"epoch"`
 	Phase  lockstep.Phase `json:"phase"`
-	// Committed is the last decision that every rank has accepted, if any.
+	// Committed is the last decision that every rank has committed, if any.
 	Committed lockstep.Decision `json:"committed"`
 	// Step is the greatest next step reported by a rank.
 	Step lockstep.Step `json:"step"`
--- a/entry/coordinator/mapstate.go
+++ b/entry/coordinator/mapstate.go
@@ -34,9 +34,9 @@
 }
 
 func newMapState(cfg Config) *mapState {
-	a := &mapState{cfg: cfg, planned: map[lockstep.Version]layerMaps{}, reports: make([]lockstep.Report, cfg.Shape.Ranks)}
-	a.setBase(0)
-	return a
+	m := &mapState{cfg: cfg, planned: map[lockstep.Version]layerMaps{}, reports: make([]lockstep.Report, cfg.Shape.Ranks)}
+	m.setBase(0)
+	return m
 }
 
 func (m *mapState) setBase(v lockstep.Version) {
--- a/entry/coordinator/plan.go
+++ b/entry/coordinator/plan.go
@@ -23,9 +23,9 @@
 	EventSilent timeline.Kind = "coordinator.silent-ranks"
 	// EventStaged records that every rank holds the weights of a map.
 	EventStaged timeline.Kind = "coordinator.staged"
-	// EventFormed records that every rank has joined a new formation.
+	// EventFormed records that every rank has committed a new formation.
 	EventFormed timeline.Kind = "coordinator.formed"
-	// EventSwitched records that every rank has accepted the switch to another map.
+	// EventSwitched records that every rank has committed the switch to another map.
 	EventSwitched timeline.Kind = "coordinator.switched"
 	// EventPlanned records the moves, gain and cost of a planned change.
 	EventPlanned timeline.Kind = "coordinator.planned"
@@ -38,7 +38,7 @@
 	timesFenced = metrics.NewCounter(`siskinford_coordinator_fenced_total`)
 )
 
-// advance updates phase and maps, and plans if the phase asks for it.
+// advance updates phase and maps, and plans a map in the phases that need one.
 func (c *Coordinator) advance() {
 	c.updatePhase()
 	c.recordCommitted()
@@ -71,19 +71,19 @@
 	}
 }
 
-// recordCommitted records a decision that every rank has accepted. The first one may be
+// recordCommitted records a decision that every rank has committed. The first one may be
 // that of an earlier coordinator.
 func (c *Coordinator) recordCommitted() {
-	t, ok := c.protocol.Committed()
-	if !ok || t == c.committed {
+	d, ok := c.protocol.Committed()
+	if !ok || d == c.committed {
 		return
 	}
-	c.committed = t
+	c.committed = d
 	kind := EventSwitched
-	if t.IsFormation() {
+	if d.IsFormation() {
 		kind = EventFormed
 	}
-	c.record(kind, "map %d from step %d of formation %d", t.Map, t.Step, t.Formation)
+	c.record(kind, "map %d from step %d of formation %d", d.Map, d.Step, d.Formation)
 }
 
 func (c *Coordinator) recordSilent() {
