--- a/entry/expertmaps/bench_test.go
+++ b/entry/expertmaps/bench_test.go
@@ -18,14 +18,14 @@
 )
 
 // BenchmarkSessionSecond is one second of a session's work without the network: in each
-// pass, every rank reports its state and the sampled ones send samples.
+// step, every rank reports its state and the sampled ones send samples.
 func BenchmarkSessionSecond(b *testing.B) {
 	for _, size := range []int{16, 72, 288} {
 		b.Run(fmt.Sprintf("ranks=%d", size), func(b *testing.B) {
 			f := newFakeRanks(b, size, 12, 144, 3+16/size*6)
 			for b.Loop() {
 				for range 12 {
-					f.pass()
+					f.step()
 				}
 			}
 		})
@@ -49,7 +49,7 @@
 	f := newFakeRanks(t, 288, 12, 144, 3)
 	began := time.Now()
 	for range 12 {
-		f.pass()
+		f.step()
 	}
 	assert.Assert(t, time.Since(began) < 30*time.Second, "took %v", time.Since(began))
 }
@@ -88,8 +88,8 @@
 	return f
 }
 
-// pass simulates one pass. Orders stay unanswered, so that changes stay in progress.
-func (f *fakeRanks) pass() {
+// step simulates one step. Orders stay unanswered, so that changes stay in progress.
+func (f *fakeRanks) step() {
 	for range 6 {
 		f.now += 15 * time.Millisecond
 		f.session.advance(f.now)
--- a/entry/expertmaps/coordinator.go
+++ b/entry/expertmaps/coordinator.go
@@ -23,17 +23,17 @@
 // Config configures a Coordinator. Zero values select the defaults.
 type Config struct {
 	// StateInterval is the interval at which relays poll their rank during a change, and
-	// always at sampled ranks. Default: 15 ms, a quarter of a short pass.
+	// always at sampled ranks. Default: 15 ms, a quarter of a short step.
 	StateInterval time.Duration
 	// IdleStateInterval is the poll interval of the other ranks between changes. Default:
 	// 60 ms.
 	IdleStateInterval time.Duration
 	// SampleInterval is the minimum interval between samples of a rank. Default: 40 ms, so
-	// that each pass is sampled.
+	// that each step is sampled.
 	SampleInterval time.Duration
-	// SampledSlots is the number of slots at the sampled ranks of a group; the other ranks
-	// run the same kind of requests. Default: 192, with which maps of a group of 16 ranks
-	// follow the demand.
+	// SampledSlots is the number of request slots at the sampled ranks of a group; the other
+	// ranks run the same kind of requests. Default: 192, with which maps of a group of 16
+	// ranks follow the demand.
 	SampledSlots int
 	// DemandTimeConstant is the time constant of the demand estimate. Default: 1 s.
 	DemandTimeConstant time.Duration
@@ -140,22 +140,22 @@
 }
 
 const (
-	// leaseStepsPerTTL is the number of lease checks within the TTL.
-	leaseStepsPerTTL = 8
-	// renewEverySteps and observeEverySteps are the numbers of checks per renewal of the own
+	// leaseChecksPerTTL is the number of lease checks within the TTL.
+	leaseChecksPerTTL = 8
+	// checksPerRenewal and checksPerRead are the numbers of checks per renewal of the own
 	// lease and per read of an acting holder's lease.
-	renewEverySteps   = 3
-	observeEverySteps = 24
+	checksPerRenewal = 3
+	checksPerRead    = 24
 )
 
 // Run works until ctx ends, then releases the lease.
 func (c *Coordinator) Run(ctx context.Context) {
 	var stop context.CancelFunc = func() {}
 	var running uint64
-	tick := time.NewTicker(c.opt.Config.LeaseTTL / leaseStepsPerTTL)
+	tick := time.NewTicker(c.opt.Config.LeaseTTL / leaseChecksPerTTL)
 	defer tick.Stop()
 	for n := 0; ; n++ {
-		if err := c.stepLease(ctx, n); err != nil && ctx.Err() == nil {
+		if err := c.checkLease(ctx, n); err != nil && ctx.Err() == nil {
 			c.opt.Log.Warn().Err(err).Str("event", "lease.unclear").Str("service", string(c.opt.Service)).Str("group", string(c.opt.Group)).Send()
 		}
 		token := c.currentToken(running)
@@ -193,15 +193,15 @@
 // FencingToken returns the token the coordinator acts under, zero for none.
 func (c *Coordinator) FencingToken() uint64 { return c.token.Load() }
 
-// stepLease acquires, renews or reads the lease. Every third check renews it; while its
-// holder announces that it acts, it is read only every observeEverySteps.
-func (c *Coordinator) stepLease(ctx context.Context, n int) error {
+// checkLease acquires, renews or reads the lease. Every third check renews it; while its
+// holder announces that it acts, it is read only once in checksPerRead checks.
+func (c *Coordinator) checkLease(ctx context.Context, n int) error {
 	holder := c.lease.Holder()
 	_, held := c.lease.Valid(time.Now())
 	switch {
-	case held && n%renewEverySteps != 0:
+	case held && n%checksPerRenewal != 0:
 		return nil
-	case holder != "" && holder != c.opt.Holder && c.opt.Peers.Acting(holder, c.duty) && n%observeEverySteps != 0:
+	case holder != "" && holder != c.opt.Holder && c.opt.Peers.Acting(holder, c.duty) && n%checksPerRead != 0:
 		return nil
 	}
 	return c.lease.AcquireOrRenew(ctx)
--- a/entry/expertmaps/group.go
+++ b/entry/expertmaps/group.go
@@ -18,16 +18,16 @@
 
 // group is a group of ranks and its map. Only the session's goroutine uses it.
 type group struct {
-	name       id.Group
-	size       int
-	cfg        Config
-	experts    *routes.Experts
-	slots      int
-	followTime *metrics.Histogram
-	log        zerolog.Logger
-	mapSwitch  *mapswitch.Coordinator
-	demand     *expertmap.DemandEstimator
-	ranks      []rankState
+	name         id.Group
+	size         int
+	cfg          Config
+	experts      *routes.Experts
+	requestSlots int
+	followTime   *metrics.Histogram
+	log          zerolog.Logger
+	mapSwitch    *mapswitch.Coordinator
+	demand       *expertmap.DemandEstimator
+	ranks        []rankState
 	// sampledAt is when the last sample of any rank arrived.
 	sampledAt time.Duration
 	plannedAt time.Duration
@@ -35,8 +35,8 @@
 	maps        []expertmap.Map
 	mapsVersion uint64
 	mapsEpoch   uint64
-	// shifts counts the demand changes seen. shiftedAt is the first one that the map does not
-	// follow yet, zero for none.
+	// shifts counts the demand changes seen. shiftedAt is when the first one that the map does
+	// not follow yet was seen, zero for none.
 	shifts    int
 	shiftedAt time.Duration
 	// lastRejected is the last plan that was not worth its cost.
@@ -52,9 +52,9 @@
 
 // rankState is the last reported state of one rank.
 type rankState struct {
-	link    *ranklink.Link
-	born    int64
-	running int
+	link        *ranklink.Link
+	startMillis int64
+	running     int
 	// slowdown is the rank's step time relative to the usual one, from one up.
 	slowdown float64
 	// stateAt is when the last state arrived.
@@ -64,7 +64,7 @@
 
 func newGroup(s *session, name id.Group, size int) *group {
 	g := &group{
-		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, slots: s.engine.Slots,
+		name: name, size: size, cfg: s.cfg, experts: s.engine.Experts, requestSlots: s.engine.Slots,
 		log:       s.log,
 		mapSwitch: mapswitch.New(mapswitch.Config{Ranks: size}, s.token),
 		demand: expertmap.NewDemandEstimator(expertmap.DemandConfig{
@@ -87,14 +87,14 @@
 		return false
 	}
 	m := &g.ranks[s.Rank]
-	if s.StartMillis < m.born {
+	if s.StartMillis < m.startMillis {
 		return false
 	}
 	newLink := m.link != l
 	if newLink {
 		m.sampleState = sampleState{}
 	}
-	m.link, m.born, m.running, m.slowdown, m.stateAt = l, s.StartMillis, s.Running, s.Slowdown, now
+	m.link, m.startMillis, m.running, m.slowdown, m.stateAt = l, s.StartMillis, s.Running, s.Slowdown, now
 	if s.Epoch > g.mapSwitch.Epoch() {
 		g.demand.Reset()
 	}
@@ -250,14 +250,14 @@
 	maxIdleGainFactor = 1.5
 )
 
-// minGain returns the minimum gain of a copy. With few requests, passes are short whatever
+// minGain returns the minimum gain of a copy. With few requests, steps are short whatever
 // the map; a map that does not follow the demand gains more from a change.
 func (g *group) minGain(skew float64) float64 {
 	running := 0
 	for i := range g.ranks {
 		running += g.ranks[i].running
 	}
-	utilization := float64(running) / float64(g.size*max(g.slots, 1))
+	utilization := float64(running) / float64(g.size*max(g.requestSlots, 1))
 	factor := float64(maxIdleGainFactor)
 	if utilization > 0 {
 		factor = min(max(busyUtilization/utilization, 1), maxIdleGainFactor)
@@ -271,7 +271,7 @@
 // minSlowdown is the slowdown from which a rank counts as slow, above normal variation.
 const minSlowdown = 1.25
 
-// plannerSlowdowns returns the slowdowns with one for ranks that are not slow, nil if none is.
+// plannerSlowdowns returns the slowdowns, one for ranks that are not slow; nil if none is.
 func (g *group) plannerSlowdowns() []float64 {
 	if !slices.ContainsFunc(g.ranks, func(m rankState) bool { return m.slowdown >= minSlowdown }) {
 		return nil
--- a/entry/expertmaps/group_test.go
+++ b/entry/expertmaps/group_test.go
@@ -36,9 +36,9 @@
 	return g
 }
 
-// TestGroupWithTooFewPlacesIsLeftAlone guards against endless resends: ranks that hold
+// TestGroupWithTooFewSlotsGetsNoOrders guards against endless resends: ranks that hold
 // more experts than an order may name refuse every order.
-func TestGroupWithTooFewPlacesIsLeftAlone(t *testing.T) {
+func TestGroupWithTooFewSlotsGetsNoOrders(t *testing.T) {
 	g := newOpenGroup(t, 4, 3, 16)
 	for now := time.Duration(0); now < time.Second; now += tickInterval {
 		assert.Equal(t, len(g.advance(now)), 0)
@@ -46,7 +46,7 @@
 	assert.Assert(t, !g.changing())
 }
 
-func TestGroupWithEnoughPlacesGetsPrepareOrders(t *testing.T) {
+func TestGroupWithEnoughSlotsGetsPrepareOrders(t *testing.T) {
 	g := newOpenGroup(t, 4, 4, 16)
 	orders := g.advance(tickInterval)
 	assert.Equal(t, len(orders), 4)
--- a/entry/expertmaps/sampled.go
+++ b/entry/expertmaps/sampled.go
@@ -11,7 +11,7 @@
 
 // sampleState tracks the sampling of one rank.
 type sampleState struct {
-	// sampling is true while the rank is asked for samples.
+	// sampling is true while samples are requested from the rank.
 	sampling bool
 	// requestedAt is when sampling was last switched, sampledAt when the last sample arrived.
 	requestedAt, sampledAt time.Duration
@@ -20,7 +20,7 @@
 }
 
 const (
-	// sampleTimeout is the time without samples, several passes long, after which a rank is
+	// sampleTimeout is the time without samples, several steps long, after which a rank is
 	// replaced if others send some.
 	sampleTimeout = 500 * time.Millisecond
 	// dropDuration is the time for which a dropped rank is the last choice.
@@ -74,7 +74,7 @@
 			cmp.Compare(a, b),
 		)
 	})
-	wanted := g.cfg.sampledRankCount(g.size, g.slots)
+	wanted := g.cfg.sampledRankCount(g.size, g.requestSlots)
 	for i, r := range ranks {
 		m := &g.ranks[r]
 		if sampling := i < wanted; sampling != m.sampling {
--- a/entry/expertmaps/sampled_test.go
+++ b/entry/expertmaps/sampled_test.go
@@ -19,7 +19,7 @@
 func newSampledGroup(t *testing.T, ranks, wanted int) (*group, map[id.Endpoint]int) {
 	t.Helper()
 	g := newOpenGroup(t, ranks, 4, 16)
-	g.cfg.SampledSlots = wanted * g.slots
+	g.cfg.SampledSlots = wanted * g.requestSlots
 	order := make(map[id.Endpoint]int)
 	for r := range g.ranks {
 		name := id.Endpoint(fmt.Sprintf("e%02d", r))
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestFailedOrdersAreToldOnce checks that the failing orders to all ranks of a zone that
-// is cut off do not flood the log.
-func TestFailedOrdersAreToldOnce(t *testing.T) {
+// TestFailedOrdersAreLoggedOncePerInterval checks that the failing orders to all
+// ranks of a zone that is cut off do not flood the log.
+func TestFailedOrdersAreLoggedOncePerInterval(t *testing.T) {
 	var log bytes.Buffer
 	s := &session{log: zerolog.New(&log)}
 	for now := time.Millisecond; now < 1900*time.Millisecond; now += 10 * time.Millisecond {
@@ -106,7 +106,7 @@
 	assert.Assert(t, strings.Contains(lines[1], `"others":99`), lines[1])
 }
 
-// TestIdleGroupKeepsItsSampledRanks: without passes no rank sends samples, and none must
+// TestIdleGroupKeepsItsSampledRanks: without steps no rank sends samples, and none must
 // be dropped for that.
 func TestIdleGroupKeepsItsSampledRanks(t *testing.T) {
 	g, order := newSampledGroup(t, 6, 3)
