--- a/entry/groups/lease.go
+++ b/entry/groups/lease.go
@@ -62,9 +62,9 @@
 	interval := l.ttl / renewalsPerTTL
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for pass := 0; ; pass++ {
-		if l.shouldStep(pass) {
-			l.step(ctx, interval)
+	for tick := 0; ; tick++ {
+		if l.shouldTry(tick) {
+			l.renewOrAcquire(ctx, interval)
 		}
 		select {
 		case <-ctx.Done():
@@ -75,9 +75,9 @@
 	}
 }
 
-// shouldStep reports whether this host tries the lease in a pass: the holder and the
-// first-ranked host in every pass, the backup once per TTL.
-func (l *groupLease) shouldStep(pass int) bool {
+// shouldTry reports whether this host renews or tries to acquire the lease at a tick: the
+// holder and the first-ranked host at every tick, the backup once per TTL.
+func (l *groupLease) shouldTry(tick int) bool {
 	if _, held := l.lease.Valid(time.Now()); held {
 		return true
 	}
@@ -85,11 +85,11 @@
 	if position <= 0 {
 		return position == 0
 	}
-	return position < leaseCandidates && pass%renewalsPerTTL == renewalsPerTTL-1
+	return position < leaseCandidates && tick%renewalsPerTTL == renewalsPerTTL-1
 }
 
-// step renews or acquires the lease, after releasing one whose token was fenced.
-func (l *groupLease) step(ctx context.Context, timeout time.Duration) {
+// renewOrAcquire renews or acquires the lease, after releasing one whose token was fenced.
+func (l *groupLease) renewOrAcquire(ctx context.Context, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	token, held := l.lease.Valid(time.Now())
@@ -99,7 +99,7 @@
 	if mustRelease && l.lease.Release(ctx) != nil {
 		return
 	}
-	_ = l.lease.AcquireOrRenew(ctx) // Retried in the next pass.
+	_ = l.lease.AcquireOrRenew(ctx) // Retried at the next tick.
 }
 
 func (l *groupLease) release() {
--- a/entry/groups/lease_test.go
+++ b/entry/groups/lease_test.go
@@ -21,39 +21,39 @@
 	return &groupLease{lease: l, ttl: time.Minute, dutyName: "group/g", self: self, liveHosts: func() []id.Host { return live }}
 }
 
-// TestOnlyCandidatesStepTheLease checks that two of many hosts try a lease, the backup
-// less often, and that the holder keeps renewing whatever its rank.
-func TestOnlyCandidatesStepTheLease(t *testing.T) {
+// TestOnlyCandidatesTryTheLease checks that two of many hosts compete for a lease, the
+// backup less often, and that the holder keeps renewing whatever its position.
+func TestOnlyCandidatesTryTheLease(t *testing.T) {
 	hosts := []id.Host{"a", "b", "c", "d", "e"}
 	ranked := rendezvous.Rank("group/g", hosts)
 	store := memstore.New(memstore.Config{})
 	for position, host := range ranked {
 		l := newTestLease(t, store, host, hosts)
-		var passes int
-		for pass := range renewalsPerTTL {
-			if l.shouldStep(pass) {
-				passes++
+		var tries int
+		for tick := range renewalsPerTTL {
+			if l.shouldTry(tick) {
+				tries++
 			}
 		}
 		want := map[int]int{0: renewalsPerTTL, 1: 1}[position]
-		assert.Equal(t, passes, want, "place %d", position)
+		assert.Equal(t, tries, want, "position %d", position)
 	}
 	last := newTestLease(t, store, ranked[4], hosts)
-	last.step(context.Background(), time.Minute)
-	assert.Assert(t, last.shouldStep(0))
+	last.renewOrAcquire(context.Background(), time.Minute)
+	assert.Assert(t, last.shouldTry(0))
 }
 
 // TestFencedTokenIsReplaced checks that a fenced token is not returned again and that the
 // next one is greater.
 func TestFencedTokenIsReplaced(t *testing.T) {
 	l := newTestLease(t, memstore.New(memstore.Config{}), "a", []id.Host{"a"})
-	l.step(context.Background(), time.Minute)
+	l.renewOrAcquire(context.Background(), time.Minute)
 	first, held := l.FencingToken()
 	assert.Assert(t, held && l.CoversChange())
 	l.MarkFenced(first)
 	_, held = l.FencingToken()
 	assert.Assert(t, !held)
-	l.step(context.Background(), time.Minute)
+	l.renewOrAcquire(context.Background(), time.Minute)
 	second, held := l.FencingToken()
 	assert.Assert(t, held)
 	assert.Equal(t, second, first+1)
