--- a/entry/ranklink/link.go
+++ b/entry/ranklink/link.go
@@ -184,7 +184,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
 			return err
 		}
-		l.markHeard()
+		l.recordMessage()
 		if m.Unreachable != "" {
 			l.opt.Report(l, "rank.unreachable", nil)
 			continue
@@ -219,8 +219,8 @@
 
 var errRelaySilent = errors.New("no message from the relay since the last order")
 
-// markHeard records that the relay sent a message.
-func (l *Link) markHeard() {
+// recordMessage marks the orders as answered when the relay sends a message.
+func (l *Link) recordMessage() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unansweredSince, l.reconnected = time.Time{}, false
