--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -60,8 +60,7 @@
 	Size int `json:"size"`
 	// Open is false while a rank of the group is missing.
 	Open bool `json:"open"`
-	// Step is the last step that began. A step is one joint pass of all ranks, which can
-	// generate several tokens per request.
+	// Step is the last step that began, a joint pass of all ranks.
 	Step uint64 `json:"step"`
 	// MapVersion is the version of the expert map in use, zero for the initial one.
 	MapVersion uint64 `json:"map"`
@@ -95,7 +94,7 @@
 const (
 	// Prepare copies the weights that a map needs.
 	Prepare Op = "prepare"
-	// Arm switches the rank to a prepared map at a step.
+	// Arm schedules the switch to a prepared map at a step.
 	Arm Op = "arm"
 	// Disarm cancels Arm.
 	Disarm Op = "disarm"
