--- a/agent/relay/sample.go
+++ b/agent/relay/sample.go
@@ -18,10 +18,10 @@
 	changingUntil time.Time
 	layout        relay.Layout
 	// base are the counts at the last sample, and baseBorn the rank's start then.
-	base        relay.Counts
-	baseBorn    int64
-	sampledAt   time.Time
-	unreachable bool
+	base            relay.Counts
+	baseStartMillis int64
+	sampledAt       time.Time
+	unreachable     bool
 }
 
 // runSampler polls the rank as the session's watch requests until ctx ends.
@@ -93,7 +93,7 @@
 		s.base = relay.Counts{} // A sample across the time without sampling would be out of date.
 		return nil, nil
 	}
-	if now.Sub(s.sampledAt) < interval || state.Step <= s.base.Step && state.StartMillis == s.baseBorn {
+	if now.Sub(s.sampledAt) < interval || state.Step <= s.base.Step && state.StartMillis == s.baseStartMillis {
 		return nil, nil
 	}
 	counts, err := s.session.server.engine.Counts(ctx)
@@ -121,10 +121,10 @@
 
 // sampleSinceBase returns the difference between c and base, and makes c the base. It
 // returns nil if no step was counted, or if the rank restarted or changed its epoch.
-func (s *sampler) sampleSinceBase(born int64, c relay.Counts) *relay.Sample {
+func (s *sampler) sampleSinceBase(startMillis int64, c relay.Counts) *relay.Sample {
 	old := s.base
-	same := born == s.baseBorn && c.Epoch == old.Epoch && len(c.Tokens) == len(old.Tokens)
-	s.base, s.baseBorn = relay.Counts{Step: c.Step, Epoch: c.Epoch, Tokens: slices.Clone(c.Tokens)}, born
+	same := startMillis == s.baseStartMillis && c.Epoch == old.Epoch && len(c.Tokens) == len(old.Tokens)
+	s.base, s.baseStartMillis = relay.Counts{Step: c.Step, Epoch: c.Epoch, Tokens: slices.Clone(c.Tokens)}, startMillis
 	if !same || c.Step <= old.Step {
 		return nil
 	}
@@ -135,5 +135,5 @@
 		}
 		levels[i] = relay.EncodeLevel(n - old.Tokens[i])
 	}
-	return &relay.Sample{StartMillis: born, Epoch: c.Epoch, From: old.Step, To: c.Step, Levels: levels}
+	return &relay.Sample{StartMillis: startMillis, Epoch: c.Epoch, From: old.Step, To: c.Step, Levels: levels}
 }
