--- a/agent/rank/rank.go
+++ b/agent/rank/rank.go
@@ -1,7 +1,7 @@
 // Package rank controls the ranks of a group on the agent's host, between the group's
 // coordinator and the engines. It fences outdated epochs, which not every engine does,
-// and reconciles each engine: it reads the state back and repeats orders until the
-// engine is in the wanted state.
+// and reconciles each engine: it reads the state back and repeats the engine's order
+// until the engine is in the wanted state.
 package rank
 
 import (
