--- a/entry/expertmaps/sampled.go
+++ b/entry/expertmaps/sampled.go
@@ -45,7 +45,7 @@
 }
 
 // chooseSampledRanks keeps sampled ranks, replaces silent ones and fills up in list order.
-func (g *group) chooseSampledRanks(order map[id.Endpoint]int, now time.Duration) {
+func (g *group) chooseSampledRanks(positions map[id.Endpoint]int, now time.Duration) {
 	var ranks []int
 	for r := range g.ranks {
 		m := &g.ranks[r]
@@ -70,7 +70,7 @@
 	slices.SortFunc(ranks, func(a, b int) int {
 		return cmp.Or(
 			cmp.Compare(preference(a), preference(b)),
-			cmp.Compare(order[g.ranks[a].link.Endpoint().Name], order[g.ranks[b].link.Endpoint().Name]),
+			cmp.Compare(positions[g.ranks[a].link.Endpoint().Name], positions[g.ranks[b].link.Endpoint().Name]),
 			cmp.Compare(a, b),
 		)
 	})
--- a/entry/expertmaps/session.go
+++ b/entry/expertmaps/session.go
@@ -29,8 +29,8 @@
 
 	events chan ranklink.Event
 	links  map[id.Endpoint]*ranklink.Link
-	// order holds the position of each endpoint in the list.
-	order map[id.Endpoint]int
+	// positions holds the position of each endpoint in the list.
+	positions map[id.Endpoint]int
 	// layouts holds the last layout of each rank.
 	layouts map[*ranklink.Link]relay.Layout
 	groups  map[id.Group]*group
@@ -92,21 +92,21 @@
 
 // relist opens links to new endpoints and closes links to removed ones.
 func (s *session) relist(ctx context.Context, now time.Duration) {
-	s.order = make(map[id.Endpoint]int)
+	s.positions = make(map[id.Endpoint]int)
 	for i, e := range s.list() {
-		s.order[e.Name] = i
+		s.positions[e.Name] = i
 		if l := s.links[e.Name]; l != nil && l.Endpoint() == e {
 			continue
 		} else if l != nil {
 			s.close(l)
 		}
 		s.links[e.Name] = ranklink.Open(ctx, ranklink.Options{
-			Endpoint: e, Source: s.source, EngineClient: s.engineClient, Events: s.events, Report: s.report,
+			Endpoint: e, Source: s.source, EngineClient: s.engineClient, Events: s.events, Report: s.logLinkEvent,
 			Watch: s.cfg.watch(false),
 		})
 	}
 	for name, l := range s.links {
-		if _, ok := s.order[name]; !ok {
+		if _, ok := s.positions[name]; !ok {
 			s.close(l)
 			delete(s.links, name)
 		}
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, g := range s.groups {
-		g.chooseSampledRanks(s.order, now)
+		g.chooseSampledRanks(s.positions, now)
 	}
 }
 
@@ -126,7 +126,7 @@
 	delete(s.layouts, l)
 }
 
-func (s *session) report(l *ranklink.Link, event string, err error) {
+func (s *session) logLinkEvent(l *ranklink.Link, event string, err error) {
 	s.log.Info().Err(err).Str("event", event).Str("endpoint", string(l.Endpoint().Name)).Str("relay", l.Endpoint().Relay).Send()
 }
 
@@ -182,7 +182,7 @@
 	epoch := g.mapSwitch.Epoch()
 	newLink := g.onState(l, state, now)
 	if newLink {
-		g.chooseSampledRanks(s.order, now)
+		g.chooseSampledRanks(s.positions, now)
 	}
 	return newLink || g.mapSwitch.Epoch() != epoch
 }
--- a/wire/relay/map.go
+++ b/wire/relay/map.go
@@ -6,8 +6,8 @@
 	"errors"
 )
 
-// ExpertMap lists the experts by set, rank and slot. Its text is compact, as each rank of
-// a group receives the whole map: base64 of varints, namely the number of sets, for each
+// ExpertMap lists the experts by layer set, rank and slot. Its text is compact, as each rank
+// of a group receives the whole map: base64 of varints, namely the number of sets, for each
 // set the number of ranks, and for each rank the number of experts and the experts.
 type ExpertMap [][][]int
 
--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -44,7 +44,7 @@
 type Layout struct {
 	Epoch   uint64 `json:"epoch"`
 	Version uint64 `json:"version"`
-	// Experts is indexed by set.
+	// Experts is indexed by layer set.
 	Experts [][]int `json:"experts"`
 }
 
