--- a/lab/engine/contract_test.go
+++ b/lab/engine/contract_test.go
@@ -21,19 +21,19 @@
 
 const testTimeout = 60 * time.Second
 
-// setup is an engine with its client.
-type setup struct {
+// fixture is an engine served over HTTP and its client.
+type fixture struct {
 	engine *engine.Engine
 	client *client.Client
 	ctx    context.Context
 }
 
-func start(t *testing.T, c engine.Config) setup {
+func start(t *testing.T, c engine.Config) fixture {
 	t.Helper()
 	return serve(t, engine.New(c))
 }
 
-func serve(t testing.TB, e *engine.Engine) setup {
+func serve(t testing.TB, e *engine.Engine) fixture {
 	t.Helper()
 	e.Start()
 	server := httptest.NewServer(e.Handler())
@@ -46,17 +46,17 @@
 		h.Close()
 		server.Close()
 	})
-	return setup{engine: e, client: h, ctx: ctx}
+	return fixture{engine: e, client: h, ctx: ctx}
 }
 
-// result is what a completion ended with.
+// result is the outcome of a completion.
 type result struct {
 	text  string
 	usage client.Usage
 	err   error
 }
 
-func (s setup) run(r client.Request) result {
+func (s fixture) run(r client.Request) result {
 	var text strings.Builder
 	usage, err := s.client.Run(s.ctx, r, func(token client.Token) error {
 		text.WriteString(token.Text)
@@ -65,29 +65,29 @@
 	return result{text: text.String(), usage: usage, err: err}
 }
 
-func (s setup) background(r client.Request) <-chan result {
+func (s fixture) background(r client.Request) <-chan result {
 	done := make(chan result, 1)
 	go func() { done <- s.run(r) }()
 	return done
 }
 
-// await polls a condition that the engine brings about.
-func (s setup) await(t *testing.T, what string, condition func() bool) {
+// await polls a condition until it holds or the test times out.
+func (s fixture) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for !condition() {
 		select {
 		case <-s.ctx.Done():
-			t.Fatalf("%s did not come about", what)
+			t.Fatalf("timed out waiting for %s", what)
 		case <-ticker.C:
 		}
 	}
 }
 
-func (s setup) awaitTokens(t *testing.T, attempt id.Attempt, n int) {
+func (s fixture) awaitTokens(t *testing.T, attempt id.Attempt, n int) {
 	t.Helper()
-	s.await(t, "progress", func() bool { return s.engine.Run(attempt).Tokens >= n })
+	s.await(t, "progress", func() bool { return s.engine.Stats(attempt).Tokens >= n })
 }
 
 func TestRunReturnsTheWholeAnswer(t *testing.T) {
@@ -102,8 +102,8 @@
 		assert.DeepEqual(t, got.usage, client.Usage{
 			PromptTokens: 7, CachedTokens: cached, AnswerTokens: 40, FinishReason: engine.FinishLength,
 		})
-		run := s.engine.Run(attempt)
-		assert.Equal(t, run, engine.Run{Accepted: 1, Started: 1, Finished: 1, Tokens: 40}, "call %d", i)
+		run := s.engine.Stats(attempt)
+		assert.Equal(t, run, engine.AttemptStats{Accepted: 1, Started: 1, Finished: 1, Tokens: 40}, "call %d", i)
 	}
 	got := s.run(client.Request{Attempt: "att_stop", Prompt: "mark=a tokens=3", MaxTokens: 40})
 	assert.NilError(t, got.err)
@@ -145,7 +145,7 @@
 			assert.Equal(t, errors.As(got.err, &notStarted), test.notStarted, "%v", got.err)
 			assert.Equal(t, errors.Is(got.err, client.ErrIncomplete), test.incomplete, "%v", got.err)
 			assert.Equal(t, got.err == nil, test.runs == 1 && test.faults.CutNext == 0, "%v", got.err)
-			assert.Equal(t, s.engine.Run("att_1").Accepted, test.runs)
+			assert.Equal(t, s.engine.Stats("att_1").Accepted, test.runs)
 		})
 	}
 }
@@ -176,7 +176,7 @@
 	h, err := client.NewClient(client.Config{URL: server.URL})
 	assert.NilError(t, err)
 	defer h.Close()
-	s := setup{engine: e, client: h, ctx: t.Context()}
+	s := fixture{engine: e, client: h, ctx: t.Context()}
 	for i := range 20 {
 		assert.NilError(t, s.run(client.Request{Attempt: id.NewAttempt(), Prompt: "x", MaxTokens: 100}).err)
 		_, err := h.Load(s.ctx)
@@ -208,18 +208,18 @@
 	long := s.background(client.Request{Attempt: "att_long", Prompt: "mark=long", MaxTokens: tokens})
 	s.awaitTokens(t, "att_long", 3)
 	assert.NilError(t, s.client.Pause(s.ctx, "att_long"))
-	paused := s.engine.Run("att_long").Tokens
+	paused := s.engine.Stats("att_long").Tokens
 	assert.Assert(t, paused < tokens)
 
 	short := s.run(client.Request{Attempt: "att_short", Prompt: "mark=short", MaxTokens: 5})
 	assert.NilError(t, short.err)
-	assert.Equal(t, s.engine.Run("att_long").Tokens, paused, "a paused attempt made progress")
+	assert.Equal(t, s.engine.Stats("att_long").Tokens, paused, "a paused attempt made progress")
 
 	assert.NilError(t, s.client.Resume(s.ctx, "att_long"))
 	got := <-long
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.text, engine.Answer("mark=long", tokens))
-	assert.Equal(t, s.engine.Run("att_long"), engine.Run{Accepted: 1, Started: 1, Finished: 1, Tokens: tokens, Pauses: 1})
+	assert.Equal(t, s.engine.Stats("att_long"), engine.AttemptStats{Accepted: 1, Started: 1, Finished: 1, Tokens: tokens, Pauses: 1})
 
 	endless := s.background(client.Request{Attempt: "att_endless", Prompt: "x", MaxTokens: 1 << 16})
 	s.awaitTokens(t, "att_endless", 1)
@@ -236,8 +236,8 @@
 	assert.Equal(t, status.Status, 404)
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
-	s := start(t, engine.Config{Slots: 1, Gated: true})
+func TestHigherPriorityRunsFirst(t *testing.T) {
+	s := start(t, engine.Config{Slots: 1, RequirePermits: true})
 	var done []<-chan result
 	for _, r := range []client.Request{{Attempt: "att_low"}, {Attempt: "att_high", Priority: 1}} {
 		r.Prompt, r.MaxTokens = "x", 2
@@ -246,24 +246,24 @@
 	}
 	assert.NilError(t, s.client.Order(s.ctx, client.Order{Kind: client.OrderSteps, From: 1, Through: 1}))
 	s.await(t, "one step", func() bool { return s.engine.State().Step == 2 })
-	assert.Equal(t, s.engine.Run("att_high").Tokens, 1)
-	assert.Equal(t, s.engine.Run("att_low").Started, 0)
+	assert.Equal(t, s.engine.Stats("att_high").Tokens, 1)
+	assert.Equal(t, s.engine.Stats("att_low").Started, 0)
 	assert.NilError(t, s.client.Order(s.ctx, client.Order{Kind: client.OrderSteps, From: 2, Through: 10}))
 	for _, d := range done {
 		assert.NilError(t, (<-d).err)
 	}
 }
 
-func TestCallerGoneCancels(t *testing.T) {
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	s := start(t, engine.Config{StepTime: time.Millisecond})
 	stop := errors.New("stop")
 	_, err := s.client.Run(s.ctx, client.Request{Attempt: "att_1", Prompt: "x", MaxTokens: 1 << 16}, func(client.Token) error { return stop })
 	assert.Assert(t, errors.Is(err, stop))
 	s.await(t, "the cancel", func() bool { return s.engine.Load().Running == 0 })
-	assert.Equal(t, s.engine.Run("att_1").Finished, 0)
+	assert.Equal(t, s.engine.Stats("att_1").Finished, 0)
 }
 
-func TestCacheEventsLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	const blocks = 200
 	prompt := strings.Repeat("word ", blocks)
 	seen := func(seed uint64) []client.CacheEvent {
@@ -297,7 +297,7 @@
 		s := start(t, engine.Config{LoadLag: test.lag})
 		s.engine.SetFaults(engine.Faults{Stall: true})
 		done := s.background(client.Request{Attempt: "att_1", Prompt: "x"})
-		s.await(t, "admission", func() bool { return s.engine.Run("att_1").Accepted == 1 })
+		s.await(t, "admission", func() bool { return s.engine.Stats("att_1").Accepted == 1 })
 		load, err := s.client.Load(s.ctx)
 		assert.NilError(t, err)
 		assert.Equal(t, load.Waiting, test.waiting)
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -42,7 +42,7 @@
 func (r *run) result() Result {
 	out := Result{
 		Seed: r.plan.Seed, Faults: len(r.plan.Faults), Violations: r.record.sortedViolations(), Took: time.Since(r.startedAt),
-		MapChanges: r.site.Group().Status().Switches,
+		MapChanges: r.site.Group().Status().MapSwitches,
 	}
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
