--- a/itest/config_test.go
+++ b/itest/config_test.go
@@ -64,7 +64,9 @@
 	results := make([]error, operators)
 	var wg sync.WaitGroup
 	for i := range operators {
-		wg.Go(func() { results[i] = c.WriteConfig(ctx, config.KindTeams, teamsWithKey(fmt.Sprintf("race-%d", i)), seen) })
+		wg.Go(func() {
+			results[i] = c.WriteConfig(ctx, config.KindTeams, teamsWithKey(fmt.Sprintf("race-%d", i)), seen)
+		})
 	}
 	wg.Wait()
 	winner := -1
