--- a/itest/client_test.go
+++ b/itest/client_test.go
@@ -20,13 +20,13 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// answer is what a caller got.
+// answer is the response to a request.
 type answer struct {
 	Status  int
 	Outcome outcome.Outcome
 	Request string
 	Body    []byte
-	// Err is set if the connection broke.
+	// Err is set if the response was not received whole.
 	Err error
 }
 
@@ -37,10 +37,10 @@
 	return p
 }
 
-// client sends requests as a team.
+// client sends requests with the API key of the cluster's team.
 type client struct{ http *http.Client }
 
-// newClient returns a client that never repeats a request.
+// newClient returns a client without keep-alive, so that net/http retries no request.
 func newClient() *client {
 	return &client{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 60 * time.Second}}
 }
@@ -68,7 +68,7 @@
 	return a
 }
 
-// prompt returns a user message that carries a mark.
+// prompt returns a user message with a mark that makes its answer unique.
 func prompt(mark string) string { return "mark=" + mark + " a chest for Candelaria" }
 
 func chatBody(mark string, tokens int, stream bool) string {
@@ -94,8 +94,8 @@
 	return ticket.Ticket
 }
 
-// wholeText returns the text of a whole chat completion.
-func wholeText(body []byte) (string, error) {
+// completionText returns the text of a chat completion that was not streamed.
+func completionText(body []byte) (string, error) {
 	var chat caller.ChatCompletion
 	if err := json.Unmarshal(body, &chat); err != nil {
 		return "", err
@@ -107,7 +107,7 @@
 }
 
 // streamedText returns the text of a streamed chat completion. Complete is true
-// only if the stream ended with its last event.
+// only if the stream ended with [DONE].
 func streamedText(body []byte) (text string, complete bool, err error) {
 	var b strings.Builder
 	scanner := bufio.NewScanner(bytes.NewReader(body))
@@ -131,7 +131,7 @@
 	return b.String(), false, scanner.Err()
 }
 
-// runs returns how often the plain services ran the requests of each key.
+// runs returns the number of executions of each key at all plain services.
 func runs(ctx context.Context, t *testing.T, c *procs.Cluster) map[string]int {
 	t.Helper()
 	total := map[string]int{}
@@ -146,7 +146,7 @@
 	return total
 }
 
-// runsOf returns the same of one plain service.
+// runsOf returns the number of executions of each key at one plain service.
 func runsOf(ctx context.Context, t *testing.T, e *procs.Endpoint) map[string]int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.BackendURL+"/lab/runs", nil)
--- a/itest/config_test.go
+++ b/itest/config_test.go
@@ -16,14 +16,14 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// teams returns the teams of a cluster with one more API key.
-func teams(key string) config.TeamSet {
+// teamsWithKey returns the cluster's team configuration with an additional API key.
+func teamsWithKey(key string) config.TeamSet {
 	return config.TeamSet{Teams: []config.Team{{
 		Name: procs.Team, KeyHashes: []string{config.HashKey(procs.TeamKey), config.HashKey(key)},
 	}}}
 }
 
-// accepts reports whether an entry serves an API key.
+// accepts reports whether an entry accepts an API key.
 func accepts(ctx context.Context, t *testing.T, e *procs.Entry, key string) bool {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.URL+"/v1/models", nil)
@@ -42,20 +42,20 @@
 	return o.Version
 }
 
-// inForce waits until every entry serves a key and checks that none serves another.
-func inForce(ctx context.Context, t *testing.T, c *procs.Cluster, key, former string) {
+// awaitInForce waits until every entry accepts key and checks that none accepts former.
+func awaitInForce(ctx context.Context, t *testing.T, c *procs.Cluster, key, former string) {
 	t.Helper()
 	for _, e := range c.Entries {
 		await(ctx, t, fmt.Sprintf("key %q at %s", key, e.Host), func() bool { return accepts(ctx, t, e, key) })
 		if former != "" {
-			assert.Assert(t, !accepts(ctx, t, e, former), "%s serves the former key %q", e.Host, former)
+			assert.Assert(t, !accepts(ctx, t, e, former), "%s accepts the former key %q", e.Host, former)
 		}
 	}
 }
 
-// TestAcceptedConfigurationIsInForceAndStays lets operators race, loses the
-// answer to a write, restarts an entry during an outage and lets the platform
-// show older versions.
+// TestAcceptedConfigurationIsInForceAndStays verifies accepted changes under
+// concurrent writes, a lost response to a write, an entry restarted during an outage
+// of the platform, and stale reads from the platform.
 func TestAcceptedConfigurationIsInForceAndStays(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 3, Models: 1, Zones: []id.Zone{"lima-a", "lima-a", "lima-b"}})
 
@@ -64,13 +64,13 @@
 	results := make([]error, operators)
 	var wg sync.WaitGroup
 	for i := range operators {
-		wg.Go(func() { results[i] = c.Accept(ctx, config.KindTeams, teams(fmt.Sprintf("race-%d", i)), seen) })
+		wg.Go(func() { results[i] = c.Accept(ctx, config.KindTeams, teamsWithKey(fmt.Sprintf("race-%d", i)), seen) })
 	}
 	wg.Wait()
 	winner := -1
 	for i, err := range results {
 		if err == nil {
-			assert.Equal(t, winner, -1, "two operators were told that their change is accepted")
+			assert.Equal(t, winner, -1, "two concurrent changes of one version were accepted")
 			winner = i
 			continue
 		}
@@ -79,7 +79,7 @@
 	}
 	assert.Assert(t, winner >= 0, "%v", results)
 	last := fmt.Sprintf("race-%d", winner)
-	inForce(ctx, t, c, last, "")
+	awaitInForce(ctx, t, c, last, "")
 	for i := range operators {
 		if i != winner {
 			assert.Assert(t, !accepts(ctx, t, c.Entries[0], fmt.Sprintf("race-%d", i)), "a refused change is in force")
@@ -87,25 +87,25 @@
 	}
 
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{LoseAnswers: 1}))
-	assert.NilError(t, c.Accept(ctx, config.KindTeams, teams("answer-lost"), teamsVersion(ctx, t, c)))
-	inForce(ctx, t, c, "answer-lost", last)
+	assert.NilError(t, c.Accept(ctx, config.KindTeams, teamsWithKey("answer-lost"), teamsVersion(ctx, t, c)))
+	awaitInForce(ctx, t, c, "answer-lost", last)
 
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{Outage: platform.OutageRefuse}))
-	err := c.Accept(ctx, config.KindTeams, teams("in-outage"), teamsVersionIgnored)
+	err := c.Accept(ctx, config.KindTeams, teamsWithKey("in-outage"), anyTeamsVersion)
 	assert.Assert(t, err != nil, "a change was accepted without the platform")
 	c.Entries[0].Process.Kill()
 	assert.NilError(t, c.RestartEntry(ctx, c.Entries[0]))
 	assert.NilError(t, procs.AwaitReady(ctx, c.Entries[0].Operators))
-	inForce(ctx, t, c, "answer-lost", "in-outage")
+	awaitInForce(ctx, t, c, "answer-lost", "in-outage")
 
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{StaleVersions: 2}))
 	c.Entries[1].Process.Kill()
 	assert.NilError(t, c.RestartEntry(ctx, c.Entries[1]))
 	assert.NilError(t, procs.AwaitReady(ctx, c.Entries[1].Operators))
-	inForce(ctx, t, c, "answer-lost", last)
+	awaitInForce(ctx, t, c, "answer-lost", last)
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{}))
-	inForce(ctx, t, c, "answer-lost", last)
+	awaitInForce(ctx, t, c, "answer-lost", last)
 }
 
-// teamsVersionIgnored is a version for a change that cannot reach the platform.
-const teamsVersionIgnored = 1
+// anyTeamsVersion is the version in a change that never reaches the platform.
+const anyTeamsVersion = 1
--- a/itest/faults_test.go
+++ b/itest/faults_test.go
@@ -2,5 +2,5 @@
 
 import "github.com/siskinford/siskinford/lab/faultproxy"
 
-// cutBoth stops both directions of a proxy.
+// cutBoth drops all traffic of a proxy in both directions.
 var cutBoth = faultproxy.Faults{CutToTarget: true, CutToClient: true}
--- a/itest/keys_test.go
+++ b/itest/keys_test.go
@@ -15,8 +15,8 @@
 	"github.com/siskinford/siskinford/wire/keys"
 )
 
-// TestKeysRotateUnderLoad replaces the authority of a running fleet in three
-// steps while requests are sent, then lets all connections be made anew.
+// TestKeysRotateUnderLoad replaces the certificate authority of a running fleet in
+// three steps under load, then forces a reconnect with the new keys.
 func TestKeysRotateUnderLoad(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 1, KeyDir: t.TempDir(), EngineArgs: []string{"--step-time=1ms"}})
 	caller := newClient()
@@ -45,7 +45,7 @@
 		assert.NilError(t, write())
 		assert.NilError(t, c.Reload(ctx, "keys.reloaded", step+1))
 	}
-	// A broken file changes nothing.
+	// A malformed key file fails the reload and leaves the former keys in use.
 	file := filepath.Join(c.KeyDir(), "entry-entry-0.key")
 	assert.NilError(t, os.WriteFile(file, []byte("-----BEGIN broken"), 0o600))
 	c.Entries[0].Reload()
@@ -64,9 +64,9 @@
 	assert.Assert(t, strings.Contains(out, "entry-1"), out)
 }
 
-// TestFormerKeysAreRefused starts an entry with keys of an authority that the
-// rest of the fleet does not trust any more.
-func TestFormerKeysAreRefused(t *testing.T) {
+// TestOutdatedKeysAreRefused starts an entry with keys of a certificate authority
+// that the rest of the fleet no longer trusts.
+func TestOutdatedKeysAreRefused(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 1, KeyDir: t.TempDir(), NoProxy: true})
 	caller := newClient()
 	next, err := keys.NewAuthority(time.Hour)
--- a/itest/leaving_test.go
+++ b/itest/leaving_test.go
@@ -21,12 +21,12 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// quietRequests is the number of requests in a row of which none runs at an
-// endpoint that takes no new work.
-const quietRequests = 20
+// probeRequests is the number of consecutive requests that must not reach an
+// endpoint that accepts no new work.
+const probeRequests = 20
 
-// marked sends a reservation that is no action and carries a mark as witness.
-func (c *client) marked(ctx context.Context, e *procs.Entry, mark string) answer {
+// reserve sends a reservation without a key; the back end counts runs by its mark.
+func (c *client) reserve(ctx context.Context, e *procs.Entry, mark string) answer {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.URL+"/v1/services/"+procs.PlainService+"/reservations",
 		strings.NewReader(fmt.Sprintf(`{"id":%q}`, mark)))
 	if err != nil {
@@ -42,28 +42,28 @@
 	return answer{Status: response.StatusCode, Outcome: outcome.Outcome(response.Header.Get(outcome.Header))}
 }
 
-// leaving sends marked requests and watches where they run.
-type leaving struct {
-	cluster *procs.Cluster
-	caller  *client
-	sent    int
-	told    map[string]outcome.Outcome
+// traffic sends marked requests and records their outcomes by mark.
+type traffic struct {
+	cluster  *procs.Cluster
+	caller   *client
+	sent     int
+	outcomes map[string]outcome.Outcome
 }
 
 // send sends one request through the next entry.
-func (l *leaving) send(ctx context.Context, t *testing.T) answer {
+func (l *traffic) send(ctx context.Context, t *testing.T) answer {
 	t.Helper()
 	mark := fmt.Sprintf("mark-%d", l.sent)
 	e := l.cluster.Entries[l.sent%len(l.cluster.Entries)]
 	l.sent++
-	a := l.caller.marked(ctx, e, mark)
+	a := l.caller.reserve(ctx, e, mark)
 	assert.NilError(t, a.Err)
-	l.told[mark] = a.Outcome
+	l.outcomes[mark] = a.Outcome
 	return a
 }
 
-// known waits until every entry has logged an event, and goes on sending meanwhile.
-func (l *leaving) known(ctx context.Context, t *testing.T, event, field, value string) {
+// awaitLogged sends requests until every entry has logged an event.
+func (l *traffic) awaitLogged(ctx context.Context, t *testing.T, event, field, value string) {
 	t.Helper()
 	var waiting errgroup.Group
 	for _, e := range l.cluster.Entries {
@@ -77,25 +77,25 @@
 		select {
 		case err := <-done:
 			assert.NilError(t, err)
-			t.Logf("every entry knew %s of %s after %v", event, value, time.Since(begun))
+			t.Logf("every entry logged %s of %s after %v", event, value, time.Since(begun))
 			return
 		default:
 		}
 	}
 }
 
-// quiet checks that an endpoint starts none of the next requests.
-func (l *leaving) quiet(ctx context.Context, t *testing.T, e *procs.Endpoint, what string) {
+// assertNoNewWork checks that none of the next requests runs at an endpoint.
+func (l *traffic) assertNoNewWork(ctx context.Context, t *testing.T, e *procs.Endpoint, what string) {
 	t.Helper()
 	before := l.runsAt(ctx, t, e)
-	for range quietRequests {
+	for range probeRequests {
 		l.send(ctx, t)
 	}
 	assert.Equal(t, l.runsAt(ctx, t, e), before, "%s got new work", what)
 }
 
-// runsAt returns how many requests ran at an endpoint.
-func (l *leaving) runsAt(ctx context.Context, t *testing.T, e *procs.Endpoint) int {
+// runsAt returns the number of requests that ran at an endpoint.
+func (l *traffic) runsAt(ctx context.Context, t *testing.T, e *procs.Endpoint) int {
 	t.Helper()
 	total := 0
 	for _, n := range runsOf(ctx, t, e) {
@@ -104,12 +104,12 @@
 	return total
 }
 
-// TestLeavingEndpointsGetNoNewWork lets endpoints leave one after another: by
-// configuration, by the host list, frozen, and by a signal while the platform
-// is down. The back ends' counters are the witness.
+// TestLeavingEndpointsGetNoNewWork removes endpoints one after another: by draining,
+// by the host list, by a freeze, and by SIGTERM while the platform is down. Outcomes
+// are checked against the executions that the back ends counted.
 func TestLeavingEndpointsGetNoNewWork(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 2, Plains: 5})
-	l := &leaving{cluster: c, caller: newClient(), told: map[string]outcome.Outcome{}}
+	l := &traffic{cluster: c, caller: newClient(), outcomes: map[string]outcome.Outcome{}}
 
 	var endpoints config.EndpointSet
 	for _, e := range c.Endpoints {
@@ -122,26 +122,26 @@
 	_, err = c.Endpoints[0].Agent.AwaitEvent(ctx, "agent.draining")
 	assert.NilError(t, err)
 	drained := l.runsAt(ctx, t, c.Endpoints[0])
-	for range quietRequests {
+	for range probeRequests {
 		assert.Assert(t, l.send(ctx, t).Outcome != outcome.Unknown)
 	}
 	assert.Equal(t, l.runsAt(ctx, t, c.Endpoints[0]), drained, "a draining agent started a request")
 
 	assert.NilError(t, c.SetHosts(ctx, map[id.Host]bool{c.Endpoints[1].Config.Host: true}))
-	l.known(ctx, t, "host.leaving", "message", string(c.Endpoints[1].Config.Host))
-	l.quiet(ctx, t, c.Endpoints[1], "endpoint on a leaving host")
+	l.awaitLogged(ctx, t, "host.leaving", "message", string(c.Endpoints[1].Config.Host))
+	l.assertNoNewWork(ctx, t, c.Endpoints[1], "endpoint on a leaving host")
 
 	c.Endpoints[2].Agent.Freeze()
-	l.known(ctx, t, "endpoint.disconnected", "endpoint", string(c.Endpoints[2].Config.Name))
-	l.quiet(ctx, t, c.Endpoints[2], "frozen endpoint")
+	l.awaitLogged(ctx, t, "endpoint.disconnected", "endpoint", string(c.Endpoints[2].Config.Name))
+	l.assertNoNewWork(ctx, t, c.Endpoints[2], "frozen endpoint")
 
 	assert.NilError(t, c.SetPlatformFaults(ctx, platform.Faults{Outage: platform.OutageRefuse}))
 	code, err := c.Endpoints[3].Agent.Stop(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, code, process.ExitOK)
-	l.known(ctx, t, "endpoint.disconnected", "endpoint", string(c.Endpoints[3].Config.Name))
-	l.quiet(ctx, t, c.Endpoints[3], "stopped endpoint during an outage of the platform")
-	l.quiet(ctx, t, c.Endpoints[1], "endpoint on a leaving host during an outage")
+	l.awaitLogged(ctx, t, "endpoint.disconnected", "endpoint", string(c.Endpoints[3].Config.Name))
+	l.assertNoNewWork(ctx, t, c.Endpoints[3], "stopped endpoint during an outage of the platform")
+	l.assertNoNewWork(ctx, t, c.Endpoints[1], "endpoint on a leaving host during an outage")
 
 	c.Endpoints[2].Agent.Signal(syscall.SIGCONT)
 	ran := map[string]int{}
@@ -150,9 +150,9 @@
 			ran[mark] += n
 		}
 	}
-	for mark, told := range l.told {
+	for mark, reported := range l.outcomes {
 		assert.Check(t, ran[mark] <= 1, "%s ran %d times", mark, ran[mark])
-		assert.Check(t, told != outcome.NotRun || ran[mark] == 0, "%s was told not-run and ran", mark)
-		assert.Check(t, told != outcome.Ran || ran[mark] == 1, "%s was told ran and did not", mark)
+		assert.Check(t, reported != outcome.NotRun || ran[mark] == 0, "%s was reported not-run but ran", mark)
+		assert.Check(t, reported != outcome.Ran || ran[mark] == 1, "%s was reported ran but did not run", mark)
 	}
 }
--- a/itest/limits_test.go
+++ b/itest/limits_test.go
@@ -17,21 +17,20 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// limitedAnswer is the length of each answer in tokens.
-const limitedAnswer = 4
+const answerTokens = 4
 
-// usage counts the requests of one entry that were accepted and refused for the limit.
+// usage counts the requests to one entry that were accepted and rate-limited.
 type usage struct{ accepted, refused int }
 
-// TestLimitHoldsOverEntries sends more than a team's limit to both entries of a
-// zone and counts the tokens that were accepted.
+// TestLimitHoldsOverEntries verifies that a team's limit holds for the sum of two
+// entries of a zone that are both overloaded.
 func TestLimitHoldsOverEntries(t *testing.T) {
 	const (
 		limit  = 200.0 // tokens per second
 		period = 8 * time.Second
 		idle   = `siskinford_control_bytes_total{purpose="limits",direction="received"} 0`
 	)
-	work := float64(prefixhash.Words("user: "+prompt("m")) + limitedAnswer)
+	work := float64(prefixhash.Words("user: "+prompt("m")) + answerTokens)
 	ctx, c := cluster(t, procs.Options{
 		Entries: 2, Models: 2, EngineArgs: []string{"--step-time=1ms"},
 		EntryArgs: []string{"--limit-zones=1", "--limit-entries-per-zone=2"},
@@ -39,14 +38,14 @@
 	team := config.Team{Name: procs.Team, KeyHashes: []string{config.HashKey(procs.TeamKey)}, TokensPerSecond: limit}
 	assert.NilError(t, c.Accept(ctx, config.KindTeams, config.TeamSet{Teams: []config.Team{team}}, 1))
 	for _, e := range c.Entries {
-		assert.NilError(t, send(ctx, e, func(u usage) bool { return u.refused > 0 }, &usage{}))
+		assert.NilError(t, sendUntil(ctx, e, func(u usage) bool { return u.refused > 0 }, &usage{}))
 	}
 	used := make([]usage, len(c.Entries))
 	start := time.Now()
 	var all errgroup.Group
 	for i, e := range c.Entries {
 		all.Go(func() error {
-			return send(ctx, e, func(usage) bool { return time.Since(start) > period }, &used[i])
+			return sendUntil(ctx, e, func(usage) bool { return time.Since(start) > period }, &used[i])
 		})
 	}
 	assert.NilError(t, all.Wait())
@@ -54,9 +53,9 @@
 	total := 0.0
 	for i, u := range used {
 		t.Logf("entry %d: %d accepted, %d refused", i, u.accepted, u.refused)
-		assert.Assert(t, u.accepted > 0 && u.refused > 0, "both entries are at their limit")
+		assert.Assert(t, u.accepted > 0 && u.refused > 0, "an entry is below its limit")
 		total += float64(u.accepted) * work
-		assert.Assert(t, !strings.Contains(metricsOf(ctx, t, c.Entries[i]), idle), "the entries exchanged demands")
+		assert.Assert(t, !strings.Contains(metricsOf(ctx, t, c.Entries[i]), idle), "the entries exchanged no demands")
 	}
 	burst := limit + work*float64(len(c.Entries))
 	t.Logf("%.0f tokens accepted in %.1f s at a limit of %.0f per second", total, elapsed, limit)
@@ -66,13 +65,13 @@
 // sendInterval is the time between the requests to one entry.
 const sendInterval = 10 * time.Millisecond
 
-// send sends requests to one entry until done.
-func send(ctx context.Context, e *procs.Entry, done func(usage) bool, u *usage) error {
+// sendUntil sends requests to one entry until done and counts the answers in u.
+func sendUntil(ctx context.Context, e *procs.Entry, done func(usage) bool, u *usage) error {
 	caller := newClient()
 	ticker := time.NewTicker(sendInterval)
 	defer ticker.Stop()
 	for !done(*u) {
-		a := caller.chat(ctx, e, "m", limitedAnswer, false)
+		a := caller.chat(ctx, e, "m", answerTokens, false)
 		switch {
 		case a.Err != nil:
 			return a.Err
--- a/itest/once_test.go
+++ b/itest/once_test.go
@@ -29,13 +29,13 @@
 	}
 }
 
-// faultCase is a fault that strikes while an action runs.
+// faultCase is a fault that is injected while an action runs.
 type faultCase struct {
 	name   string
-	strike func(ctx context.Context, t *testing.T, c *procs.Cluster)
-	// heal ends the fault before the caller tries again. It may be nil.
+	inject func(ctx context.Context, t *testing.T, c *procs.Cluster)
+	// heal ends the fault 2 s after the injection. It may be nil.
 	heal func(ctx context.Context, t *testing.T, c *procs.Cluster)
-	// want is what the later tries must learn.
+	// want is the outcome that retries at another entry must reach.
 	want outcome.Outcome
 }
 
@@ -52,22 +52,22 @@
 	return []faultCase{
 		{
 			name:   "entry is killed",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) { c.Entries[0].Process.Kill() },
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) { c.Entries[0].Process.Kill() },
 			want:   outcome.Ran,
 		},
 		{
 			name:   "entry is frozen",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) { c.Entries[0].Process.Freeze() },
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) { c.Entries[0].Process.Freeze() },
 			want:   outcome.Ran,
 		},
 		{
 			name:   "connections to the agent go silent",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) { plainEndpoint(c).Proxy.SilenceExisting() },
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) { plainEndpoint(c).Proxy.SilenceExisting() },
 			want:   outcome.Ran,
 		},
 		{
 			name: "answers of the agent are cut off, then healed",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
 				plainEndpoint(c).Proxy.Set(faultproxy.Faults{CutToClient: true})
 			},
 			heal: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
@@ -77,14 +77,14 @@
 		},
 		{
 			name: "packets are lost, doubled and reordered",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
 				plainEndpoint(c).Proxy.Set(faultproxy.Faults{Loss: 0.1, Duplicate: 0.2, Reorder: 0.2})
 			},
 			want: outcome.Ran,
 		},
 		{
 			name: "agent is frozen, then thawed",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
 				plainEndpoint(c).Agent.Freeze()
 			},
 			heal: func(_ context.Context, _ *testing.T, c *procs.Cluster) { plainEndpoint(c).Agent.Thaw() },
@@ -92,7 +92,7 @@
 		},
 		{
 			name: "agent is killed and restarted",
-			strike: func(ctx context.Context, t *testing.T, c *procs.Cluster) {
+			inject: func(ctx context.Context, t *testing.T, c *procs.Cluster) {
 				plainEndpoint(c).Agent.Kill()
 				assert.NilError(t, c.RestartAgent(ctx, plainEndpoint(c)))
 			},
@@ -100,7 +100,7 @@
 		},
 		{
 			name: "platform is cut off",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
 				for _, e := range c.Entries {
 					e.Platform.Set(cutBoth)
 				}
@@ -109,7 +109,7 @@
 		},
 		{
 			name: "entry is killed and the connections of the other go silent",
-			strike: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
+			inject: func(_ context.Context, _ *testing.T, c *procs.Cluster) {
 				c.Entries[0].Process.Kill()
 				plainEndpoint(c).Proxy.SilenceExisting()
 			},
@@ -118,8 +118,8 @@
 	}
 }
 
-// tryUntil repeats an action at an entry until its outcome is the wanted one.
-func tryUntil(ctx context.Context, t *testing.T, caller *client, e *procs.Entry, key, body string, want outcome.Outcome) answer {
+// retryUntil repeats an action at an entry until its outcome is want.
+func retryUntil(ctx context.Context, t *testing.T, caller *client, e *procs.Entry, key, body string, want outcome.Outcome) answer {
 	t.Helper()
 	var last answer
 	await(ctx, t, fmt.Sprintf("outcome %q", want), func() bool {
@@ -129,8 +129,8 @@
 	return last
 }
 
-// TestActionRunsAtMostOnce strikes while a reservation runs and lets its caller
-// try again at another entry. The plain service's own counter is the witness.
+// TestActionRunsAtMostOnce injects a fault while a reservation runs and retries it at
+// another entry. The plain service must have counted one execution.
 func TestActionRunsAtMostOnce(t *testing.T) {
 	for _, tc := range actionFaults() {
 		t.Run(tc.name, func(t *testing.T) {
@@ -141,17 +141,17 @@
 			first := make(chan answer, 1)
 			go func() { first <- caller.plain(ctx, c.Entries[0], http.MethodPost, "/reservations", key, body) }()
 			await(ctx, t, "the action runs", func() bool { return runs(ctx, t, c)[key] > 0 })
-			tc.strike(ctx, t, c)
+			tc.inject(ctx, t, c)
 			if tc.heal != nil {
 				time.AfterFunc(2*time.Second, func() { tc.heal(ctx, t, c) })
 			}
-			last := tryUntil(ctx, t, caller, c.Entries[1], key, body, tc.want)
+			last := retryUntil(ctx, t, caller, c.Entries[1], key, body, tc.want)
 			if tc.want == outcome.Ran {
 				assert.Equal(t, last.Status, http.StatusCreated, "%s", last.Body)
 			}
 			c.Entries[0].Process.Thaw()
 			if a := <-first; a.Err == nil {
-				assert.Assert(t, a.Outcome != outcome.NotRun, "it ran: %s", a.Body)
+				assert.Assert(t, a.Outcome != outcome.NotRun, "the action ran but was reported not-run: %s", a.Body)
 			}
 			assert.Equal(t, runs(ctx, t, c)[key], 1)
 		})
--- a/itest/operate_test.go
+++ b/itest/operate_test.go
@@ -16,7 +16,7 @@
 	operateanswer "github.com/siskinford/siskinford/operate/answer"
 )
 
-// operate runs the operators' program and checks its exit code.
+// operate runs the operator CLI, checks its exit code and returns stdout and stderr.
 func operate(ctx context.Context, t *testing.T, c *procs.Cluster, e *procs.Entry, want int, args ...string) string {
 	t.Helper()
 	r, err := c.Operate(ctx, e, "", args...)
@@ -25,7 +25,6 @@
 	return r.Stdout + r.Stderr
 }
 
-// lines decodes JSON lines.
 func lines(t *testing.T, text string) []map[string]any {
 	t.Helper()
 	var out []map[string]any
@@ -37,7 +36,7 @@
 	return out
 }
 
-func TestOperatorAsksAndChanges(t *testing.T) {
+func TestOperatorQueriesAndChanges(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 1})
 	first, second := c.Entries[0], c.Entries[1]
 	await(ctx, t, "both entries answer", func() bool {
@@ -70,7 +69,7 @@
 	assert.Assert(t, strings.Contains(out, "no answer from entry-1"), out)
 }
 
-func TestFileOfCommandsIsAcceptedWholeOrNot(t *testing.T) {
+func TestCommandFileIsAcceptedAtomically(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 1, Models: 2, Plains: 1})
 	r, err := c.Operate(ctx, c.Entries[0], "drain endpoint asistente-0\nset endpoint asistente-1 weight 200\ndrain endpoint nobody\n", "query")
 	assert.NilError(t, err)
--- a/itest/pages_test.go
+++ b/itest/pages_test.go
@@ -16,13 +16,14 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// command is one command of a page and the texts that its output contains.
+// command is a shell command of a page and the texts that its output must contain.
 type command struct {
 	line string
 	want []string
 }
 
-// commands returns the commands of a page's blocks that begin with "# run".
+// commands returns the commands of a page's code blocks after a line "# run"; a line
+// "#= TEXT" after a command adds an expected text.
 func commands(t *testing.T, page string) []command {
 	t.Helper()
 	data, err := os.ReadFile(page)
@@ -49,7 +50,7 @@
 
 var assignment = regexp.MustCompile(`^([A-Z]+)=\$\((.*)\)$`)
 
-// shell runs the commands of a page with the variables that earlier ones set.
+// shell runs commands and keeps the variables that they assign by VAR=$(command).
 type shell struct{ env []string }
 
 func (s *shell) run(t *testing.T, line string) procs.Result {
@@ -69,12 +70,12 @@
 	return r
 }
 
-// asks matches commands that change nothing.
-var asks = regexp.MustCompile(`^siskinford (explain|timeline|query '(endpoints|configurations) )`)
+// readOnly matches commands that change nothing and are safe to repeat.
+var readOnly = regexp.MustCompile(`^siskinford (explain|timeline|query '(endpoints|configurations) )`)
 
-// follow runs a command. One that asks is repeated until its output is as the
-// page says; one that changes something runs once.
-func (s *shell) follow(ctx context.Context, t *testing.T, c command) {
+// check runs a command and fails the test if its output lacks an expected text.
+// Read-only commands are repeated until ctx ends.
+func (s *shell) check(ctx context.Context, t *testing.T, c command) {
 	t.Helper()
 	for {
 		r := s.run(t, c.line)
@@ -87,14 +88,14 @@
 		if missing == "" && r.Code == process.ExitOK {
 			return
 		}
-		if !asks.MatchString(c.line) || ctx.Err() != nil {
+		if !readOnly.MatchString(c.line) || ctx.Err() != nil {
 			t.Fatalf("%s\nexit code %d, %q is missing in:\n%s%s", c.line, r.Code, missing, r.Stdout, r.Stderr)
 		}
 		<-time.After(pollInterval)
 	}
 }
 
-// TestOperationsPage runs the commands of the operators' page.
+// TestOperationsPage runs the commands of docs/OPERATIONS.md.
 func TestOperationsPage(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 2, EngineArgs: []string{"--step-time=1ms"}})
 	ctx, cancel := context.WithTimeout(ctx, testTimeout/2)
@@ -109,6 +110,6 @@
 	all := commands(t, filepath.Join("..", "docs", "OPERATIONS.md"))
 	assert.Assert(t, len(all) >= 17, "%d commands", len(all))
 	for _, x := range all {
-		s.follow(ctx, t, x)
+		s.check(ctx, t, x)
 	}
 }
--- a/itest/path_test.go
+++ b/itest/path_test.go
@@ -1,5 +1,5 @@
-// Package itest holds integration tests that run the programs as real processes
-// behind a fault-injecting proxy.
+// Package itest holds integration tests that run the programs as separate processes
+// connected through fault-injecting proxies.
 package itest
 
 import (
@@ -40,7 +40,7 @@
 	return m.Run()
 }
 
-// cluster starts a fleet of processes that ends with the test.
+// cluster starts a fleet of processes that is stopped at the end of the test.
 func cluster(t *testing.T, o procs.Options) (context.Context, *procs.Cluster) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -67,12 +67,12 @@
 	}
 }
 
-// expectedText is the text that the engine stand-in generates for a mark.
+// expectedText returns the text that the engine stand-in generates for a mark.
 func expectedText(mark string, tokens int) string {
 	return engine.Answer("user: "+prompt(mark), tokens)
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequestsEndToEnd(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 1, EngineArgs: []string{"--step-time=1ms"}})
 	caller := newClient()
 	for i, e := range c.Entries {
@@ -81,7 +81,7 @@
 		assert.NilError(t, whole.Err)
 		assert.Equal(t, whole.Status, http.StatusOK, "%s", whole.Body)
 		assert.Equal(t, whole.Outcome, outcome.Ran)
-		text, err := wholeText(whole.Body)
+		text, err := completionText(whole.Body)
 		assert.NilError(t, err)
 		assert.Equal(t, text, expectedText(mark, 20))
 
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 1, Models: 1, Plains: 1})
 	caller := newClient()
 	e := c.Entries[0]
--- a/itest/ranks_measure_test.go
+++ b/itest/ranks_measure_test.go
@@ -16,11 +16,11 @@
 	"github.com/siskinford/siskinford/lab/ranks"
 )
 
-// measureWindow is the time of one measurement.
+// measureWindow is the duration of one measurement.
 const measureWindow = 10 * time.Second
 
-// traffic sums up a counter with a direction over all entries.
-func (w *groupWorld) traffic(name string) float64 {
+// counterSum returns the sum of a counter over its directions and all entries.
+func (w *groupCluster) counterSum(name string) float64 {
 	var sum float64
 	for _, e := range w.Entries {
 		response, err := http.Get(e.Operators + "/metrics")
@@ -40,36 +40,36 @@
 	return sum
 }
 
-// window is what one measurement saw.
+// window holds the increments of counters and the steps during one measurement.
 type window struct {
 	changes         int
 	messages, bytes float64
 	steps           []ranks.StepRecord
 }
 
-func (w *groupWorld) measure() window {
+func (w *groupCluster) measure() window {
 	before := w.summary()
-	messages, bytes := w.traffic("siskinford_group_messages_total"), w.traffic("siskinford_group_bytes_total")
-	w.until("window", timeout(measureWindow))
+	messages, bytes := w.counterSum("siskinford_group_messages_total"), w.counterSum("siskinford_group_bytes_total")
+	w.until("window", elapsed(measureWindow))
 	after := w.summary()
 	steps, err := w.Ranks.Steps(w.ctx)
 	assert.NilError(w.t, err)
 	return window{
 		changes:  len(after.Maps) - len(before.Maps),
-		messages: w.traffic("siskinford_group_messages_total") - messages,
-		bytes:    w.traffic("siskinford_group_bytes_total") - bytes,
+		messages: w.counterSum("siskinford_group_messages_total") - messages,
+		bytes:    w.counterSum("siskinford_group_bytes_total") - bytes,
 		steps:    steps[max(0, len(steps)-int(after.Steps-before.Steps)):],
 	}
 }
 
-func timeout(d time.Duration) func() bool {
+func elapsed(d time.Duration) func() bool {
 	end := time.Now().Add(d)
 	return func() bool { return time.Now().After(end) }
 }
 
-// slowed returns the median time of a step in microseconds and, for each change,
-// the time by which its slowest step exceeds the median.
-func (m window) slowed() (median int64, excess []int64) {
+// stepExcess returns the median duration of a step and, for each change, the excess
+// of its slowest step over the median, in microseconds.
+func (m window) stepExcess() (median int64, excess []int64) {
 	var times []int64
 	for i := range len(m.steps) - 1 {
 		times = append(times, m.steps[i+1].Begun-m.steps[i].Begun)
@@ -84,7 +84,7 @@
 	return median, excess
 }
 
-// skews returns the median and greatest skew of step times.
+// skews returns the median and the maximum skew of step times.
 func (m window) skews() (median, worst float64) {
 	var all []float64
 	for _, s := range m.steps {
@@ -94,8 +94,8 @@
 	return all[len(all)/2], all[len(all)-1]
 }
 
-// TestMeasureChanges prints the traffic of changes, the steps that they slow, and
-// the skew of step times with and without changes of the map.
+// TestMeasureChanges logs the traffic of map changes, the steps that they slow, and
+// the skew of step times with and without changes.
 func TestMeasureChanges(t *testing.T) {
 	if os.Getenv("RANKS_MEASURE") == "" {
 		t.Skip("measurement; set RANKS_MEASURE=1 to run it")
@@ -109,10 +109,10 @@
 		{"no drift", "0s", "500ms"}, {"drift, maps change", "2s", "500ms"}, {"drift, one map", "2s", "10m"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := startGroupWorld(t, append(shape, "--drift="+tt.drift), "--group-plan-interval="+tt.plan)
+			w := startGroupCluster(t, append(shape, "--drift="+tt.drift), "--group-plan-interval="+tt.plan)
 			w.awaitSteps(300)
 			m := w.measure()
-			median, excess := m.slowed()
+			median, excess := m.stepExcess()
 			skew, worst := m.skews()
 			t.Logf("%s: %d steps, %d changes, %.0f messages, %.0f bytes, step %d us, slowest step of each change +%v us, skew %.3f median %.3f worst",
 				procs.Group, len(m.steps), m.changes, m.messages, m.bytes, median, excess, skew, worst)
--- a/itest/ranks_test.go
+++ b/itest/ranks_test.go
@@ -18,27 +18,27 @@
 	"github.com/siskinford/siskinford/lab/ranks"
 )
 
-// rankPollInterval is the time between questions for a state that a test waits for.
+// rankPollInterval is the time between checks of a condition on the group.
 const rankPollInterval = 10 * time.Millisecond
 
-// groupWorld is a cluster with a group of six ranks on three agents.
-type groupWorld struct {
+// groupCluster is a cluster with one group of six ranks behind three agents.
+type groupCluster struct {
 	t   *testing.T
 	ctx context.Context
 	*procs.Cluster
 }
 
-// newGroupWorld starts a group whose map changes with the drift of the experts'
-// popularity, and waits for the first change. Args are for the engines.
-func newGroupWorld(t *testing.T, args ...string) *groupWorld {
+// newGroupCluster starts a group whose map changes as the popularity of experts
+// drifts, and waits for the first change. Args are flags of the engines.
+func newGroupCluster(t *testing.T, args ...string) *groupCluster {
 	t.Helper()
 	args = append([]string{"--jitter=3ms", "--drift=300ms"}, args...)
-	w := startGroupWorld(t, args, "--group-plan-interval=500ms")
+	w := startGroupCluster(t, args, "--group-plan-interval=500ms")
 	w.awaitChange()
 	return w
 }
 
-func startGroupWorld(t *testing.T, engineArgs []string, entryArgs ...string) *groupWorld {
+func startGroupCluster(t *testing.T, engineArgs []string, entryArgs ...string) *groupCluster {
 	t.Helper()
 	ctx, c := cluster(t, procs.Options{
 		Entries: 2, Models: 3,
@@ -49,11 +49,11 @@
 		EntryArgs: append([]string{"--group-tick=20ms", "--group-lease=2s", "--group-poll-interval=80ms"}, entryArgs...),
 		AgentArgs: []string{"--rank-tick=10ms", "--rank-load-interval=100ms", "--rank-engine-timeout=300ms"},
 	})
-	return &groupWorld{t: t, ctx: ctx, Cluster: c}
+	return &groupCluster{t: t, ctx: ctx, Cluster: c}
 }
 
-// until waits for a condition, for as long as the test may take.
-func (w *groupWorld) until(what string, done func() bool) {
+// until waits for a condition until the test times out.
+func (w *groupCluster) until(what string, done func() bool) {
 	w.t.Helper()
 	for !done() {
 		select {
@@ -64,9 +64,9 @@
 	}
 }
 
-// summary returns the state of the witness, and fails the test if a step was
+// summary returns the summary of the engines' steps. It fails the test if a step was
 // not run by all ranks on one map.
-func (w *groupWorld) summary() ranks.Summary {
+func (w *groupCluster) summary() ranks.Summary {
 	w.t.Helper()
 	s, err := w.Ranks.Summary(context.WithoutCancel(w.ctx))
 	assert.NilError(w.t, err)
@@ -75,21 +75,21 @@
 }
 
 // awaitChange waits until all ranks step on a map that was not in use before.
-func (w *groupWorld) awaitChange() {
+func (w *groupCluster) awaitChange() {
 	w.t.Helper()
 	before := w.summary().Maps
 	w.until("new map", func() bool { return len(w.summary().Maps) > len(before) })
 }
 
 // awaitSteps waits until the group has run more steps.
-func (w *groupWorld) awaitSteps(n uint64) {
+func (w *groupCluster) awaitSteps(n uint64) {
 	w.t.Helper()
 	before := w.summary().Steps
 	w.until("steps", func() bool { return w.summary().Steps >= before+n })
 }
 
-// gauge returns the value of a group's gauge at an entry, empty if it does not answer.
-func (w *groupWorld) gauge(e *procs.Entry, name string) string {
+// gauge returns the value of the group's gauge at an entry, empty if it does not answer.
+func (w *groupCluster) gauge(e *procs.Entry, name string) string {
 	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.Operators+"/metrics", nil)
@@ -109,8 +109,8 @@
 	return ""
 }
 
-// coordinators returns the entries that believe to coordinate the group.
-func (w *groupWorld) coordinators() []*procs.Entry {
+// coordinators returns the entries whose gauge says that they coordinate the group.
+func (w *groupCluster) coordinators() []*procs.Entry {
 	var out []*procs.Entry
 	for _, e := range w.Entries {
 		if w.gauge(e, "siskinford_group_coordinator") == "1" {
@@ -120,8 +120,8 @@
 	return out
 }
 
-// coordinator waits until one entry coordinates the group and returns it.
-func (w *groupWorld) coordinator() *procs.Entry {
+// coordinator waits until exactly one entry coordinates the group and returns it.
+func (w *groupCluster) coordinator() *procs.Entry {
 	w.t.Helper()
 	var found []*procs.Entry
 	w.until("one coordinator", func() bool {
@@ -131,8 +131,8 @@
 	return found[0]
 }
 
-// inChange waits until the coordinator has begun another change and returns it.
-func (w *groupWorld) inChange() *procs.Entry {
+// awaitChangeBegun waits until the coordinator begins another change of the map.
+func (w *groupCluster) awaitChangeBegun() *procs.Entry {
 	w.t.Helper()
 	e := w.coordinator()
 	count := func() int { return strings.Count(e.Process.Output(), "changing at epoch") }
@@ -141,8 +141,8 @@
 	return e
 }
 
-// awaitTakeover waits until a map of a later lease is in use.
-func (w *groupWorld) awaitTakeover(before lockstep.Version) {
+// awaitTakeover waits until a map of a later lease than that of before is in use.
+func (w *groupCluster) awaitTakeover(before lockstep.Version) {
 	w.t.Helper()
 	w.until("map of a later lease", func() bool {
 		return lockstep.Epoch(w.summary().MapVersion).Lease() > lockstep.Epoch(before).Lease()
@@ -153,17 +153,17 @@
 	tests := []struct {
 		name   string
 		engine []string
-		strike func(w *groupWorld)
+		inject func(w *groupCluster)
 	}{
-		{"coordinator killed in a change", nil, func(w *groupWorld) {
-			e := w.inChange()
+		{"coordinator killed in a change", nil, func(w *groupCluster) {
+			e := w.awaitChangeBegun()
 			before := w.summary().MapVersion
 			e.Process.Kill()
 			w.awaitTakeover(before)
 			assert.NilError(w.t, w.RestartEntry(w.ctx, e))
 		}},
-		{"coordinator paused past its lease, engines ignore fencing", nil, func(w *groupWorld) {
-			e := w.inChange()
+		{"coordinator paused past its lease, engines ignore fencing", nil, func(w *groupCluster) {
+			e := w.awaitChangeBegun()
 			before := w.summary().MapVersion
 			e.Process.Freeze()
 			w.awaitTakeover(before)
@@ -171,14 +171,14 @@
 			w.awaitChange()
 			assert.Assert(w.t, w.coordinator() != e)
 		}},
-		{"coordinator paused past its lease, engines check fencing", []string{"--fencing"}, func(w *groupWorld) {
-			e := w.inChange()
+		{"coordinator paused past its lease, engines check fencing", []string{"--fencing"}, func(w *groupCluster) {
+			e := w.awaitChangeBegun()
 			before := w.summary().MapVersion
 			e.Process.Freeze()
 			w.awaitTakeover(before)
 			e.Process.Thaw()
 		}},
-		{"agent frozen", nil, func(w *groupWorld) {
+		{"agent frozen", nil, func(w *groupCluster) {
 			agent := w.Endpoints[1].Agent
 			agent.Freeze()
 			w.until("two silent ranks", func() bool {
@@ -187,36 +187,36 @@
 			})
 			agent.Thaw()
 		}},
-		{"agent restarted in a change", nil, func(w *groupWorld) {
+		{"agent restarted in a change", nil, func(w *groupCluster) {
 			formation := w.summary().Formation
-			w.inChange()
+			w.awaitChangeBegun()
 			w.Endpoints[0].Agent.Kill()
 			assert.NilError(w.t, w.RestartAgent(w.ctx, w.Endpoints[0]))
 			w.until("new formation", func() bool { return w.summary().Formation > formation })
 		}},
-		{"engine restarted", nil, func(w *groupWorld) {
+		{"engine restarted", nil, func(w *groupCluster) {
 			formation := w.summary().Formation
 			assert.NilError(w.t, w.Ranks.Restart(w.ctx, 3))
 			w.until("new formation", func() bool { return w.summary().Formation > formation })
 		}},
-		{"engine stalled in a change", nil, func(w *groupWorld) {
-			w.inChange()
+		{"engine stalled in a change", nil, func(w *groupCluster) {
+			w.awaitChangeBegun()
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 5, ranks.Faults{Stall: true}))
 			w.until("a silent rank", func() bool {
 				return w.gauge(w.coordinator(), "siskinford_group_silent_ranks") == "1"
 			})
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 5, ranks.Faults{}))
 		}},
-		{"orders take effect late, engines check fencing", []string{"--fencing"}, func(w *groupWorld) {
+		{"orders take effect late, engines check fencing", []string{"--fencing"}, func(w *groupCluster) {
 			late := ranks.Faults{OrderDelay: 1200}
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 2, late))
 			w.awaitChange()
 			assert.NilError(w.t, w.Ranks.SetFaults(w.ctx, 2, ranks.Faults{}))
 		}},
-		{"agent's link silent", nil, func(w *groupWorld) {
+		{"agent's link silent", nil, func(w *groupCluster) {
 			w.Endpoints[2].Proxy.SilenceExisting()
 		}},
-		{"platform down, then an agent restarted", nil, func(w *groupWorld) {
+		{"platform down, then an agent restarted", nil, func(w *groupCluster) {
 			assert.NilError(w.t, w.SetPlatformFaults(w.ctx, labplatform.Faults{Outage: labplatform.OutageHang}))
 			w.until("no coordinator", func() bool { return len(w.coordinators()) == 0 })
 			w.Endpoints[1].Agent.Kill()
@@ -226,8 +226,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newGroupWorld(t, tt.engine...)
-			tt.strike(w)
+			w := newGroupCluster(t, tt.engine...)
+			tt.inject(w)
 			w.awaitChange()
 			w.awaitSteps(50)
 		})
@@ -235,12 +235,12 @@
 }
 
 // TestGroupRunsOnWithoutPlatform verifies that a group whose coordinator lost its
-// lease keeps its map and its steps, and changes again after the outage.
+// lease keeps running on its map, and that the map changes again after the outage.
 func TestGroupRunsOnWithoutPlatform(t *testing.T) {
-	w := newGroupWorld(t)
+	w := newGroupCluster(t)
 	assert.NilError(t, w.SetPlatformFaults(w.ctx, labplatform.Faults{Outage: labplatform.OutageRefuse}))
 	w.until("no coordinator", func() bool { return len(w.coordinators()) == 0 })
-	w.awaitSteps(200) // A change that was decided on takes hold in these.
+	w.awaitSteps(200) // a change under way takes effect within these steps
 	before := w.summary()
 	w.awaitSteps(100)
 	assert.DeepEqual(t, w.summary().Maps, before.Maps)
@@ -248,9 +248,9 @@
 	w.awaitChange()
 }
 
-// TestCoordinatorCutFromPlatform verifies that another entry takes over.
+// TestCoordinatorCutFromPlatform verifies that another entry takes over the lease.
 func TestCoordinatorCutFromPlatform(t *testing.T) {
-	w := newGroupWorld(t)
+	w := newGroupCluster(t)
 	e := w.coordinator()
 	before := w.summary().MapVersion
 	e.Platform.Set(cutBoth)
--- a/itest/shutdown_test.go
+++ b/itest/shutdown_test.go
@@ -14,8 +14,8 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// runningAction starts a reservation and waits until it runs.
-func runningAction(ctx context.Context, t *testing.T, c *procs.Cluster) (key string, reserved chan answer) {
+// startAction starts a reservation and waits until the plain service runs it.
+func startAction(ctx context.Context, t *testing.T, c *procs.Cluster) (key string, reserved chan answer) {
 	t.Helper()
 	caller := newClient()
 	key = caller.ticket(ctx, t, c.Entries[0])
@@ -27,8 +27,8 @@
 	return key, reserved
 }
 
-// TestShutdownCutsOffNothing stops an entry and an agent while streams and an
-// action run at both.
+// TestShutdownCutsOffNothing verifies that streams and an action in flight complete
+// when an entry and the agents receive SIGTERM.
 func TestShutdownCutsOffNothing(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{
 		Entries: 2, Models: 2, Plains: 1, EngineArgs: []string{"--step-time=10ms"}, PlainArgs: []string{"--delay=1s"},
@@ -40,12 +40,12 @@
 		reserved <- caller.plain(ctx, c.Entries[0], http.MethodPost, "/reservations", key, `{"id":"chest-7"}`)
 	}()
 	await(ctx, t, "the action runs", func() bool { return runs(ctx, t, c)[key] > 0 })
-	running := streams(ctx, c, "stop", 16)
+	running := startStreams(ctx, c, "stop", 16)
 	c.Endpoints[0].Agent.Signal(syscall.SIGTERM)
 	plainEndpoint(c).Agent.Signal(syscall.SIGTERM)
 	c.Entries[0].Process.Signal(syscall.SIGTERM)
 	for _, s := range running {
-		s.whole(t)
+		s.assertComplete(t)
 	}
 	a := <-reserved
 	assert.Equal(t, a.Outcome, outcome.Ran, "%v %s", a.Err, a.Body)
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestSecondSignalCutsOffHonestly ends the wait for requests in flight.
+// TestSecondSignalCutsOffHonestly verifies that requests cut off by a second SIGTERM
+// end visibly broken or with an unknown outcome.
 func TestSecondSignalCutsOffHonestly(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -72,8 +73,8 @@
 			ctx, c := cluster(t, procs.Options{
 				Entries: 1, Models: 1, Plains: 1, EngineArgs: []string{"--step-time=30ms"}, PlainArgs: []string{"--delay=30s"},
 			})
-			key, reserved := runningAction(ctx, t, c)
-			running := streams(ctx, c, "cut", 4)
+			key, reserved := startAction(ctx, t, c)
+			running := startStreams(ctx, c, "cut", 4)
 			for _, p := range tc.victim(c) {
 				p.Signal(syscall.SIGTERM)
 				_, err := p.AwaitEvent(ctx, "process.stopping")
--- a/itest/stream_test.go
+++ b/itest/stream_test.go
@@ -20,7 +20,7 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// liveStream is a streamed chat whose answer is being received.
+// liveStream is a streamed chat in progress.
 type liveStream struct {
 	mark string
 	// begun is closed at the first byte of the answer, or at the end.
@@ -31,7 +31,7 @@
 
 const streamTokens = 150
 
-// stream starts a streamed chat.
+// stream starts a streamed chat and retries it while it is refused as not run.
 func (c *client) stream(ctx context.Context, e *procs.Entry, mark string) *liveStream {
 	s := &liveStream{mark: mark, begun: make(chan struct{}), done: make(chan answer, 1)}
 	begun := sync.OnceFunc(func() { close(s.begun) })
@@ -39,7 +39,7 @@
 		defer begun()
 		a := c.receive(ctx, e, mark, begun)
 		for a.Status == http.StatusServiceUnavailable && a.Outcome == outcome.NotRun && ctx.Err() == nil {
-			<-time.After(pollInterval) // a busy machine delays load reports
+			<-time.After(pollInterval) // load reports are late on a busy machine
 			a = c.receive(ctx, e, mark, begun)
 		}
 		s.done <- a
@@ -47,7 +47,7 @@
 	return s
 }
 
-// receive calls begun with each part of the answer.
+// receive sends a streamed chat and calls begun after each read of a 200 answer.
 func (c *client) receive(ctx context.Context, e *procs.Entry, mark string, begun func()) answer {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.URL+"/v1/chat/completions",
 		strings.NewReader(chatBody(mark, streamTokens, true)))
@@ -79,8 +79,8 @@
 	return a
 }
 
-// streams starts streams at all entries in turn and waits until each has begun.
-func streams(ctx context.Context, c *procs.Cluster, name string, n int) []*liveStream {
+// startStreams starts n streams at the entries in turn and waits until all have begun.
+func startStreams(ctx context.Context, c *procs.Cluster, name string, n int) []*liveStream {
 	caller := newClient()
 	var out []*liveStream
 	for i := range n {
@@ -92,8 +92,8 @@
 	return out
 }
 
-// whole checks that a stream is complete and the one to its own request.
-func (s *liveStream) whole(t *testing.T) {
+// assertComplete checks that a stream is complete and answers its own request.
+func (s *liveStream) assertComplete(t *testing.T) {
 	t.Helper()
 	a := <-s.done
 	text, complete, err := streamedText(a.Body)
@@ -102,9 +102,9 @@
 	assert.Check(t, a.Outcome == outcome.Ran, "%s: outcome %q", s.mark, a.Outcome)
 }
 
-// wholeOrBroken checks that a stream is complete or ends visibly broken, and
-// reports which.
-func (s *liveStream) wholeOrBroken(t *testing.T) (broken bool) {
+// assertCompleteOrBroken checks that a stream is complete, or a prefix that ends with
+// a broken connection, and reports whether it broke.
+func (s *liveStream) assertCompleteOrBroken(t *testing.T) (broken bool) {
 	t.Helper()
 	a := <-s.done
 	text, complete, _ := streamedText(a.Body)
@@ -121,20 +121,20 @@
 
 func tail(body []byte) []byte { return body[max(0, len(body)-300):] }
 
-// started returns the number of attempts that the engines started.
-func started(ctx context.Context, t *testing.T, c *procs.Cluster) int {
+// attemptsStarted returns the number of attempts that all engines started.
+func attemptsStarted(ctx context.Context, t *testing.T, c *procs.Cluster) int {
 	t.Helper()
 	total := 0
 	for _, e := range c.Endpoints {
 		if e.Config.Service == procs.ModelService {
-			total += startedAt(ctx, t, e.BackendURL)
+			total += attemptsStartedAt(ctx, t, e.BackendURL)
 		}
 	}
 	return total
 }
 
-// startedAt returns the number of attempts that the engine at a URL started.
-func startedAt(ctx context.Context, t *testing.T, url string) int {
+// attemptsStartedAt returns the number of attempts that the engine at a URL started.
+func attemptsStartedAt(ctx context.Context, t *testing.T, url string) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/lab/runs", nil)
 	assert.NilError(t, err)
@@ -150,21 +150,21 @@
 	return total
 }
 
-// busiest starts streams and returns the model's endpoint that got most of them.
-// Routing prefers the endpoint that was faster lately, so that any one may get none.
-func busiest(ctx context.Context, t *testing.T, c *procs.Cluster, name string, n int) ([]*liveStream, *procs.Endpoint) {
+// startStreamsAndFindBusiest starts n streams and returns the endpoint that got most.
+// Routing prefers recently faster endpoints, so a given endpoint may receive none.
+func startStreamsAndFindBusiest(ctx context.Context, t *testing.T, c *procs.Cluster, name string, n int) ([]*liveStream, *procs.Endpoint) {
 	t.Helper()
 	before := make(map[*procs.Endpoint]int)
 	for _, e := range c.Endpoints {
 		if e.Config.Service == procs.ModelService {
-			before[e] = startedAt(ctx, t, e.BackendURL)
+			before[e] = attemptsStartedAt(ctx, t, e.BackendURL)
 		}
 	}
-	running := streams(ctx, c, name, n)
+	running := startStreams(ctx, c, name, n)
 	var best *procs.Endpoint
 	most := 0
 	for e, was := range before {
-		if got := startedAt(ctx, t, e.BackendURL) - was; got > most {
+		if got := attemptsStartedAt(ctx, t, e.BackendURL) - was; got > most {
 			best, most = e, got
 		}
 	}
@@ -172,9 +172,9 @@
 	return running, best
 }
 
-// TestStreamsAreWholeOrVisiblyBroken strikes while marked streams run. A lost
-// connection is replaced and the rest of the answer taken from the running
-// attempt; an engine or entry that dies breaks its streams visibly.
+// TestStreamsAreWholeOrVisiblyBroken injects faults while streams run. After a lost
+// connection the entry reattaches to the attempt and the stream completes; a killed
+// engine or entry breaks its streams visibly.
 func TestStreamsAreWholeOrVisiblyBroken(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 1, EngineArgs: []string{"--step-time=10ms"}})
 	set := func(f faultproxy.Faults) {
@@ -184,7 +184,7 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		strike func()
+		inject func()
 	}{
 		{"connections go silent", func() {
 			for _, e := range c.Endpoints {
@@ -198,35 +198,35 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			before := started(ctx, t, c)
-			running := streams(ctx, c, strings.ReplaceAll(tc.name, " ", "-"), 16)
-			tc.strike()
+			before := attemptsStarted(ctx, t, c)
+			running := startStreams(ctx, c, strings.ReplaceAll(tc.name, " ", "-"), 16)
+			tc.inject()
 			for _, s := range running {
-				s.whole(t)
+				s.assertComplete(t)
 			}
 			set(faultproxy.Faults{})
-			assert.Equal(t, started(ctx, t, c)-before, len(running), "each request ran once")
+			assert.Equal(t, attemptsStarted(ctx, t, c)-before, len(running), "each request ran once")
 		})
 	}
 	t.Run("engine dies", func(t *testing.T) {
-		running, victim := busiest(ctx, t, c, "engine", 16)
+		running, victim := startStreamsAndFindBusiest(ctx, t, c, "engine", 16)
 		victim.Backend.Kill()
 		broken := 0
 		for _, s := range running {
-			if s.wholeOrBroken(t) {
+			if s.assertCompleteOrBroken(t) {
 				broken++
 			}
 		}
 		assert.Assert(t, broken > 0, "no stream ran at the engine that died")
 	})
 	t.Run("entry dies", func(t *testing.T) {
-		running := streams(ctx, c, "entry", 8)
+		running := startStreams(ctx, c, "entry", 8)
 		c.Entries[0].Process.Kill()
 		for i, s := range running {
 			if i%2 == 0 {
-				s.wholeOrBroken(t)
+				s.assertCompleteOrBroken(t)
 			} else {
-				s.whole(t)
+				s.assertComplete(t)
 			}
 		}
 	})
--- a/itest/timeline_test.go
+++ b/itest/timeline_test.go
@@ -13,17 +13,17 @@
 	"github.com/siskinford/siskinford/lab/procs"
 )
 
-// withoutSpace returns text without the white space that depends on widths.
+// withoutSpace collapses white space, which depends on column widths.
 func withoutSpace(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-func TestTimelineOfOneRequestOverZones(t *testing.T) {
+func TestTimelineAcrossZones(t *testing.T) {
 	ctx, c := cluster(t, procs.Options{
 		Zones: []id.Zone{"lima-a", "lima-b"}, Entries: 2, Models: 1, Plains: 2,
 		EngineArgs: []string{"--step-time=1ms"}, EntryArgs: []string{"--debug"}, AgentArgs: []string{"--debug"},
 	})
 	caller := newClient()
 	first, second := c.Entries[0], c.Entries[1]
-	await(ctx, t, "the zones know each other", func() bool {
+	await(ctx, t, "both zones answer", func() bool {
 		return strings.Contains(operate(ctx, t, c, second, process.ExitOK, "query", "zones"), "from entry-0, entry-1")
 	})
 	a := caller.chat(ctx, first, "m", 5, false)
@@ -86,7 +86,7 @@
 	for _, path := range []string{"/metrics", "/readyz"} {
 		printed += string(caller.do(ctx, http.MethodGet, e.Operators+path, "", "").Body)
 	}
-	assert.Assert(t, strings.Contains(printed, "attempt.started"), "the debug log was read")
+	assert.Assert(t, strings.Contains(printed, "attempt.started"), "the output lacks the debug log")
 	for _, secret := range secrets {
 		if at := strings.Index(printed, secret); at >= 0 {
 			t.Errorf("a secret is shown in %q", printed[max(0, at-200):at])
