--- a/cmd/internal/platformflags/platformflags.go
+++ b/cmd/internal/platformflags/platformflags.go
@@ -45,7 +45,7 @@
 
 // Settings are the program's own settings.
 type Settings struct {
-	Run run.Own
+	Run run.Options
 	Log LogMode
 	// LogLines bounds the lines per second below level warn if Log is LogBounded.
 	LogLines int
@@ -63,7 +63,7 @@
 	set := settings.New(ProgramName)
 	set.Int(&s.Run.MetricsPort, "metrics-port", "port", "Port of an additional listener for metrics, 0 for none")
 	set.Bool(&s.Run.BindSource, "bind-source", "Open connections from the host's own address, for hosts with several")
-	set.String(&s.Run.Advertised, "advertise", "Address (ip:port) that other entries connect to, if it is not the listen address")
+	set.String(&s.Run.AdvertiseAddress, "advertise", "Address (ip:port) that other entries connect to, if it is not the listen address")
 	settings.Text(set, &s.Log, "log", "How much is logged: full, bounded or off")
 	set.Int(&s.LogLines, "log-lines", "lines per second", "Limit of lines below level warn in mode bounded")
 	set.Int(&s.GCPercent, "gc-percent", "percent", "Heap growth that triggers a garbage collection")
@@ -76,8 +76,8 @@
 	if s.Run.MetricsPort < 0 || s.Run.MetricsPort > maxPort {
 		l.Addf("metrics-port", "%d is not a port", s.Run.MetricsPort)
 	}
-	if _, err := netip.ParseAddrPort(s.Run.Advertised); err != nil && s.Run.Advertised != "" {
-		l.Addf("advertise", "%q is not ip:port", s.Run.Advertised)
+	if _, err := netip.ParseAddrPort(s.Run.AdvertiseAddress); err != nil && s.Run.AdvertiseAddress != "" {
+		l.Addf("advertise", "%q is not ip:port", s.Run.AdvertiseAddress)
 	}
 	switch s.Log {
 	case LogFull, LogBounded, LogOff:
--- a/cmd/siskinford-platform/main.go
+++ b/cmd/siskinford-platform/main.go
@@ -46,10 +46,10 @@
 }
 
 func serve(s settings.Settings, flags *platformflags.Settings, log *process.BoundedLog, set *metrics.Set) int {
-	e, err := run.Edge(s, flags.Run, log.Logger, set)
+	e, err := run.NewEdge(s, flags.Run, log.Logger, set)
 	if err != nil {
 		log.Error().Err(err).Str("event", "process.failed").Msg("start failed")
 		return process.ExitFailure
 	}
-	return process.Run(e, log.Logger, s.Grace)
+	return process.Run(e, log.Logger, s.TerminationGrace)
 }
--- a/entry/direct/handler.go
+++ b/entry/direct/handler.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
-	"github.com/siskinford/siskinford/balance/intake"
 	"github.com/siskinford/siskinford/balance/retry"
+	"github.com/siskinford/siskinford/balance/scheduler"
 	"github.com/siskinford/siskinford/core/id"
 	"github.com/siskinford/siskinford/entry/routes"
 )
@@ -65,7 +65,7 @@
 		} else {
 			s.configure(c)
 		}
-		s.setBackends(h.directory.Service(c.Name))
+		s.setBackends(h.directory.Backends(c.Name))
 		next[c.Name] = s
 	}
 	h.services = next
@@ -81,7 +81,7 @@
 	defer h.mu.Unlock()
 	h.directory.Set(list)
 	for name, s := range h.services {
-		s.setBackends(h.directory.Service(name))
+		s.setBackends(h.directory.Backends(name))
 	}
 }
 
@@ -245,12 +245,12 @@
 }
 
 // queued returns a callback that logs that the request has to wait.
-func (h *Handler) queued(q *request) func(intake.Occupancy) {
-	return func(s intake.Occupancy) { h.requestLog.queued(q, s) }
+func (h *Handler) queued(q *request) func(scheduler.Occupancy) {
+	return func(s scheduler.Occupancy) { h.requestLog.queued(q, s) }
 }
 
-// intakeRequest describes the request to the scheduler.
-func (q *request) intakeRequest() intake.Request {
+// schedulerRequest describes the request to the scheduler.
+func (q *request) schedulerRequest() scheduler.Request {
 	target := q.route.TargetLatency
 	if target <= 0 {
 		target = defaultTarget
@@ -260,7 +260,7 @@
 	if q.route.Kind == routes.Streaming {
 		silence = q.began.Add(maxSilence(q.route)).Sub(base)
 	}
-	return intake.Request{
+	return scheduler.Request{
 		Arrival: q.began.Sub(base), Target: q.began.Add(target).Sub(base), Deadline: q.deadline.Sub(base), FirstEventDeadline: silence,
 		Priority: q.priority(), PromptTokens: q.info.PromptTokens, Exclude: q.excluded,
 	}
--- a/itest/histories/histories_test.go
+++ b/itest/histories/histories_test.go
@@ -189,7 +189,7 @@
 		e := w.endpoints[c.intN(len(w.endpoints))]
 		switch c.intN(14) {
 		case 0, 1:
-			e.proxy.SilenceExisting()
+			e.proxy.BlackholeExisting()
 		case 2:
 			e.proxy.Set(faultproxy.Faults{CutToClient: true})
 		case 3:
--- a/itest/stream_test.go
+++ b/itest/stream_test.go
@@ -141,7 +141,7 @@
 	response, err := http.DefaultClient.Do(request)
 	assert.NilError(t, err)
 	defer response.Body.Close()
-	var runs map[string]engine.Run
+	var runs map[string]engine.AttemptStats
 	assert.NilError(t, json.NewDecoder(response.Body).Decode(&runs))
 	total := 0
 	for _, run := range runs {
@@ -176,7 +176,7 @@
 // connection the entry reattaches to the attempt and the stream completes; a killed
 // engine or entry breaks its streams visibly.
 func TestStreamsAreWholeOrVisiblyBroken(t *testing.T) {
-	ctx, c := cluster(t, procs.Options{Entries: 2, Models: 2, Plains: 1, EngineArgs: []string{"--step-time=10ms"}})
+	ctx, c := cluster(t, procs.Options{Entries: 2, ModelEndpoints: 2, PlainEndpoints: 1, EngineArgs: []string{"--step-time=10ms"}})
 	set := func(f faultproxy.Faults) {
 		for _, e := range c.Endpoints {
 			e.Proxy.Set(f)
@@ -188,7 +188,7 @@
 	}{
 		{"connections go silent", func() {
 			for _, e := range c.Endpoints {
-				e.Proxy.SilenceExisting()
+				e.Proxy.BlackholeExisting()
 			}
 		}},
 		{"packets are lost, doubled and reordered", func() { set(faultproxy.Faults{Loss: 0.05, Duplicate: 0.2, Reorder: 0.2}) }},
