--- a/wire/relay/messages.go
+++ b/wire/relay/messages.go
@@ -44,7 +44,7 @@
 type Layout struct {
 	Epoch   uint64 `json:"epoch"`
 	Version uint64 `json:"version"`
-	// Experts is indexed by set.
+	// Experts is indexed by layer set.
 	Experts [][]int `json:"experts"`
 }
 
@@ -60,7 +60,7 @@
 	Size int `json:"size"`
 	// Open is false while a rank of the group is missing.
 	Open bool `json:"open"`
-	// Step is the last step that began.
+	// Step is the last step that began, a joint pass of all ranks.
 	Step uint64 `json:"step"`
 	// MapVersion is the version of the expert map in use, zero for the initial one.
 	MapVersion uint64 `json:"map"`
@@ -73,8 +73,8 @@
 	// Waiting and Running count requests.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Pace is the slowdown of the rank, one at full speed.
-	Pace float64 `json:"pace"`
+	// Slowdown is the step time relative to the usual one, one at full speed.
+	Slowdown float64 `json:"pace"`
 }
 
 // Sample counts the tokens routed to the experts of a rank between two steps.
@@ -94,7 +94,7 @@
 const (
 	// Prepare copies the weights that a map needs.
 	Prepare Op = "prepare"
-	// Arm switches the rank to a prepared map at a step.
+	// Arm schedules the switch to a prepared map at a step.
 	Arm Op = "arm"
 	// Disarm cancels Arm.
 	Disarm Op = "disarm"
