--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -171,14 +171,14 @@
 	if len(requested) == 0 {
 		return
 	}
-	a, err := l.call(ctx, leader, r)
+	resp, err := l.call(ctx, leader, r)
 	if err != nil {
 		l.deps.Metrics.GetOrCreateCounter(zoneFailures).Inc()
 		return
 	}
 	now = l.config.Now()
 	for i, t := range requested {
-		if g, ok := a.grant(i, r.Seqs[i]); ok {
+		if g, ok := resp.grant(i, r.Seqs[i]); ok {
 			t.share.Apply(g, now)
 		}
 	}
@@ -200,16 +200,16 @@
 	}
 	s := &l.shards[shard]
 	address := l.fleetAddress(s)
-	a, err := l.call(ctx, address, r)
-	if err != nil || a.Redirect != "" || len(a.Rates) == 0 {
+	resp, err := l.call(ctx, address, r)
+	if err != nil || resp.Redirect != "" || len(resp.Rates) == 0 {
 		l.deps.Metrics.GetOrCreateCounter(fleetFailures).Inc()
-		s.updateHint(a, address)
+		s.updateHint(resp, address)
 		return
 	}
 	s.setHint(address)
 	now = l.config.Now()
 	for i, t := range requested {
-		if g, ok := a.grant(i, r.Seqs[i]); ok {
+		if g, ok := resp.grant(i, r.Seqs[i]); ok {
 			t.zoneAllocator.Apply(g, now)
 		}
 	}
@@ -247,13 +247,13 @@
 	s.hintAddress = address
 }
 
-// updateHint follows the redirect of an answer without grants, or moves on to the
+// updateHint follows the redirect of a response without grants, or moves on to the
 // next address.
-func (s *shard) updateHint(a *answer, address string) {
+func (s *shard) updateHint(resp *response, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a != nil && a.Redirect != "" && a.Redirect != address {
-		s.hintAddress = a.Redirect
+	if resp != nil && resp.Redirect != "" && resp.Redirect != address {
+		s.hintAddress = resp.Redirect
 		return
 	}
 	s.hintAddress = ""
@@ -261,12 +261,12 @@
 }
 
 // call sends a request. A request to this entry itself is handled without a call.
-func (l *Limiter) call(ctx context.Context, address string, r *request) (*answer, error) {
+func (l *Limiter) call(ctx context.Context, address string, r *request) (*response, error) {
 	if address == "" {
 		return nil, fmt.Errorf("no known address to request grants for shard %d", r.Shard)
 	}
 	if address == l.deps.Members.Self().Address {
-		return validated(l.answer(r), r)
+		return validated(l.respond(r), r)
 	}
 	payload, err := codec.Marshal(r)
 	if err != nil {
@@ -278,17 +278,17 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &answer{}
-	if err := codec.Unmarshal(reply, a); err != nil {
+	resp := &response{}
+	if err := codec.Unmarshal(reply, resp); err != nil {
 		return nil, err
 	}
-	return validated(a, r)
+	return validated(resp, r)
 }
 
-// validated returns an error unless an answer has a redirect or a rate for each team.
-func validated(a *answer, r *request) (*answer, error) {
-	if a.Redirect == "" && len(a.Rates) != len(r.Teams) {
-		return nil, fmt.Errorf("answer has %d rates for %d teams", len(a.Rates), len(r.Teams))
+// validated returns an error unless a response has a redirect or a rate for each team.
+func validated(resp *response, r *request) (*response, error) {
+	if resp.Redirect == "" && len(resp.Rates) != len(r.Teams) {
+		return nil, fmt.Errorf("response has %d rates for %d teams", len(resp.Rates), len(r.Teams))
 	}
-	return a, nil
+	return resp, nil
 }
--- a/entry/limits/fleet_test.go
+++ b/entry/limits/fleet_test.go
@@ -52,7 +52,7 @@
 	from, to string
 	level    level
 	shard    uint8
-	answer   bool
+	response bool
 }
 
 // node is one entry. It implements Members, transport.Caller and objectapi.Store.
@@ -204,13 +204,13 @@
 		return nil, errLost
 	}
 	to.count(len(payload), 0)
-	answer, err := to.limits.Handle(ctx, payload)
-	to.count(len(answer), 0)
+	response, err := to.limits.Handle(ctx, payload)
+	to.count(len(response), 0)
 	if !n.fleet.delivers(n, to, payload, true) {
 		return nil, errLost
 	}
-	n.count(len(answer), 0)
-	return answer, err
+	n.count(len(response), 0)
+	return response, err
 }
 
 func (n *node) count(bytes, calls int) {
@@ -220,7 +220,7 @@
 	n.calls += calls
 }
 
-func (f *testFleet) delivers(from, to *node, payload []byte, answer bool) bool {
+func (f *testFleet) delivers(from, to *node, payload []byte, response bool) bool {
 	if f.partition != nil && f.partition(from, to) {
 		return false
 	}
@@ -228,7 +228,7 @@
 	if codec.Unmarshal(payload, &r) != nil {
 		return false
 	}
-	l := linkKey{from.peer.Address, to.peer.Address, r.Level, r.Shard, answer}
+	l := linkKey{from.peer.Address, to.peer.Address, r.Level, r.Shard, response}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sent[l]++
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -60,7 +60,7 @@
 	return epoch, true
 }
 
-// Handle answers the demands of an entry of the zone or of another zone's leader.
+// Handle responds to the demands of an entry of the zone or of another zone's leader.
 // It is a transport.Handler and does not block.
 func (l *Limiter) Handle(_ context.Context, payload []byte) ([]byte, error) {
 	var r request
@@ -70,61 +70,61 @@
 	if !r.valid() {
 		return nil, fmt.Errorf("demands of %d teams in shard %d are incomplete", len(r.Teams), r.Shard)
 	}
-	return codec.Marshal(l.answer(&r))
+	return codec.Marshal(l.respond(&r))
 }
 
-func (l *Limiter) answer(r *request) *answer {
+func (l *Limiter) respond(r *request) *response {
 	switch r.Level {
 	case zoneLevel:
 		return l.allocateZone(r)
 	case fleetLevel:
 		return l.allocateFleet(r)
 	}
-	return &answer{}
+	return &response{}
 }
 
 // allocateZone divides the zone's grants between its entries. Two leaders at the same
 // time are safe, as each divides its own grants only.
-func (l *Limiter) allocateZone(r *request) *answer {
+func (l *Limiter) allocateZone(r *request) *response {
 	now := l.config.Now()
 	teams := l.teams.Load()
-	a := &answer{}
+	resp := &response{}
 	for i, k := range r.Teams {
 		t := teams.lookup(k, r.Shard)
 		if t == nil {
-			a.add(limit.Grant{}, false)
+			resp.add(limit.Grant{}, false)
 			continue
 		}
-		a.add(t.zoneAllocator.Grant(r.Node, r.demand(i), now))
+		resp.add(t.zoneAllocator.Grant(r.Node, r.demand(i), now))
 	}
-	return a
+	return resp
 }
 
 // allocateFleet divides the limits between zones if this entry may issue grants, and
 // otherwise returns a redirect.
-func (l *Limiter) allocateFleet(r *request) *answer {
+func (l *Limiter) allocateFleet(r *request) *response {
 	s := &l.shards[r.Shard]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := l.config.Now()
 	epoch, ok := s.grantEpoch(now)
 	if !ok {
-		return &answer{Redirect: l.redirectAddress(int(r.Shard))}
+		return &response{Redirect: l.redirectAddress(int(r.Shard))}
 	}
 	teams := l.teams.Load()
 	until := s.lease.ValidUntil()
-	a := &answer{}
+	resp := &response{}
 	for i, k := range r.Teams {
 		t := teams.lookup(k, r.Shard)
 		if t == nil {
-			a.add(limit.Grant{}, false)
+			resp.add(limit.Grant{}, false)
 			continue
 		}
 		rate := t.limit * (1 - l.config.FloorFraction)
 		t.fleetAllocator.SetPool(limit.Pool{Generation: epoch, Rate: rate, Until: until})
-		a.add(t.fleetAllocator.Grant(r.Node, r.demand(i), now))
+		resp.add(t.fleetAllocator.Grant(r.Node, r.demand(i), now))
 	}
-	return a
+	return resp
 }
 
 // redirectAddress returns the address of an entry that may hold the lease: the one
--- a/entry/limits/message.go
+++ b/entry/limits/message.go
@@ -32,8 +32,8 @@
 	Rates []float32
 }
 
-// answer carries the grants for the teams of a request in the same order.
-type answer struct {
+// response carries the grants for the teams of a request in the same order.
+type response struct {
 	_          struct{} `cbor:",toarray"`
 	Generation uint64
 	// TTL is in milliseconds and applies to all grants.
@@ -45,7 +45,7 @@
 	Redirect string
 }
 
-// noGrant is the value in answer.Rates for a team without a grant.
+// noGrant is the value in response.Rates for a team without a grant.
 const noGrant = -1
 
 // maxLag is the greatest value of an element of request.Lags.
@@ -79,24 +79,24 @@
 }
 
 // add appends the grant of one team. The shortest TTL applies to all.
-func (a *answer) add(g limit.Grant, ok bool) {
+func (resp *response) add(g limit.Grant, ok bool) {
 	if !ok {
-		a.Rates = append(a.Rates, noGrant)
+		resp.Rates = append(resp.Rates, noGrant)
 		return
 	}
 	ttl := g.TTL.Milliseconds()
-	if a.TTL == 0 || ttl < a.TTL {
-		a.TTL = ttl
+	if resp.TTL == 0 || ttl < resp.TTL {
+		resp.TTL = ttl
 	}
-	a.Generation = g.Generation
-	a.Rates = append(a.Rates, float32(g.Rate))
+	resp.Generation = g.Generation
+	resp.Rates = append(resp.Rates, float32(g.Rate))
 }
 
 // grant returns the grant of a team by its position.
-func (a *answer) grant(i int, seq uint64) (limit.Grant, bool) {
-	if a.Rates[i] < 0 {
+func (resp *response) grant(i int, seq uint64) (limit.Grant, bool) {
+	if resp.Rates[i] < 0 {
 		return limit.Grant{}, false
 	}
-	ttl := time.Duration(a.TTL) * time.Millisecond
-	return limit.Grant{Generation: a.Generation, Seq: seq, Rate: float64(a.Rates[i]), TTL: ttl}, true
+	ttl := time.Duration(resp.TTL) * time.Millisecond
+	return limit.Grant{Generation: resp.Generation, Seq: seq, Rate: float64(resp.Rates[i]), TTL: ttl}, true
 }
