--- a/entry/limits/exchange.go
+++ b/entry/limits/exchange.go
@@ -161,24 +161,24 @@
 func (l *Limiter) exchangeZone(ctx context.Context, shard int, leader string) {
 	now := l.config.Now()
 	r := &request{Level: zoneLevel, Shard: uint8(shard), Node: l.node}
-	var asked []*team
+	var requested []*team
 	for _, t := range l.teams.Load().byShard[shard] {
 		if !t.keyCollision && !t.share.Idle(now) {
 			r.add(t.key, t.share.NextDemand(now))
-			asked = append(asked, t)
+			requested = append(requested, t)
 		}
 	}
-	if len(asked) == 0 {
+	if len(requested) == 0 {
 		return
 	}
-	a, err := l.call(ctx, leader, r)
+	resp, err := l.call(ctx, leader, r)
 	if err != nil {
 		l.deps.Metrics.GetOrCreateCounter(zoneFailures).Inc()
 		return
 	}
 	now = l.config.Now()
-	for i, t := range asked {
-		if g, ok := a.grant(i, r.Seqs[i]); ok {
+	for i, t := range requested {
+		if g, ok := resp.grant(i, r.Seqs[i]); ok {
 			t.share.Apply(g, now)
 		}
 	}
@@ -188,28 +188,28 @@
 func (l *Limiter) exchangeFleet(ctx context.Context, shard int) {
 	now := l.config.Now()
 	r := &request{Level: fleetLevel, Shard: uint8(shard), Node: l.node}
-	var asked []*team
+	var requested []*team
 	for _, t := range l.teams.Load().byShard[shard] {
 		if !t.keyCollision && !t.zoneAllocator.Idle(now) {
 			r.add(t.key, t.zoneAllocator.NextDemand(now))
-			asked = append(asked, t)
+			requested = append(requested, t)
 		}
 	}
-	if len(asked) == 0 {
+	if len(requested) == 0 {
 		return
 	}
 	s := &l.shards[shard]
 	address := l.fleetAddress(s)
-	a, err := l.call(ctx, address, r)
-	if err != nil || a.Redirect != "" || len(a.Rates) == 0 {
+	resp, err := l.call(ctx, address, r)
+	if err != nil || resp.Redirect != "" || len(resp.Rates) == 0 {
 		l.deps.Metrics.GetOrCreateCounter(fleetFailures).Inc()
-		s.updateHint(a, address)
+		s.updateHint(resp, address)
 		return
 	}
 	s.setHint(address)
 	now = l.config.Now()
-	for i, t := range asked {
-		if g, ok := a.grant(i, r.Seqs[i]); ok {
+	for i, t := range requested {
+		if g, ok := resp.grant(i, r.Seqs[i]); ok {
 			t.zoneAllocator.Apply(g, now)
 		}
 	}
@@ -247,13 +247,13 @@
 	s.hintAddress = address
 }
 
-// updateHint follows the redirect of an answer without grants, or moves on to the
+// updateHint follows the redirect of a response without grants, or moves on to the
 // next address.
-func (s *shard) updateHint(a *answer, asked string) {
+func (s *shard) updateHint(resp *response, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a != nil && a.Redirect != "" && a.Redirect != asked {
-		s.hintAddress = a.Redirect
+	if resp != nil && resp.Redirect != "" && resp.Redirect != address {
+		s.hintAddress = resp.Redirect
 		return
 	}
 	s.hintAddress = ""
@@ -261,12 +261,12 @@
 }
 
 // call sends a request. A request to this entry itself is handled without a call.
-func (l *Limiter) call(ctx context.Context, address string, r *request) (*answer, error) {
+func (l *Limiter) call(ctx context.Context, address string, r *request) (*response, error) {
 	if address == "" {
 		return nil, fmt.Errorf("no known address to request grants for shard %d", r.Shard)
 	}
 	if address == l.deps.Members.Self().Address {
-		return validated(l.answer(r), r)
+		return validated(l.respond(r), r)
 	}
 	payload, err := codec.Marshal(r)
 	if err != nil {
@@ -278,17 +278,17 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &answer{}
-	if err := codec.Unmarshal(reply, a); err != nil {
+	resp := &response{}
+	if err := codec.Unmarshal(reply, resp); err != nil {
 		return nil, err
 	}
-	return validated(a, r)
+	return validated(resp, r)
 }
 
-// validated returns an error unless an answer has a redirect or a rate for each team.
-func validated(a *answer, r *request) (*answer, error) {
-	if a.Redirect == "" && len(a.Rates) != len(r.Teams) {
-		return nil, fmt.Errorf("answer has %d rates for %d teams", len(a.Rates), len(r.Teams))
+// validated returns an error unless a response has a redirect or a rate for each team.
+func validated(resp *response, r *request) (*response, error) {
+	if resp.Redirect == "" && len(resp.Rates) != len(r.Teams) {
+		return nil, fmt.Errorf("response has %d rates for %d teams", len(resp.Rates), len(r.Teams))
 	}
-	return a, nil
+	return resp, nil
 }
