--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -62,7 +62,7 @@
 
 // checkReply checks a reply against the request's runs and the expected content.
 func (r *run) checkReply(x *exchange) {
-	runs := r.site.Ledger().Count(x.ID)
+	runs := r.site.Executions().Count(x.ID)
 	fail := func(promise, format string, args ...any) {
 		r.record.addViolation(Violation{
 			Promise: promise, At: x.End, Request: x.ID,
@@ -120,7 +120,7 @@
 
 // checkRuns checks how often a request ran, including runs after its answer.
 func (r *run) checkRuns(x *exchange) {
-	runs := r.site.Ledger().Count(x.ID)
+	runs := r.site.Executions().Count(x.ID)
 	if x.Kind == Issue && runs > 1 {
 		r.record.addViolationLocked(Violation{Promise: promiseOnce, At: x.Start, Request: x.ID, Detail: fmt.Sprintf("it ran %d times", runs)})
 	}
--- a/lab/soak/site.go
+++ b/lab/soak/site.go
@@ -145,7 +145,7 @@
 	Remove(plain int)
 	Replace(plain int, other bool) error
 	Group() *replicas.Group
-	Ledger() *replicas.ExecutionCounter
+	Executions() *replicas.ExecutionCounter
 	// OnArrival sets a callback for each request at a back end, with the entry that sent it.
 	OnArrival(func(a faults.Arrival, entry int))
 	// LastWriter returns the entry that last wrote to the platform, or -1.
