--- a/entry/routes/config.go
+++ b/entry/routes/config.go
@@ -98,7 +98,7 @@
 	PrefillTimePerMillionPairs time.Duration
 	// PrefillChunkTokens bounds the prompt tokens processed in a step.
 	PrefillChunkTokens int
-	// StepsPerPass is the number of steps in a pass that generates.
+	// StepsPerPass is the number of token steps in a pass that generates; relay.State.Step counts passes.
 	StepsPerPass int
 	// MeanPromptTokens and MeanAnswerTokens are the usual lengths of a request.
 	MeanPromptTokens, MeanAnswerTokens float64
--- a/itest/group/engine_test.go
+++ b/itest/group/engine_test.go
@@ -15,7 +15,7 @@
 
 var (
 	errStalled        = errors.New("engine does not answer")
-	errFenced         = errors.New("order has an outdated fencing number")
+	errFenced         = errors.New("order has an outdated fencing token")
 	errWrongFormation = errors.New("engine is not in the order's formation")
 )
 
--- a/lab/replicas/group.go
+++ b/lab/replicas/group.go
@@ -52,7 +52,7 @@
 	rng          *rand.Rand
 	ranks        []*rank
 	epoch        uint64
-	step         uint64
+	step         uint64    // passes begun, as in relay.State; not token steps as in routes.Engine
 	opensAt      time.Time // start of the next epoch; zero while open or a rank is missing
 	missing      map[int]time.Time
 	popular      [][]int // experts by set, most popular first
--- a/lab/serve/ranks.go
+++ b/lab/serve/ranks.go
@@ -42,7 +42,7 @@
 	f.DurationVar(&c.config.StageTime, "stage-time", 0, "time in which a rank loads the weights of a map; 0 selects the default")
 	f.Float64Var(&c.config.TokensPerLayer, "tokens", 0, "tokens of a layer in each step; 0 selects the default")
 	f.DurationVar(&c.config.DriftInterval, "drift", 0, "time between changes of the experts' popularity; 0 means none")
-	f.BoolVar(&c.config.Fencing, "fencing", false, "refuse orders with an old fencing number")
+	f.BoolVar(&c.config.Fencing, "fencing", false, "refuse orders with an old fencing token")
 	f.Uint64Var(&c.config.Seed, "seed", 1, "seed of popularity and delays")
 }
 
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -93,7 +93,7 @@
 // kill kills a host's process, which is restarted when the fault ends.
 func (r *run) kill(h Host) func() {
 	endFault := r.record.markFaulty(h)
-	r.reserve(h) // a fault that has it reserved already finds the process ended
+	r.reserve(h) // another fault that holds the reservation finds the process ended
 	p := r.site.Process(h)
 	r.markEnded(p)
 	p.Kill()
